--- a/packages/entry/src/berylstage_entry/application.py
+++ b/packages/entry/src/berylstage_entry/application.py
@@ -19,12 +19,12 @@
 )
 from berylstage_entry.errors import InvalidRecord
 from berylstage_entry.grant_controller import GrantController
+from berylstage_entry.internal_http import PageServer
 from berylstage_entry.load_reporter import FORMAT as COUNTS_FORMAT
 from berylstage_entry.load_reporter import SPEEDS_PATH, LoadReporter
 from berylstage_entry.loop_lag import LoopLagMonitor
 from berylstage_entry.membership import UNKNOWN, Membership
 from berylstage_entry.metrics import Metrics, stop_text
-from berylstage_entry.pages import PageServer
 from berylstage_entry.peer_datagrams import PeerDatagrams
 from berylstage_entry.peer_updates import TOLD_PATH, PeerUpdates
 from berylstage_entry.peers import PeerClient
@@ -39,11 +39,11 @@
 )
 from berylstage_entry.permit_server import PermitServer
 from berylstage_entry.probes import LoadProbes
-from berylstage_entry.replies import Reply as PageReply
 from berylstage_entry.request_log import RequestLog
+from berylstage_entry.responses import Reply as PageReply
 from berylstage_entry.router import Router
 from berylstage_entry.server import CallerServer, split_address
-from berylstage_entry.stopping import (
+from berylstage_entry.shutdown import (
     BALANCER_LAG,
     STOP_SIGNALS,
     Phase,
--- a/packages/entry/src/berylstage_entry/connection.py
+++ b/packages/entry/src/berylstage_entry/connection.py
@@ -16,10 +16,10 @@
 from httptools import HttpParserError, HttpParserUpgrade, HttpRequestParser
 
 from berylstage_entry.clock import now
-from berylstage_entry.ending import Ending
 from berylstage_entry.errors import BadRequest, Refused
 from berylstage_entry.exchange import Exchange
-from berylstage_entry.replies import (
+from berylstage_entry.graceful_close import Ending
+from berylstage_entry.responses import (
     BAD_REQUEST,
     HEAD_TOO_LARGE,
     TOO_LARGE,
--- a/packages/entry/src/berylstage_entry/exchange.py
+++ b/packages/entry/src/berylstage_entry/exchange.py
@@ -11,7 +11,7 @@
 
     from berylstage_entry.errors import BadRequest, Refused
     from berylstage_entry.protocols import CallerRequest
-    from berylstage_entry.replies import Reply
+    from berylstage_entry.responses import Reply
 
 
 class Exchange:
--- a/packages/entry/src/berylstage_entry/pages.py
+++ b/packages/entry/src/berylstage_entry/internal_http.py
@@ -16,7 +16,7 @@
 )
 
 from berylstage_entry.clock import now
-from berylstage_entry.replies import Reply
+from berylstage_entry.responses import Reply
 from berylstage_entry.server import FIRST_BODY_LIMIT, split_address
 from berylstage_entry.sockets import ReceiveState, unread_in, unsent_in
 
--- a/packages/entry/src/berylstage_entry/line_writers.py
+++ b/packages/entry/src/berylstage_entry/line_writers.py
@@ -9,7 +9,7 @@
 from abc import ABC, abstractmethod
 
 from berylstage_entry.clock import now
-from berylstage_entry.stopping import STOP_SIGNALS
+from berylstage_entry.shutdown import STOP_SIGNALS
 
 # Bytes kept while they can't be written; what comes beyond is left out.
 KEPT = 256 * 1024
--- a/packages/entry/src/berylstage_entry/server.py
+++ b/packages/entry/src/berylstage_entry/server.py
@@ -11,7 +11,7 @@
 from berylstage_entry.clock import now
 from berylstage_entry.connection import READ_BODY, CallerConnection
 from berylstage_entry.errors import BadRequest, Refused, Unanswered
-from berylstage_entry.replies import (
+from berylstage_entry.responses import (
     BAD_GATEWAY,
     BAD_REQUEST,
     GATEWAY_TIMEOUT,
@@ -20,7 +20,7 @@
     Reply,
 )
 from berylstage_entry.router import LEAST_TIME, RETURN_AT_ONCE
-from berylstage_entry.stopping import Standing
+from berylstage_entry.shutdown import Standing
 
 if TYPE_CHECKING:
     from asyncio import AbstractServer
--- a/packages/entry/src/berylstage_entry/store_watcher.py
+++ b/packages/entry/src/berylstage_entry/store_watcher.py
@@ -9,13 +9,13 @@
 from logbook import Logger
 
 from berylstage_entry.assignment import Assignment
-from berylstage_entry.belief_log import BeliefLog
+from berylstage_entry.change_log import BeliefLog
 from berylstage_entry.clock import now
-from berylstage_entry.contact import StoreContact
 from berylstage_entry.coordinator_watch import CoordinatorWatch
 from berylstage_entry.errors import InvalidRecord, RevisionCompacted, StoreError
-from berylstage_entry.named_values import NamedValues
+from berylstage_entry.large_values import NamedValues
 from berylstage_entry.store import Item
+from berylstage_entry.store_connectivity import StoreContact
 from berylstage_entry.store_delta import LARGEST_VALUE, StoreDelta
 from berylstage_entry.store_keys import DUTY_KEY, KEYS_PREFIX, OWN_PREFIX
 
--- a/packages/entry/tests/test_availability.py
+++ b/packages/entry/tests/test_availability.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from granting_world import VMS, World
+from cluster_simulation import VMS, World
 from virtual_time import virtual_loop
 
 
--- a/packages/entry/tests/test_belief_log.py
+++ b/packages/entry/tests/test_change_log.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from berylstage_entry.belief_log import GATHERED, MOST_KEYS, BeliefLog
+from berylstage_entry.change_log import GATHERED, MOST_KEYS, BeliefLog
 from berylstage_entry.store import Item
 from logbook import TestHandler as Recorder
 
--- a/packages/entry/tests/test_ending.py
+++ b/packages/entry/tests/test_graceful_close.py
@@ -5,8 +5,8 @@
 import asyncio
 
 import pytest
-from berylstage_entry import ending
-from berylstage_entry.ending import GONE_PATIENCE, Ending
+from berylstage_entry import graceful_close
+from berylstage_entry.graceful_close import GONE_PATIENCE, Ending
 from virtual_time import virtual_loop
 
 
@@ -88,7 +88,7 @@
 
     def test_other_side_that_has_ended_is_not_waited_for_long(self, loop, monkeypatch):
         # Guards against waiting for acknowledgements that a reset has ended.
-        monkeypatch.setattr(ending, "has_ended", lambda transport: True)
+        monkeypatch.setattr(graceful_close, "has_ended", lambda transport: True)
 
         async def play():
             transport = Transport(100)
--- a/packages/entry/tests/test_grant_controller.py
+++ b/packages/entry/tests/test_grant_controller.py
@@ -12,6 +12,7 @@
 from berylstage_entry.coordinator_election import CONTACT_PATH, CoordinatorElection
 from berylstage_entry.grant_controller import MANY_RANGES, GrantController
 from berylstage_entry.store_watcher import StoreWatcher
+from cluster_simulation import VMS, World
 from fakes import (
     FencedTargets,
     JsonRecords,
@@ -21,7 +22,6 @@
     configuration,
     settings,
 )
-from granting_world import VMS, World
 from virtual_time import virtual_loop
 
 
--- a/packages/entry/tests/test_pages.py
+++ b/packages/entry/tests/test_internal_http.py
@@ -7,8 +7,8 @@
 import time
 
 import pytest
-from berylstage_entry.pages import LONGEST_WAIT, PageServer
-from berylstage_entry.replies import Reply
+from berylstage_entry.internal_http import LONGEST_WAIT, PageServer
+from berylstage_entry.responses import Reply
 
 SIZE = 4 * 1024 * 1024
 QUESTION = b"POST /slow HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx"
--- a/packages/entry/tests/test_logs.py
+++ b/packages/entry/tests/test_logs.py
@@ -12,7 +12,7 @@
 from berylstage_entry import line_writers
 from berylstage_entry.line_writers import FileWriter, PipeWriter, line_writer
 from berylstage_entry.logs import JsonLogHandler
-from berylstage_entry.stopping import STOP_SIGNALS
+from berylstage_entry.shutdown import STOP_SIGNALS
 from logbook import Logger
 
 BUSY_DISK = 0.3
--- a/packages/entry/tests/test_metrics.py
+++ b/packages/entry/tests/test_metrics.py
@@ -6,7 +6,7 @@
 
 from berylstage_entry.metrics import Metrics, stop_text
 from berylstage_entry.server import StopCounts
-from berylstage_entry.stopping import Phase, PhaseTimes
+from berylstage_entry.shutdown import Phase, PhaseTimes
 
 # A line of the text format: a name, labels, a number.
 SAMPLE = re.compile(r'[a-z_]+(\{[a-z]+="[^"]+"(,[a-z]+="[^"]+")*\})? [0-9.]+')
--- a/packages/entry/tests/test_ownership_machine.py
+++ b/packages/entry/tests/test_ownership_machine.py
@@ -5,7 +5,7 @@
 import os
 
 import pytest
-from granting_world import TARGETS, VMS, World
+from cluster_simulation import TARGETS, VMS, World
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, rule
--- a/packages/entry/tests/test_ownership_mutations.py
+++ b/packages/entry/tests/test_ownership_mutations.py
@@ -14,7 +14,7 @@
 from berylstage_entry.grant_expiry import ORDER_TIMEOUT, TargetGrants
 from berylstage_entry.grant_renewer import TICK, GrantRenewer
 from berylstage_entry.key_moves import KeyMoves
-from granting_world import VMS, World
+from cluster_simulation import VMS, World
 from virtual_time import virtual_loop
 
 
--- a/packages/entry/tests/test_stopping.py
+++ b/packages/entry/tests/test_shutdown.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from berylstage_entry.stopping import (
+from berylstage_entry.shutdown import (
     BALANCER_LAG,
     STOP_MARGIN,
     Phase,
--- a/packages/entry/tests/test_contact.py
+++ b/packages/entry/tests/test_store_connectivity.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from berylstage_entry.contact import OUTAGE_MEMORY, TOLD_COUNTS, StoreContact
+from berylstage_entry.store_connectivity import OUTAGE_MEMORY, TOLD_COUNTS, StoreContact
 
 
 class TestStoreContact:
--- a/packages/platform/src/berylstage_platform/http.py
+++ b/packages/platform/src/berylstage_platform/http.py
@@ -7,8 +7,8 @@
 
 from berylstage_transfers.call import Answer, Call
 from berylstage_transfers.client import CallClient
+from berylstage_transfers.connection_age import Trust
 from berylstage_transfers.errors import CallFailed
-from berylstage_transfers.trust import Trust
 
 from berylstage_platform.errors import (
     PlatformError,
--- a/packages/transfers/src/berylstage_transfers/client.py
+++ b/packages/transfers/src/berylstage_transfers/client.py
@@ -14,9 +14,9 @@
 from tornado.curl_httpclient import CurlAsyncHTTPClient
 
 from berylstage_transfers.call import Answer, Call
+from berylstage_transfers.connection_age import Trust
 from berylstage_transfers.errors import AnswerLost, NeverSent, NothingListens
 from berylstage_transfers.rest import Rest
-from berylstage_transfers.trust import Trust
 
 if TYPE_CHECKING:
     from typing import Any
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -8,11 +8,11 @@
 from pathlib import Path
 
 import pytest
-from berylstage_adapter.backends import PlatformTargets, load_report
-from berylstage_adapter.ingress import PlatformCallers
+from berylstage_adapter.caller_protocol import PlatformCallers
 from berylstage_adapter.kv_store import _item
 from berylstage_adapter.node_settings import parse
-from berylstage_adapter.records import PlatformRecords
+from berylstage_adapter.record_reader import PlatformRecords
+from berylstage_adapter.target_protocol import PlatformTargets, load_report
 from berylstage_entry.errors import BadRequest, InvalidRecord
 from berylstage_entry.store import Item
 from berylstage_settings.errors import FaultySettings
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -11,7 +11,7 @@
 sys.path.insert(0, str(Path(__file__).parent))
 
 from slow_caller import WINDOW_BYTES, Request
-from stop_stage import GRACE_S, Stage
+from stop_environment import GRACE_S, Stage
 from test_start import until
 
 # Seconds after SIGTERM for which the balancer may still send callers: it asks once a
