--- a/packages/policy/src/berylstage_policy/backoff.py
+++ b/packages/policy/src/berylstage_policy/backoff.py
@@ -1,9 +1,8 @@
-"""When a caller that was turned away may come back.
+"""Retry delays for refused callers.
 
-The load it answers: the second wave. Callers that are told the same moment return
-together and are turned away together again; one sees it as load that comes in pulses,
-between which the slots are idle. Here each refused caller is given the next free moment
-of a calendar that fills no faster than the target can serve.
+Callers that are given the same delay return together and are refused together again, so
+that load arrives in pulses with idle slots in between. Each refused caller is instead
+given the next free time of a schedule that fills no faster than the target can serve.
 """
 
 from __future__ import annotations
@@ -17,18 +16,18 @@
 
 
 class RetryAfter:
-    """Spreads the return of refused callers over the capacity that there is."""
+    """Schedules the retries of refused callers within the available capacity."""
 
     __slots__ = ("_rng", "_floor", "_ceiling", "_next")
 
     def __init__(self, rng: Random, thresholds: Thresholds):
         self._rng = rng
-        # First moment that is not yet promised to another caller.
+        # Earliest time that has not been given to a caller yet.
         self._next = 0.0
         self.set_thresholds(thresholds)
 
     def set_thresholds(self, thresholds: Thresholds) -> None:
-        """Take in other thresholds; what was learned stays.
+        """Replace the thresholds; the schedule is kept.
 
         Parameters
         ----------
@@ -38,15 +37,15 @@
         self._ceiling = thresholds["retry_after_ceiling"]
 
     def after(self, now: float, excess: float, seconds_each: float) -> float:
-        """Return the seconds after which a refused caller may come back.
+        """Return the seconds after which a refused caller may retry.
 
         Parameters
         ----------
         now : float
         excess : float
-            Seconds by which the queue is too long for this request.
-        seconds_each : float
-            Seconds that the target needs for one request, over all its slots.
+            Seconds by which the expected wait exceeds what this request allows.
+        seconds_per_request : float
+            Service time of one request divided by the number of slots.
 
         Returns
         -------
@@ -57,8 +56,8 @@
         self._next = max(self._next, now + self._floor) + seconds_each
         moment = max(earliest, self._next)
         if moment > now + self._ceiling:
-            # The calendar is full: by then the load is another, and the rest only must
-            # not return together.
+            # The schedule is full. The load will have changed by then, so the remaining
+            # callers are only spread to keep them from returning together.
             self._next = min(self._next, now + self._ceiling)
             return self._ceiling * self._rng.uniform(0.5, 1.0)
         return moment - now
--- a/packages/policy/src/berylstage_policy/coldstart.py
+++ b/packages/policy/src/berylstage_policy/coldstart.py
@@ -1,9 +1,9 @@
-"""How many requests a target may get at once after a start.
+"""Concurrency limit of a target after a start (slow start).
 
-The load it answers: full traffic waiting for a target that has just started. A target
-in cold start that gets it falls over, starts again, and falls over again; one sees a
-target that never comes back although each start succeeds. Here the limit begins at one
-and rises by observed completions, and any sign of a new start takes it back to one.
+A target in cold start that receives full traffic at once crashes, restarts and crashes
+again, and never becomes available although each start succeeds. The limit therefore
+begins at one request and rises with observed completions. Any sign of a new start
+resets it to one.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 if TYPE_CHECKING:
     from berylstage_policy.thresholds import Thresholds
 
-# Counted for an answer of which nothing tells whether it was slow.
+# Ratio assumed for an answer if it is not known whether it was slow.
 UNKNOWN_RATIO = 100.0
 
 
 class ColdStart:
-    """The concurrency limit of one target between one and its slots.
+    """Concurrency limit of one target, between one and its number of slots.
 
     Parameters
     ----------
     slots : int
-        Requests that the warm target works on at the same time.
+        Concurrent requests that the warm target accepts.
     thresholds : Thresholds
     now : float
-        Monotonic seconds; a lead begins without knowing how warm the target is.
+        Monotonic seconds. A new leader does not know whether the target is warm.
     """
 
     __slots__ = (
@@ -52,7 +52,7 @@
         self._slots = slots
         self._limit = 1
         self._incarnation = ""
-        # What the latest report of this run of the target has said.
+        # Latest report from this incarnation of the target.
         self._told_cold = False
         self._told_warm = False
         self._started = now
@@ -65,7 +65,7 @@
         self.set_thresholds(thresholds)
 
     def set_thresholds(self, thresholds: Thresholds) -> None:
-        """Take in other thresholds; what was learned stays.
+        """Replace the thresholds; the state of the ramp is kept.
 
         Parameters
         ----------
@@ -78,30 +78,30 @@
 
     @property
     def level(self) -> int:
-        """The level of the ramp, whatever doubts there are for the moment."""
+        """Level of the ramp, ignoring a suspected restart."""
         return self._limit
 
     @property
     def warm(self) -> bool:
-        """Whether the ramp is over."""
+        """Whether the ramp is complete."""
         return self._limit >= self._slots
 
     def limit(self, now: float) -> int:
-        """Return how many requests the target may have at this instant."""
-        # A target that restarts while idle fails no request. One would notice it only
-        # by what it drops once the full load hits it, so after a silence the first
-        # request goes alone.
+        """Return the number of requests that the target may run at this time."""
+        # A target that restarts while idle fails no request. The restart would be
+        # noticed only by the requests lost when the full load arrives, so the first
+        # request after a silence is sent alone.
         if self._suspect or now - self._confirmed > self._silence:
             return 1
         return self._limit
 
     def set_slots(self, slots: int) -> None:
-        """Take in another number of slots; more are reached by a ramp."""
+        """Change the number of slots; additional ones are reached through the ramp."""
         self._slots = slots
         self._limit = min(self._limit, slots)
 
     def new_start(self, now: float) -> None:
-        """Go back to one request: the target has started anew, or says so."""
+        """Reset the limit to one after a restart or a report of a cold start."""
         self._limit = 1
         self._suspect = False
         self._started = now
@@ -110,7 +110,7 @@
         self._begin_level()
 
     def seen(self, now: float, incarnation: str) -> None:
-        """Take in an answer or a grant that names the target's incarnation."""
+        """Record a reply that names the target's incarnation."""
         if incarnation and self._incarnation and incarnation != self._incarnation:
             self.new_start(now)
         self._incarnation = incarnation or self._incarnation
@@ -118,12 +118,13 @@
         self._suspect = False
 
     def reported(self, now: float, cold: bool, age: float = 0.0) -> None:
-        """Take in the target's own word, as a grant's answer or a load report tells it.
+        """Record the target's own report of whether it is in cold start.
 
-        A word alone never raises the limit, but completions count only with it: some
-        cold targets answer as fast as warm ones until they fall over. A report of
-        ``cold`` from before the last level was reached tells of what is over, and one
-        of ``warm`` from before the last start tells of another run.
+        A report comes with the reply to a grant or in a load report. It never raises
+        the limit by itself, but completions count only after a report of ``warm``: some
+        cold targets answer as fast as warm ones until they crash. A report of ``cold``
+        made before the last level was reached is outdated, and one of ``warm`` made
+        before the last start is from an earlier incarnation.
 
         Parameters
         ----------
@@ -143,37 +144,38 @@
             self._ratios = 0.0
 
     def doubted(self, now: float) -> None:
-        """Go to one request until the target shows that it is still the same run.
+        """Limit the target to one request until its incarnation is confirmed.
 
-        After a request that got no answer the target may have restarted; a whole ramp
-        for each lost connection would cost too much, so the same incarnation
-        restores the limit.
+        The target may have restarted if a request got no answer. A complete ramp for
+        each lost connection would cost too much, so the limit is restored once a reply
+        names the same incarnation.
         """
         self._suspect = True
 
     def completed(self, now: float, ratio: float | None) -> None:
-        """Count a whole answer towards the next level.
+        """Count an answer towards the next level.
 
         Parameters
         ----------
         now : float
         ratio : float or None
-            Its time over what this kind takes on the warm target; None if unknown.
+            Service time relative to that of the same kind on the warm target; None if
+            unknown.
         """
         self._confirmed = now
         if self.warm or self._told_cold:
             return
         self._count += 1
-        # Without a warm answer to compare with slow answers look like normal ones, and
-        # without the target's word a fragile target looks like a warm one. It is then
-        # ramped like a slow one, which takes some times as many answers.
+        # Without a warm service time to compare with, slow answers look normal, and
+        # without the target's report, a fragile target looks warm. The ramp then
+        # proceeds as for a slow target, which takes several times as many answers.
         is_known = ratio is not None and self._told_warm
         self._ratios += ratio if is_known and ratio is not None else UNKNOWN_RATIO
         if self._count < self._step:
             return
         self._windows += 1
-        # A target that is still slow is still cold, whatever the count; but one that
-        # stays slow for good must not be held at one request for ever.
+        # A target that is still slow is still cold, whatever the count. A target that
+        # is permanently slow must not stay at one request forever.
         is_fast = self._ratios <= self._slow * self._count
         if is_fast or self._windows >= self._patience:
             self._limit += 1
@@ -184,7 +186,7 @@
             self._ratios = 0.0
 
     def _begin_level(self) -> None:
-        """Forget what was counted on the level before."""
+        """Reset the counters of the level."""
         self._count = 0
         self._ratios = 0.0
         self._windows = 0
--- a/packages/policy/src/berylstage_policy/costs.py
+++ b/packages/policy/src/berylstage_policy/costs.py
@@ -1,20 +1,21 @@
-"""What work costs, learned by kind from what was observed.
+"""Service time estimates by kind of request.
 
-The load it answers: kinds whose service times differ by orders of magnitude, and
-targets that become slow. Without it every wait would be a guess, and a reconciliation
-that runs for seconds would count like a lookup.
+Service times differ by orders of magnitude between kinds, and targets become slow.
+Without estimates, expected waits would be guesses, and a reconciliation that runs for
+seconds would count like a lookup.
 """
 
 from __future__ import annotations
 
 from berylstage_policy.thresholds import Thresholds
 
-# Kinds that are remembered; a sheet has tens. The one seen least recently goes first.
+# Limit on the kinds that are tracked; a sheet defines tens. The least recently observed
+# one is evicted first.
 KINDS = 256
 
 
 class KindCost:
-    """Observed service time of one kind: smoothed mean and deviation, in seconds."""
+    """Service time of one kind: smoothed mean and deviation, in seconds."""
 
     __slots__ = ("mean", "deviation", "long", "is_warm")
 
@@ -22,12 +23,12 @@
         self.mean = seconds
         self.deviation = seconds / 2
         self.long = False
-        # Whether the target was warm when it was last observed.
+        # Whether the target was warm at the latest observation.
         self.is_warm = False
 
 
 class CostModel:
-    """Service times by kind, and which kinds are long beside the others."""
+    """Service time of each kind, and whether it is long relative to the others."""
 
     __slots__ = ("_kinds", "_typical", "_gain", "_default", "_ratio", "_floor")
 
@@ -37,7 +38,7 @@
         self.set_thresholds(thresholds)
 
     def set_thresholds(self, thresholds: Thresholds) -> None:
-        """Take in other thresholds; what was learned stays.
+        """Replace the thresholds; the learned service times are kept.
 
         Parameters
         ----------
@@ -51,7 +52,7 @@
     def observe(
         self, kind: str, seconds: float, is_short: bool, is_warm: bool = True
     ) -> None:
-        """Learn from one whole answer.
+        """Update the estimates with one complete answer.
 
         Parameters
         ----------
@@ -59,10 +60,11 @@
         seconds : float
             Time in the slot.
         is_short : bool
-            Whether it was queued as short work, which sets what is typical.
+            Whether the request was queued in the short lane, whose requests define the
+            typical service time.
         is_warm : bool
-            Whether the target is warm. What a cold one takes says nothing about a
-            kind of which the warm time is known, and is better than nothing else.
+            Whether the target is warm. A service time on a cold target is used only
+            while none on a warm one is known for the kind.
         """
         cost = self._kinds.pop(kind, None) or KindCost(seconds)
         if cost.is_warm and not is_warm:
@@ -83,25 +85,25 @@
         self._classify(cost)
 
     def _classify(self, cost: KindCost) -> None:
-        """Mark a kind long, or short again when it has fallen to half of that."""
+        """Mark the kind long, or short again once its mean falls to half the bound."""
         bound = max(self._floor, self._ratio * self._typical)
         cost.long = cost.mean >= (bound / 2 if cost.long else bound)
 
     def warm_ratio(self, kind: str, seconds: float) -> float | None:
-        """Return a time over that on the warm target, None when that is unknown."""
+        """Return a service time relative to the warm one, or None if unknown."""
         cost = self._kinds.get(kind)
         if cost is None or not cost.is_warm:
             return None
         return seconds / max(cost.mean, 1e-9)
 
     def mean(self, kind: str) -> float:
-        """Return the expected service time, in seconds."""
+        """Return the expected service time in seconds."""
         cost = self._kinds.get(kind)
         if cost is None:
             return self._typical or self._default
         return cost.mean
 
     def is_long(self, kind: str) -> bool:
-        """Tell whether a kind takes much longer than typical work."""
+        """Return whether a kind takes much longer than typical requests."""
         cost = self._kinds.get(kind)
         return cost is not None and cost.long
--- a/packages/policy/src/berylstage_policy/entries.py
+++ b/packages/policy/src/berylstage_policy/entries.py
@@ -1,4 +1,4 @@
-"""Tickets inside a queue, and the slots that they come to."""
+"""Queue entries and the set of entries that occupy slots."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class Entry:
-    """One ticket that waits or is in a slot.
+    """One request that waits or occupies a slot.
 
     Parameters
     ----------
     ticket : Ticket
     leaf : Flow
-        Where it queues and is charged.
+        Flow in which the request queues and which is charged for it.
     cost : float
-        Seconds that it is expected to take.
+        Expected service time in seconds.
     is_short : bool
     latest_start : float
-        When it can no longer make its deadline.
+        Time after which the request can no longer meet its deadline.
     """
 
     __slots__ = (
@@ -54,7 +54,7 @@
 
 
 class Slots:
-    """The entries that a target works on."""
+    """Entries that occupy a slot of the target."""
 
     __slots__ = ("long", "_entries")
 
@@ -69,20 +69,20 @@
         return ticket_id in self._entries
 
     def begin(self, entry: Entry, now: float) -> None:
-        """Put an entry in a slot."""
+        """Record that the entry occupies a slot from now on."""
         entry.started = now
         self._entries[entry.ticket.id] = entry
         if not entry.is_short:
             self.long += 1
 
     def end(self, ticket_id: str) -> Entry | None:
-        """Take an entry out; None when it is in no slot."""
+        """Remove and return an entry, or return None if it occupies no slot."""
         entry = self._entries.pop(ticket_id, None)
         if entry is not None and not entry.is_short:
             self.long -= 1
         return entry
 
     def residuals(self, now: float) -> list[float]:
-        """Return how long each busy slot stays busy, shortest first."""
+        """Return the seconds that each busy slot stays busy, in ascending order."""
         entries = self._entries.values()
         return sorted(residual(entry.cost, now - entry.started) for entry in entries)
--- a/packages/policy/src/berylstage_policy/errors.py
+++ b/packages/policy/src/berylstage_policy/errors.py
@@ -1,11 +1,11 @@
-"""Errors of the policy package."""
+"""Exceptions raised by the policy package."""
 
 from __future__ import annotations
 
 
 class PolicyError(Exception):
-    """Any fault in what the policy was given."""
+    """Base class of errors in the policy's input."""
 
 
 class ThresholdError(PolicyError):
-    """An override of a threshold can't be used; the message names the remedy."""
+    """A threshold override is invalid; the message says how to correct it."""
--- a/packages/policy/src/berylstage_policy/expiry.py
+++ b/packages/policy/src/berylstage_policy/expiry.py
@@ -1,4 +1,4 @@
-"""Which waiting ticket expires next."""
+"""Heap of the expiry times of waiting requests."""
 
 from __future__ import annotations
 
@@ -8,21 +8,22 @@
 if TYPE_CHECKING:
     from collections.abc import Container
 
-# Dropped entries that are tolerated before the heap is rebuilt.
+# Stale entries that are tolerated before the heap is rebuilt.
 STALE_ENTRIES = 64
 
 
 class ExpiryHeap:
-    """Moments at which tickets expire.
+    """Min-heap of the times at which waiting requests expire.
 
-    Tickets that no longer wait are dropped when they surface, or all at once when they
-    are more than half: most tickets are served, and taking each out would cost more
-    than all else that is done for it.
+    Entries of requests that no longer wait are removed lazily: when they reach the top
+    of the heap, or all at once when they are more than half of it. Most requests are
+    served before they expire, and removing each entry eagerly would cost more than
+    everything else that is done for a request.
 
     Parameters
     ----------
     waiting : container of str
-        Ids of the tickets that wait; looked at, not copied.
+        Ids of the waiting requests. The heap keeps a reference, not a copy.
     """
 
     __slots__ = ("_heap", "_waiting")
@@ -32,25 +33,25 @@
         self._waiting = waiting
 
     def add(self, moment: float, ticket_id: str, waiting: int) -> None:
-        """Add a ticket; `waiting` is how many wait, this one included."""
+        """Add a request; `waiting_count` is the number of waiting requests with it."""
         heappush(self._heap, (moment, ticket_id))
         if len(self._heap) > 2 * waiting + STALE_ENTRIES:
             self._heap = [entry for entry in self._heap if entry[1] in self._waiting]
             heapify(self._heap)
 
     def next(self) -> float | None:
-        """Return the next moment, or None when nothing waits."""
+        """Return the earliest expiry time, or None if nothing waits."""
         while self._heap and self._heap[0][1] not in self._waiting:
             heappop(self._heap)
         return self._heap[0][0] if self._heap else None
 
     def due(self, now: float) -> str | None:
-        """Take out the id of a waiting ticket that has expired, if there is one."""
+        """Remove and return the id of an expired waiting request, or None."""
         moment = self.next()
         if moment is None or moment > now:
             return None
         return heappop(self._heap)[1]
 
     def clear(self) -> None:
-        """Forget all."""
+        """Remove all entries."""
         self._heap.clear()
--- a/packages/policy/src/berylstage_policy/fairness.py
+++ b/packages/policy/src/berylstage_policy/fairness.py
@@ -1,10 +1,11 @@
-"""Fair queueing over a tree of flows.
-
-The load it answers: one tenant, class or caller that sends far more than the others. In
-a first-in-first-out queue its backlog is everybody's wait. Here each level of the tree
-shares the slots' time by start-time fair queueing: the child that has had the least
-time for its weight goes next, and a child that was idle starts level with the others,
-so that nobody saves up a claim to all slots.
+"""Hierarchical start-time fair queueing.
+
+Fair queueing protects callers from a tenant, class or caller that sends far more than
+the others: in a FIFO queue, its backlog would delay everybody. Each level of the tree
+divides slot time among its children by start-time fair queueing (SFQ). The child with
+the lowest start tag is served next, and a child that becomes active starts at the
+current virtual time, so that an idle flow cannot accumulate credit and then take all
+slots.
 """
 
 from __future__ import annotations
@@ -15,16 +16,16 @@
 
 T = TypeVar("T")
 
-# Idle flows that a level remembers, so that a caller who sends one request at a time
-# can't shed its debt by being idle in between. Bounds the memory of each level.
+# Idle children that a node keeps, so that a caller that sends one request at a time
+# cannot clear its debt by being idle in between. It bounds the memory of each node.
 IDLE_FLOWS = 256
 
-# Old entries of an order that are tolerated, beside four for each child.
+# Stale heap entries that a node tolerates, in addition to four for each child.
 STALE_ENTRIES = 64
 
 
 class Flow(Generic[T]):
-    """One node of the tree: a share of its parent's time.
+    """Node of the tree: a weighted share of its parent's slot time.
 
     Parameters
     ----------
@@ -51,25 +52,27 @@
     def __init__(self, parent: Flow[T] | None, weight: float):
         self.parent = parent
         self.weight = weight
-        # Time received for each unit of weight; the parent serves the lowest first.
+        # Service time received per unit of weight. The parent serves the lowest first.
         self.start_tag = 0.0
-        # Start tag of the child served last: where children that wake up begin.
+        # Start tag of the child served last, at which children that become active
+        # start.
         self.now_tag = 0.0
         self.children: dict[str, Flow[T]] = {}
-        # Lazy heap of (order, number, child); entries with an old order are dropped.
+        # Heap of (sort key, number, child). Entries with an outdated key are skipped.
         self.heap: list[tuple[tuple[float, int], int, Flow[T]]] = []
         self.active_weight = 0.0
-        # Waiting items with their numbers in order of arrival and expected costs.
+        # Waiting items with their arrival numbers and expected costs.
         self.items: deque[tuple[T, int, float]] = deque()
         self.size = 0
         self.backlog = 0.0
-        # Busy period in which the start tag was set; it means nothing in a later one.
+        # Busy period in which the start tag was set. The tag has no meaning in a later
+        # one.
         self.period = 0
-        # Place among the parent's children: lowest first.
+        # Position among the parent's children; the lowest is served first.
         self.order = (0.0, 0)
 
     def child(self, name: str, weight: float) -> Flow[T]:
-        """Return the child with that name, made when it is new."""
+        """Return the child of that name, creating it if necessary."""
         found = self.children.get(name)
         if found is None:
             if len(self.children) >= IDLE_FLOWS:
@@ -80,19 +83,19 @@
         return found
 
     def _forget_idle(self) -> None:
-        """Drop the idle children that owe nothing, or else half of the idle ones."""
+        """Remove the idle children without debt, or else half of the idle ones."""
         idle = [name for name, flow in self.children.items() if not flow.size]
         settled = [n for n in idle if self.children[n].start_tag <= self.now_tag]
         for name in settled or idle[: len(idle) // 2]:
             del self.children[name]
 
     def compact(self) -> None:
-        """Drop old entries: where one lane is served for hours none of them surface."""
+        """Remove stale heap entries, which stay while only one child is served."""
         self.heap = [e for e in self.heap if e[2].size and e[0] is e[2].order]
         heapify(self.heap)
 
     def first(self) -> Flow[T]:
-        """Return the active child that has had least; there must be one."""
+        """Return the active child to serve next; there must be one."""
         heap = self.heap
         while True:
             order, _, flow = heap[0]
@@ -102,12 +105,13 @@
 
 
 class FairQueue(Generic[T]):
-    """Tree of flows, the leaves of which hold items in order of arrival.
+    """Tree of flows whose leaves hold items in order of arrival.
 
     Parameters
     ----------
-    returning : float
-        Work that is served before a newcomer, at most, as a multiple of what waits.
+    overtaking_factor : float
+        Upper bound on the work served before a new item, as a multiple of the waiting
+        work.
     """
 
     __slots__ = ("root", "_period", "_pushed", "_returning")
@@ -119,27 +123,28 @@
         self._pushed = 0
 
     def set_returning(self, returning: float) -> None:
-        """Take in how much work is served before a newcomer, at most."""
+        """Replace the upper bound on the work served before a new item."""
         self._returning = returning
 
     def __len__(self) -> int:
         return self.root.size
 
     def leaf(self, path: tuple[tuple[str, float], ...]) -> Flow[T]:
-        """Return the leaf at a path of (name, weight) from the root down."""
+        """Return the leaf at a path of (name, weight) pairs from the root."""
         flow = self.root
         for name, weight in path:
             flow = flow.child(name, weight)
         return flow
 
     def push(self, leaf: Flow[T], item: T, cost: float) -> None:
-        """Add an item with its expected cost at the end of a leaf."""
+        """Append an item with its expected cost to a leaf."""
         self._pushed += 1
         leaf.items.append((item, self._pushed, cost))
         flow: Flow[T] = leaf
         while flow.parent is not None:
             parent = flow.parent
-            # Counted before it is put in order: an idle flow may be dropped there.
+            # Update the size first: `_insert` may compact the heap, which drops idle
+            # flows.
             flow.size += 1
             flow.backlog += cost
             if flow.size == 1:
@@ -152,15 +157,16 @@
         flow.backlog += cost
 
     def charge(self, leaf: Flow[T], cost: float) -> None:
-        """Count time that a leaf has received, on it and all flows above."""
+        """Add received service time to a leaf and all of its ancestors."""
         flow = leaf
         while flow.parent is not None:
             parent = flow.parent
             self._enter_period(flow, parent)
             flow.start_tag += cost / flow.weight
-            # Virtual time goes on with the work that is done. Taken from the tags
-            # alone it would stand still while newcomers are served once each, and a
-            # flow that has had a little more would wait for as long as any come.
+            # Virtual time advances with the work that is done. If it followed the start
+            # tags alone, it would stand still while new flows are served once each, and
+            # a flow with a slightly higher tag would wait for as long as new flows
+            # arrive.
             weights = parent.active_weight + (0.0 if flow.size else flow.weight)
             parent.now_tag += cost / weights
             if flow.size:
@@ -168,13 +174,13 @@
             flow = parent
 
     def _enter_period(self, flow: Flow[T], parent: Flow[T]) -> None:
-        """Forgive what a flow owed from an earlier busy period."""
+        """Reset a start tag that was set in an earlier busy period."""
         if flow.period != self._period:
             flow.start_tag = parent.now_tag
             flow.period = self._period
 
     def _queue(self, flow: Flow[T], parent: Flow[T]) -> None:
-        """Put an active flow in its parent's order, by tag and then by arrival."""
+        """Push an active flow onto its parent's heap, by start tag and arrival."""
         self._pushed += 1
         number = flow.items[0][1] if flow.items else self._pushed
         flow.order = (max(parent.now_tag, flow.start_tag), number)
@@ -183,7 +189,7 @@
             parent.compact()
 
     def pop(self, top: str | None = None) -> T:
-        """Take the next item out, of one child of the root if it is named."""
+        """Remove and return the next item, of one child of the root if it is named."""
         flow = self.root
         if top is not None:
             flow = flow.children[top]
@@ -194,19 +200,19 @@
         return self.pop_first(flow)
 
     def pop_first(self, leaf: Flow[T]) -> T:
-        """Take out the first item of a leaf, whoever's turn it is."""
+        """Remove and return the first item of a leaf, out of fair order."""
         item, _, cost = leaf.items.popleft()
         self._shrink(leaf, cost)
         self._requeue(leaf)
         return item
 
     def _requeue(self, leaf: Flow[T]) -> None:
-        """Give a leaf that has another first item its new place."""
+        """Push a leaf onto its parent's heap again after its first item changed."""
         if leaf.items and leaf.parent is not None:
             self._queue(leaf, leaf.parent)
 
     def remove(self, leaf: Flow[T], item: T) -> None:
-        """Take an item out that will not be served."""
+        """Remove an item that will not be served."""
         for index, (found, _, cost) in enumerate(leaf.items):
             if found is item:
                 del leaf.items[index]
@@ -216,7 +222,7 @@
                 return
 
     def _shrink(self, leaf: Flow[T], cost: float) -> None:
-        """Count one item less on a leaf and all flows above."""
+        """Subtract one item from a leaf and all of its ancestors."""
         flow: Flow[T] | None = leaf
         while flow is not None:
             flow.size -= 1
@@ -228,28 +234,30 @@
             self._period += 1
 
     def ahead(self, leaf: Flow[T], cost: float) -> float:
-        """Return the work that is served before a newcomer of a leaf starts.
+        """Return the work that is served before a new item of a leaf.
 
-        Its own flow's backlog, and what the neighbours on each level get by their
-        weights until it is done, but never much more than they have waiting.
+        It is the backlog of the item's own flow plus the work that siblings on each
+        level receive by weight in the meantime, capped at a multiple of their own
+        backlog.
 
         Parameters
         ----------
         leaf : Flow
-            Where the newcomer would queue.
+            Flow to which the new item would be added.
         cost : float
-            What the newcomer itself costs.
+            Expected cost of the new item in seconds.
 
         Returns
         -------
         float
+            Slot-seconds.
         """
         flow: Flow[T] = leaf
         work = leaf.backlog
         while flow.parent is not None:
             parent = flow.parent
             weights = parent.active_weight + (0.0 if flow.size else flow.weight)
-            # Debt for what the flow has had lately, which is served off first.
+            # Recent service in excess of the share, which the flow waits out first.
             debt = max(0.0, flow.start_tag - parent.now_tag)
             if flow.period != self._period:
                 debt = 0.0
@@ -259,7 +267,7 @@
         return work
 
     def heaviest(self) -> Flow[T]:
-        """Return the leaf with the most work for its weight, level by level."""
+        """Return the leaf reached by following the largest backlog per weight."""
         flow = self.root
         while flow.children:
             flow = max(
--- a/packages/policy/src/berylstage_policy/health.py
+++ b/packages/policy/src/berylstage_policy/health.py
@@ -1,10 +1,10 @@
-"""Whether a target is well, stalled for moments, slow, or down.
+"""Health state of a target: healthy, stalled, slow or down.
 
-The load it answers: targets that stop for moments because of unseen neighbours, and
-targets that are gone. Moving owned keys off a target costs their unavailability while
-its grant lapses and the new owner starts cold. Without a bound below which nothing
-moves, each stall of half a second would turn into a longer outage by our own doing;
-with too high a bound, the keys of a lost target stay away longer than the promised 2 s.
+Targets stall for moments when other workloads on the host take their CPU, and some fail
+for good. Moving owned keys off a target makes them unavailable until its lease lapses
+and the new owner has gone through its cold start. Without a lower bound on the silence,
+every stall of half a second would become a longer outage. With too high a bound, the
+keys of a lost target would be unavailable for longer than the promised 2 s.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 
 class Verdict(Enum):
-    """State of a target by what was observed.
+    """Observed health state of a target.
 
-    ``STALLED`` holds requests back from free services and moves nothing; ``SLOW``
-    lowers the share of keys; ``DOWN`` moves the keys.
+    ``STALLED`` withholds requests of services without key ownership and moves nothing.
+    ``SLOW`` lowers the target's share of keys. ``DOWN`` moves its keys.
     """
 
     WELL = "well"
@@ -30,7 +30,7 @@
 
 
 class TargetHealth:
-    """Judges one target by answers to probes, grants and work.
+    """Derives the health of one target from replies to probes, grants and requests.
 
     Parameters
     ----------
@@ -66,23 +66,23 @@
         self._least_capacity = thresholds["least_capacity"]
 
     def answered(self, now: float) -> None:
-        """Note a sign of life: any answer, also a refusal."""
+        """Record any reply of the target, including a refusal."""
         self._last_sign = now
         self._refused_since = None
 
     def refused_connection(self, now: float) -> None:
-        """Note that nothing listens on the target's address: the process is gone."""
+        """Record that the target's address refuses connections: its process is gone."""
         if self._refused_since is None:
             self._refused_since = now
 
     def latency(self, now: float, ratio: float) -> None:
-        """Note how slow the target is beside the others of its service.
+        """Record the target's service time relative to its peers.
 
         Parameters
         ----------
         now : float
         ratio : float
-            Its smoothed service time over the median of the service's targets.
+            Smoothed service time divided by the median of the service's targets.
         """
         self._ratio = ratio
         bound = self._slow_ratio / (2.0 if self._is_slow else 1.0)
@@ -95,7 +95,7 @@
             self._slow_since = None
 
     def verdict(self, now: float) -> Verdict:
-        """Return the state of the target."""
+        """Return the health state of the target."""
         refused = self._refused_since
         if refused is not None and now - refused >= self._refused_down_after:
             return Verdict.DOWN
@@ -107,7 +107,7 @@
         return Verdict.SLOW if self._is_slow else Verdict.WELL
 
     def next_change(self, now: float) -> float:
-        """Return when the verdict changes if nothing is heard until then."""
+        """Return when the health state changes if no reply arrives until then."""
         moments = [self._last_sign + self._stall_after]
         moments.append(self._last_sign + self._down_after)
         if self._refused_since is not None:
@@ -115,7 +115,7 @@
         return min((m for m in moments if m > now), default=float("inf"))
 
     def capacity(self, slots: int) -> float:
-        """Return the capacity for placement: its slots, or less while it is slow."""
+        """Return the capacity for placement: the slots, or less for a slow target."""
         if not self._is_slow:
             return float(slots)
         return slots * max(self._least_capacity, 1.0 / self._ratio)
--- a/packages/policy/src/berylstage_policy/hotkeys.py
+++ b/packages/policy/src/berylstage_policy/hotkeys.py
@@ -1,10 +1,10 @@
-"""Keys that take so much of a target that they are worth a shard of their own.
+"""Detection of hot keys that are moved to shards of their own.
 
-The load it answers: a few keys that take most of the traffic, and others a few minutes
-later. A hot key inside a hash range drags the range's other keys along wherever it
-goes; one sees a target that stays overloaded however often its shards are moved. The
-keys are found with bounded memory among millions, set apart when it pays, and returned
-late.
+A few keys can take most of the traffic, and the set changes within minutes. A hot key
+in a hash range takes the other keys of the range along wherever it moves, so its target
+stays overloaded however often its shards are moved. Hot keys are detected among
+millions in bounded memory, get a shard of their own only if their load justifies it,
+and return to their range after a delay.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 if TYPE_CHECKING:
     from berylstage_policy.thresholds import Thresholds
 
-# Weights grow by decay instead of all counters shrinking; they are scaled back
-# before they could overflow.
+# Weight at which all counters are rescaled to prevent overflow: decay is implemented by
+# growing the weight of new observations instead of shrinking all counters.
 RESCALE_AT = 1e100
 
 
 class Counter:
-    """Counted weight of one key and the most by which it is too high."""
+    """Counted weight of one key and the maximum overestimate."""
 
     __slots__ = ("key", "weight", "error")
 
@@ -33,10 +33,10 @@
 
 
 class KeySketch:
-    """Heaviest keys of a stream, by the Space-Saving algorithm with decay.
+    """Heavy hitters of a stream, found by the Space-Saving algorithm with decay.
 
     Each of a fixed number of counters belongs to one key. A key without a counter takes
-    over the lowest one and inherits its weight as its possible error. Any key with more
+    over the lowest one and inherits its weight as the maximum error. Any key with more
     than 1/size of the decayed total has a counter.
 
     Parameters
@@ -44,7 +44,7 @@
     size : int
         Number of counters.
     half_life : float
-        Seconds after which a weight counts half.
+        Seconds after which a weight has decayed by half.
     """
 
     __slots__ = ("_size", "_half_life", "_counters", "_by_weight", "_origin", "_total")
@@ -61,7 +61,7 @@
         return len(self._counters)
 
     def _scale(self, now: float) -> float:
-        """Return what a weight of one counts at this moment, in stored units."""
+        """Return the stored weight of a unit observation made at this time."""
         if self._origin is None:
             self._origin = now
         scale = 2.0 ** ((now - self._origin) / self._half_life)
@@ -76,7 +76,7 @@
         return 1.0
 
     def add(self, key: str, weight: float, now: float) -> None:
-        """Count weight for a key; time must not run backwards."""
+        """Add weight to a key; `now` must not decrease between calls."""
         amount = weight * self._scale(now)
         self._total += amount
         counter = self._counters.get(key)
@@ -95,23 +95,23 @@
         self._by_weight.add(counter)
 
     def rate(self, key: str, now: float) -> float:
-        """Return the weight a second that a key certainly has, 0 when not counted."""
+        """Return a lower bound of the key's weight per second, 0 without a counter."""
         counter = self._counters.get(key)
         return self._rate(counter, now) if counter is not None else 0.0
 
     def _rate(self, counter: Counter, now: float) -> float:
-        """Turn a decayed sum into a rate: a steady rate r sums to r·half-life/ln 2."""
+        """Convert a decayed sum to a rate: a steady rate r sums to r·half-life/ln 2."""
         certain = counter.weight - counter.error
         return certain / self._scale(now) * 0.6931471805599453 / self._half_life
 
     def heaviest(self, count: int, now: float) -> list[tuple[str, float]]:
-        """Return the heaviest keys with their certain rates, the heaviest first."""
+        """Return the heaviest keys with lower bounds of their rates, heaviest first."""
         found = [(c.key, self._rate(c, now)) for c in self._by_weight[-count:]]
         return sorted(found, key=lambda entry: -entry[1])
 
 
 class HotKeyChanges:
-    """Keys to set apart and keys to return to their hash range."""
+    """Keys to move to shards of their own and keys to return to their hash range."""
 
     __slots__ = ("set_apart", "give_back")
 
@@ -121,7 +121,7 @@
 
 
 class HotKeys:
-    """Finds the hot keys of one service on one VM.
+    """Detects the hot keys of one service on one VM.
 
     Parameters
     ----------
@@ -147,7 +147,7 @@
         self.set_thresholds(thresholds)
 
     def set_thresholds(self, thresholds: Thresholds) -> None:
-        """Take in other thresholds; what was counted stays.
+        """Replace the thresholds; the counted weights are kept.
 
         Parameters
         ----------
@@ -159,21 +159,21 @@
         self._most = int(thresholds["hot_most"])
 
     def observe(self, key: str, seconds: float, now: float) -> None:
-        """Count the slot time that a request of a key took."""
+        """Add the slot time that a request for the key took."""
         self.sketch.add(key, seconds, now)
 
     def set_apart(self, keys: set[str]) -> None:
-        """Take in which keys are set apart by the assignment in force."""
+        """Record which keys have a shard of their own in the current assignment."""
         self._apart = set(keys)
         self._cool_since = {k: t for k, t in self._cool_since.items() if k in keys}
 
     def changes(self, slots: float, now: float) -> HotKeyChanges:
-        """Return which keys to set apart and which to give back.
+        """Return the keys to set apart and those to give back.
 
         Parameters
         ----------
         slots : float
-            Slots of one target: what a key's load is measured against.
+            Slots of one target, relative to which the load of a key is measured.
         now : float
 
         Returns
@@ -191,7 +191,7 @@
         return HotKeyChanges(hot[: max(0, room)], give_back)
 
     def _cooled(self, slots: float, now: float) -> list[str]:
-        """Return the keys set apart that have been cool for long enough."""
+        """Return the keys set apart whose load has been low for long enough."""
         cooled = []
         for key in sorted(self._apart):
             if self.sketch.rate(key, now) >= self._leave * slots:
--- a/packages/policy/src/berylstage_policy/lanes.py
+++ b/packages/policy/src/berylstage_policy/lanes.py
@@ -1,10 +1,10 @@
-"""Long work and short work, and the slots that are kept for the short.
+"""Short and long lanes, and the slots reserved for short requests.
 
-The load it answers: the nightly reconciliation behind morning traffic. With two slots
-one request of seconds is half the target and two are all of it; one sees lookups that
-take as long as the reconciliation does. A queue can't take a slot back, so some are
-kept free of long work for as long as short work is about, and all are given to it when
-none is.
+Long batch requests, such as a nightly reconciliation, compete with interactive
+requests. On a target with two slots, one long request takes half of the capacity and
+two take all of it, and lookups then wait as long as the reconciliation runs. A queue
+cannot preempt a running request, so some slots stay closed to long requests while short
+ones arrive. All slots are open to them when none do.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class Lanes:
-    """Divides work into a short and a long lane and sizes the reserve."""
+    """Assigns requests to the short or long lane and sizes the short reserve."""
 
     __slots__ = (
         "_presence",
@@ -35,12 +35,12 @@
     )
 
     def __init__(self, thresholds: Thresholds):
-        # Slots that short work keeps busy, by what was offered lately.
+        # Average number of slots that recently offered short requests keep busy.
         self._load = DecayedRate(thresholds["short_load_window"])
         self.set_thresholds(thresholds)
 
     def set_thresholds(self, thresholds: Thresholds) -> None:
-        """Take in other thresholds; what was learned stays.
+        """Replace the thresholds; the observed load is kept.
 
         Parameters
         ----------
@@ -56,15 +56,15 @@
         }
 
     def is_short(self, ticket: Ticket, costs: CostModel) -> bool:
-        """Tell whether a ticket is short work: by its class, or as learned."""
+        """Return whether a request is short, by its class or learned service time."""
         return ticket.request_class != "batch" and not costs.is_long(ticket.kind)
 
     def offered(self, cost: float, now: float) -> None:
-        """Count a short request that was offered."""
+        """Record a short request that was offered."""
         self._load.add(cost, now)
 
     def path(self, ticket: Ticket, is_short: bool) -> tuple[tuple[str, float], ...]:
-        """Return the ticket's flow as (name, weight) for each level of the tree."""
+        """Return the request's flow as (name, weight) for each level of the tree."""
         lane = SHORT if is_short else LONG
         return (
             (lane, self._lane_weights[lane]),
@@ -74,7 +74,7 @@
         )
 
     def long_cap(self, limit: int, now: float) -> int:
-        """Return how many of the usable slots long work may have, at least one."""
+        """Return how many of the usable slots long requests may occupy; at least 1."""
         if limit == 1 or now - self._load.updated > self._presence:
             return limit
         reserve = ceil(self._load.rate(now) / self._utilisation)
--- a/packages/policy/src/berylstage_policy/placement.py
+++ b/packages/policy/src/berylstage_policy/placement.py
@@ -1,9 +1,9 @@
-"""Where shards go: the moves that must be made and the few that pay.
+"""Shard placement: mandatory moves and a limited number of balancing moves.
 
-The load it answers: targets that come, go and are unevenly loaded. Without the
-hysteresis every fluctuation of load would move keys, and each move makes keys
-unavailable; without the budget a reopened data centre would take all its keys back at
-once, cold.
+Targets join, leave and carry uneven load, and every move makes keys unavailable for a
+moment. Hysteresis prevents load fluctuations from moving keys. The budget prevents a
+reopened data centre from taking all of its keys back at once, while its targets are
+cold.
 """
 
 from __future__ import annotations
@@ -12,36 +12,38 @@
 
 from berylstage_policy.thresholds import DEFAULTS, Thresholds
 
-# Weight of a shard without load, as a share of the mean: idle shards are spread by
-# number, so that no target ends up with all of those that wake up later.
+# Weight of a shard without load, as a share of the mean load. Idle shards are spread by
+# number, so that no target holds all of those that become active later.
 IDLE_WEIGHT = 0.01
 
-# Moves of a shard within minutes after which it is left alone: away and back.
+# Recent moves, one away and one back, after which a shard is no longer rebalanced.
 MOST_RECENT_MOVES = 2
 
-# Places of the lowest levels that are tried as partners of a repack.
+# Places with the lowest levels that are tried as partners of a repack.
 REPACK_PARTNERS = 4
 
-# Difference in level up to which a shard stays where it is in a repack.
+# Relative difference in level up to which a shard stays in place during a repack.
 STAY_MARGIN = 0.02
 
 
 class Holding:
-    """One shard and where it is.
+    """One shard with its owner and load.
 
     Parameters
     ----------
     shard : str
         Unique name of the shard.
     owner : str or None
-        Place that owns it; None before the first assignment.
+        Place that owns the shard; None before the first assignment.
     load : float
-        Slot-seconds a second that it takes; any unit will do if it is the same.
+        Slot-seconds per second that the shard uses. Any other unit works if all shards
+        use the same one.
     pinned : str or None
-        Place that operators want it on. Ignored while that place isn't eligible.
+        Place to which operators pinned the shard. Ignored while that place is not
+        eligible.
     recent_moves : int
-        Moves within the last minutes. From `MOST_RECENT_MOVES` on it is not moved for
-        balance.
+        Moves within the last minutes. From `MAX_RECENT_MOVES` on, the shard is not
+        moved for balance.
     """
 
     __slots__ = ("shard", "owner", "load", "pinned", "recent_moves")
@@ -62,17 +64,17 @@
 
 
 class Place:
-    """One target that may own shards.
+    """Target that may own shards.
 
     Parameters
     ----------
     name : str
     data_centre : str
     capacity : float
-        Share of the work that it should get, relative to the others: its slots, or
-        less while it is slow.
+        Relative share of the load that the target should receive: its number of slots,
+        or less while it is slow.
     eligible : bool
-        False when it is down, leaving, or its data centre is closed.
+        False if the target is down or leaving, or its data centre is closed.
     """
 
     __slots__ = ("name", "data_centre", "capacity", "eligible")
@@ -91,7 +93,7 @@
 
 
 class Move:
-    """One change of owner that the plan asks for."""
+    """Change of one shard's owner."""
 
     __slots__ = ("shard", "source", "destination")
 
@@ -105,7 +107,7 @@
 
 
 class _Bin:
-    """One eligible place with the weight on it while a plan is made."""
+    """Eligible place and the weight assigned to it while a plan is computed."""
 
     __slots__ = ("name", "capacity", "weight", "movable")
 
@@ -113,12 +115,12 @@
         self.name = name
         self.capacity = capacity
         self.weight = 0.0
-        # Unpinned shards on it, as (weight, shard).
+        # Unpinned shards in the bin, as (weight, shard).
         self.movable: list[tuple[float, str]] = []
 
     @property
     def level(self) -> float:
-        """Weight for each unit of capacity."""
+        """Weight per unit of capacity."""
         return self.weight / self.capacity
 
 
@@ -128,29 +130,29 @@
     budget: int,
     thresholds: Thresholds = DEFAULTS,
 ) -> list[Move]:
-    """Decide which shards change their owner.
+    """Return the shard moves that restore eligibility, pinning and balance.
 
-    A shard without an owner, on a place that isn't eligible, or pinned to another
-    eligible place is always moved. Other shards move only from a place well above the
-    mean level, or to one well below it, and only as many as the budget has left after
-    the mandatory moves. The result depends only on the arguments, so that two VMs with
-    the same view plan the same moves.
+    A shard without an owner, on an ineligible place, or pinned to another eligible
+    place is always moved. Other shards move only from a place well above the mean level
+    or to one well below it, and only within the budget that the mandatory moves leave.
+    The result depends only on the arguments, so two VMs with the same view compute the
+    same plan.
 
     Parameters
     ----------
     holdings : list of Holding
-        The shards of one service.
+        All shards of one service.
     places : list of Place
-        The targets of that service.
+        All targets of that service.
     budget : int
-        Most moves for balance in this plan; mandatory moves are not limited but use
-        it up, because loads are unsettled while keys move.
+        Maximum number of balancing moves in this plan. Mandatory moves are not limited
+        but count against it, because loads are unreliable while keys move.
     thresholds : Thresholds
 
     Returns
     -------
     list of Move
-        Mandatory moves first. Empty when no place is eligible.
+        Mandatory moves first. Empty if no place is eligible.
     """
     bins = {
         place.name: _Bin(place.name, place.capacity)
@@ -168,7 +170,7 @@
 
 
 def _weights(holdings: list[Holding]) -> dict[str, float]:
-    """Return the weight of each shard: its load, but never quite nothing."""
+    """Return the weight of each shard: its load plus a small minimum."""
     total = sum(holding.load for holding in holdings)
     floor = IDLE_WEIGHT * total / len(holdings) if total > 0 else 1.0
     return {holding.shard: holding.load + floor for holding in holdings}
@@ -179,7 +181,7 @@
     weights: dict[str, float],
     bins: dict[str, _Bin],
 ) -> list[Move]:
-    """Put every shard in its bin and return the moves that this takes."""
+    """Assign every shard to a bin and return the moves that this requires."""
     moves = []
     homeless = []
     for holding in holdings:
@@ -192,9 +194,9 @@
         elif holding.owner in bins:
             owner_bin = bins[holding.owner]
             owner_bin.weight += weight
-            # A data centre that closes and reopens takes a key away and back. Moved
-            # by chance fluctuations of load as well, the same key would be
-            # unavailable a third time within minutes while others never were.
+            # A data centre that closes and reopens moves a key away and back. If load
+            # fluctuations moved the same key as well, it would be unavailable a third
+            # time within minutes, while other keys never were.
             if holding.recent_moves < MOST_RECENT_MOVES:
                 owner_bin.movable.append((weight, holding.shard))
         else:
@@ -208,7 +210,7 @@
     weights: dict[str, float],
     bins: dict[str, _Bin],
 ) -> list[Move]:
-    """Place shards without an eligible owner, heaviest first, on the lowest level."""
+    """Assign shards without an eligible owner, heaviest first, to the lowest level."""
     moves = []
     by_level = SortedKeyList(bins.values(), key=lambda place: (place.level, place.name))
     homeless.sort(key=lambda holding: (-weights[holding.shard], holding.shard))
@@ -227,7 +229,7 @@
     budget: int,
     thresholds: Thresholds,
 ) -> list[Move]:
-    """Return moves that bring the outlying places back near the mean level."""
+    """Return moves that bring outlying places back near the mean level."""
     mean = sum(b.weight for b in bins.values()) / sum(b.capacity for b in bins.values())
     high = mean * thresholds["balance_high"]
     low = mean * thresholds["balance_low"]
@@ -260,10 +262,10 @@
 def _repack(
     source: _Bin, by_level: SortedKeyList, budget: int, gain: float
 ) -> list[Move]:
-    """Divide the shards of two places anew where no single move helps.
+    """Redistribute the shards of two places if no single move helps.
 
-    Two hot keys on one place are such a case: each is too heavy for any other place,
-    unless that place gives some of its light shards in return.
+    For example, two hot keys on one place are each too heavy for any other place,
+    unless that place gives up some of its light shards in return.
     """
     best: list[tuple[float, str, str]] = []
     lowest = source.level - gain
@@ -292,14 +294,14 @@
 
 
 def _divide(one: _Bin, other: _Bin) -> tuple[float, list[tuple[float, str, str]]]:
-    """Divide the shards of two places evenly, the heaviest first.
+    """Distribute the shards of two places evenly, the heaviest first.
 
     Returns
     -------
     level : float
-        The higher level of the two places then.
+        Higher of the two resulting levels.
     changes : list of (weight, shard, owner)
-        Shards that would change their place, with the owner they have now.
+        Shards that would move, with their present owner.
     """
     places = (one, other)
     weights = [p.weight - sum(w for w, _ in p.movable) for p in places]
@@ -307,7 +309,7 @@
     changes = []
     for weight, shard, owner in sorted(entries, key=lambda e: (-e[0], e[1])):
         levels = [(weights[i] + weight) / places[i].capacity for i in (0, 1)]
-        # Where it makes no difference a shard stays.
+        # A shard stays if moving it makes no difference.
         stays = levels[owner] <= levels[1 - owner] * (1 + STAY_MARGIN)
         end = owner if stays else 1 - owner
         weights[end] += weight
@@ -322,14 +324,14 @@
     by_level: SortedKeyList,
     mean: float,
 ) -> Move | None:
-    """Move the shard that evens out two places most, or None when none helps."""
-    # The weight that would bring both places to the same level.
+    """Move the shard that best evens out two places, or return None if none does."""
+    # Weight whose move would bring both places to the same level.
     even = (source.level - destination.level) / (
         1 / source.capacity + 1 / destination.capacity
     )
-    # One heavy key can't be split: moving it would only swap the places' parts, and
-    # again at the next plan, which shows as a key that moves to and fro. A shard of
-    # twice the even weight swaps them exactly, so only clearly lighter ones count.
+    # A heavy key cannot be split. Moving it would only swap the roles of the two
+    # places, and the next plan would move it back. A shard of twice the equalizing
+    # weight swaps the levels exactly, so only clearly lighter shards are considered.
     wanted = min(even, (source.level - mean) * source.capacity)
     fitting = [entry for entry in source.movable if entry[0] <= 1.5 * even]
     if not fitting or even <= 0:
--- a/packages/policy/src/berylstage_policy/queue.py
+++ b/packages/policy/src/berylstage_policy/queue.py
@@ -1,9 +1,10 @@
-"""The one queue in front of a target: what starts, waits or is turned away.
+"""Admission control and the request queue in front of one target.
 
-The load it answers: bursts, saturation, callers that flood, and long work among short.
-Without a bounded queue that knows deadlines, overload makes every answer late: the
-slots stay busy with requests whose callers have gone. Without the reserve for short
-work, two long requests close a target with two slots to everybody else.
+The queue handles bursts, saturation, callers that flood the target, and long requests
+mixed with short ones. It is bounded and aware of deadlines: without that, overload
+makes every answer late, because the slots stay busy with requests whose callers have
+timed out. Some slots are reserved for short requests; without the reserve, two long
+requests would block a target that has two slots.
 """
 
 from __future__ import annotations
@@ -36,27 +37,29 @@
 
 
 class TargetQueue:
-    """Admission, queue and slots of one led target.
+    """Admission control, fair queue and slot accounting of one target.
 
     Parameters
     ----------
     slots : int
-        Requests that the warm target works on at the same time.
+        Concurrent requests that the warm target accepts.
     thresholds : Thresholds
     rng : Random
-        Spreads the moments at which refused callers come back.
+        Source of the jitter in the retry delays of refused callers.
     now : float
         Monotonic seconds.
     costs : CostModel, optional
-        What was learned before, so that a ramp can tell cold from warm answers: of
-        this target under an earlier lead, or of another target of the service.
+        Service times learned earlier, from this target under a previous leader or from
+        another target of the service. They let the ramp distinguish cold from warm
+        answers.
 
     Attributes
     ----------
     ramp : ColdStart
-        Tell it of incarnations and load reports.
+        Concurrency limit after a start of the target. Callers report incarnations and
+        load reports to it.
     costs : CostModel
-        What kinds of work take on this target.
+        Service time of each kind of request on this target.
     """
 
     def __init__(
@@ -82,7 +85,7 @@
         self._set_limits(thresholds)
 
     def set_thresholds(self, thresholds: Thresholds) -> None:
-        """Take in other thresholds, for what is offered and started from now on.
+        """Replace the thresholds for requests that are offered or started from now on.
 
         Parameters
         ----------
@@ -96,86 +99,89 @@
         self._set_limits(thresholds)
 
     def _set_limits(self, thresholds: Thresholds) -> None:
-        """Take in the thresholds that the queue itself goes by."""
+        """Copy the thresholds that the queue itself uses."""
         self._queue_limit = int(thresholds["queue_limit"])
         self._wait_share = thresholds["wait_share"]
 
     @property
     def waiting(self) -> int:
-        """Number of tickets that wait."""
+        """Number of requests that wait in the queue."""
         return len(self._waiting)
 
     @property
     def running(self) -> int:
-        """Number of tickets in a slot."""
+        """Number of requests that occupy a slot."""
         return len(self._slots)
 
     def has_free_slot(self, now: float) -> bool:
-        """Tell whether a newcomer would start at once."""
+        """Return whether a new request would start immediately."""
         is_idle = not self._waiting and self._paused_until is None
         return is_idle and len(self._slots) < self.ramp.limit(now)
 
     def set_slots(self, slots: int, now: float) -> list[Ticket]:
-        """Take in another number of slots and return what starts now."""
+        """Change the number of slots and return the requests to start now."""
         self.ramp.set_slots(slots)
         return self._fill(now)
 
     def seen(self, incarnation: str, now: float) -> list[Ticket]:
-        """Take in an answer to a grant or probe and return what starts now.
+        """Record the incarnation in a lease or probe reply; return what starts now.
 
         Parameters
         ----------
         incarnation : str
-            Run of the target's process that the answer named.
+            Identifier of the target's process, taken from the reply.
         now : float
 
         Returns
         -------
         list of Ticket
-            To be sent now, when the answer ends a doubt. Look at `next_expiry` too:
-            another incarnation is a cold target, for which much may be turned away.
+            Requests to send now, if the reply rules out a suspected restart. Check
+            `next_expiry` afterwards as well: a new incarnation is a cold target, for
+            which many waiting requests may be refused.
         """
         self.ramp.seen(now, incarnation)
         return self._fill(now)
 
     def reported(self, is_cold: bool, now: float, age: float = 0.0) -> None:
-        """Take in the target's own word, some seconds old, on being in cold start."""
+        """Record the cold-start flag of a report that is `age` seconds old."""
         self.ramp.reported(now, is_cold, age)
 
     def pause(self, until: float) -> None:
-        """Start nothing until `resume`: connections to the target are refused.
+        """Start no requests until `resume`, because the target refuses connections.
 
-        Without it a target that is gone would take and lose the whole queue in the
-        second before its keys move. Paused tickets go to the new owner by `drain`.
+        Without the pause, a target that is gone would accept and lose the whole queue
+        in the second before its keys move. `drain` returns the waiting requests for the
+        new owner.
 
         Parameters
         ----------
         until : float
-            When the target or a new owner is expected to take work, for admission.
+            Time at which the target or a new owner is expected to accept requests.
+            Admission uses it to estimate the wait.
         """
         self._paused_until = until
 
     def resume(self, now: float) -> list[Ticket]:
-        """End a pause and return what starts now."""
+        """End the pause and return the requests to start now."""
         self._paused_until = None
         return self._fill(now)
 
     def offer(self, ticket: Ticket, now: float, may_decline: bool = False) -> Decision:
-        """Decide about a new ticket.
+        """Decide whether to start, queue, decline or refuse a new request.
 
         Parameters
         ----------
         ticket : Ticket
         now : float
         may_decline : bool
-            Whether the ticket could go to another target: then it is handed back
-            rather than made to wait.
+            Whether another target could serve the request. If so, it is declined
+            instead of queued.
 
         Returns
         -------
         Decision
-            `Start`, `Wait`, `Decline` or `Refuse`. A refusal is final and says when
-            to come back.
+            `Start`, `Wait`, `Decline` or `Refuse`. A refusal is final and carries a
+            retry delay.
         """
         if self._draining:
             return Refuse(ticket.id, RefuseReason.DRAINING, self._comeback(now, 0.0))
@@ -208,45 +214,47 @@
         outcome: Outcome,
         incarnation: str = "",
     ) -> list[Ticket]:
-        """Free a slot and say what starts now.
+        """Free the slot of a request and return the requests to start now.
 
-        Call it when the target certainly works on the request no more: it answered,
-        refused, confirmed a cancellation, or the deadline that it was told has passed.
-        An earlier call would put more on the target than its slots.
+        Call it only once the target has certainly stopped working on the request: it
+        has answered, refused, or confirmed a cancellation, or the deadline that it was
+        given has passed. An earlier call would exceed the target's concurrency limit.
 
         Parameters
         ----------
         ticket_id : str
         now : float
         seconds : float
-            Time since it was started.
+            Seconds since the request was started.
         outcome : Outcome
         incarnation : str, default=""
-            Run of the target's process that the answer named, if one came.
+            Identifier of the target's process named in the reply; empty without a
+            reply.
 
         Returns
         -------
         list of Ticket
-            To be sent to the target now.
+            Requests to send to the target now.
         """
         entry = self._slots.end(ticket_id)
         if entry is None:
             return []
-        # Charged by expectation at the start; a flow whose work takes longer than
-        # expected would otherwise get more than its share for as long as it is new.
+        # The flow was charged the expected cost at the start. Without this correction,
+        # a flow whose requests take longer than expected would get more than its share
+        # until the cost model has learned their service time.
         if entry.is_charged and outcome is Outcome.ANSWERED:
             self._fair.charge(entry.leaf, seconds - entry.cost)
         self._learn(entry, now, seconds, outcome, incarnation)
         return self._fill(now)
 
     def cancelled(self, ticket_id: str, now: float) -> bool:
-        """Forget a ticket whose caller has gone.
+        """Remove a request whose caller has disconnected from the queue.
 
         Returns
         -------
         bool
-            True when it is in a slot: cancel it at the target, and call `finished`
-            once the target has confirmed.
+            True if the request occupies a slot. Cancel it at the target then, and call
+            `finished` once the target has confirmed.
         """
         entry = self._waiting.pop(ticket_id, None)
         if entry is not None:
@@ -254,7 +262,7 @@
         return ticket_id in self._slots
 
     def expired(self, now: float) -> list[Refuse]:
-        """Return refusals for tickets that can no longer make their deadlines."""
+        """Remove and return the requests that can no longer meet their deadlines."""
         refusals, self._displaced = self._displaced, []
         if self.ramp.level < self._planned_limit:
             refusals.extend(self._replan(self.ramp.limit(now), now))
@@ -264,25 +272,26 @@
         return refusals
 
     def next_expiry(self) -> float | None:
-        """Return when `expired` has something to say, or None while nothing waits."""
+        """Return when `expired` will return refusals, or None if nothing waits."""
         if self._displaced or self.ramp.level < self._planned_limit:
             return float("-inf")
         return self._expiry.next()
 
     def expected_wait(self, now: float) -> float:
-        """Return the seconds that a typical newcomer would wait, for load digests."""
+        """Return the seconds that a typical new request waits, for load digests."""
         return self._time_to_serve(self._fair.root.backlog, self.ramp.limit(now), now)
 
     def drain(self) -> list[Ticket]:
-        """Stop taking work and hand out what waits, to be sent elsewhere or refused."""
+        """Refuse new requests from now on; remove and return the waiting ones."""
         self._draining = True
         return self.hand_back()
 
     def hand_back(self) -> list[Ticket]:
-        """Hand out what waits, none of which ran, but go on taking work.
+        """Remove and return all waiting requests, but keep admitting new ones.
 
-        For a free service whose target has stalled: what waits can go to another
-        target, also work that may not be repeated, and long before its deadline.
+        Used for a service without key ownership when its target stalls: the waiting
+        requests have not run, so even non-idempotent ones can go to another target long
+        before their deadlines.
         """
         tickets = []
         for entry in self._waiting.values():
@@ -293,20 +302,20 @@
         return tickets
 
     def _entry(self, ticket: Ticket, now: float) -> Entry:
-        """Look up what is known about a ticket and where it queues."""
+        """Create the queue entry of a request from its flow and expected cost."""
         is_short = self._lanes.is_short(ticket, self.costs)
         cost = ticket.expected_cost or self.costs.mean(ticket.kind)
         if is_short:
             self._lanes.offered(cost, now)
-        # Slow answers raise the cost. If the cost alone could turn all tickets away,
-        # none would run, and nobody would learn that the target is fast again.
+        # Slow answers raise the expected cost. If the cost alone could refuse every
+        # request, none would run and a recovered target would never be detected.
         slack = (ticket.deadline - now) * (1.0 - self._wait_share)
         latest = max(ticket.deadline - cost, now + min(slack, cost))
         leaf = self._fair.leaf(self._lanes.path(ticket, is_short))
         return Entry(ticket, leaf, cost, is_short, latest)
 
     def _may_start(self, entry: Entry, limit: int, now: float) -> bool:
-        """Tell whether a newcomer starts at once, ahead of nobody that could start."""
+        """Return whether a request can start now without passing one that could."""
         if len(self._slots) >= limit or self._paused_until is not None:
             return False
         if entry.is_short:
@@ -317,22 +326,22 @@
         )
 
     def _begin(self, entry: Entry, now: float) -> None:
-        """Put an entry in a slot and charge its flow."""
+        """Assign a slot to the entry and charge its flow."""
         self._slots.begin(entry, now)
-        # What starts while nobody waits is taken from nobody.
+        # Slots are free for everybody while nobody waits, so nothing is charged.
         if self._waiting:
             self._fair.charge(entry.leaf, entry.cost)
             entry.is_charged = True
 
     def _enqueue(self, entry: Entry) -> None:
-        """Let an entry wait."""
+        """Add the entry to the fair queue and to the expiry heap."""
         ticket_id = entry.ticket.id
         self._waiting[ticket_id] = entry
         self._fair.push(entry.leaf, entry, entry.cost)
         self._expiry.add(entry.latest_start, ticket_id, len(self._waiting))
 
     def _fill(self, now: float) -> list[Ticket]:
-        """Start what waits while there are slots for it."""
+        """Start waiting requests while slots are available to them."""
         limit = self.ramp.limit(now)
         self._planned_limit = max(self._planned_limit, self.ramp.level)
         started = []
@@ -351,7 +360,7 @@
         return started
 
     def _next(self, limit: int, now: float) -> Entry | None:
-        """Take out of the fair queue who starts next, or None when nobody may."""
+        """Remove and return the entry to start next, or None if none may start."""
         is_capped = self._slots.long >= self._lanes.long_cap(limit, now)
         if not is_capped:
             return self._fair.pop()
@@ -368,7 +377,7 @@
         outcome: Outcome,
         incarnation: str,
     ) -> None:
-        """Take in what an ending says about costs and the ramp."""
+        """Update the cost model and the ramp with the outcome of a request."""
         ramp = self.ramp
         if incarnation:
             ramp.seen(now, incarnation)
@@ -382,11 +391,11 @@
             self.costs.observe(kind, seconds, entry.is_short, ramp.warm)
 
     def _time_to_serve(self, work: float, limit: int, now: float) -> float:
-        """Return the seconds until the slots have done so much work and one is free."""
+        """Return the seconds until the slots have done `work` and one is free."""
         return time_to_serve(work, limit, self._slots.residuals(now))
 
     def _expected_wait(self, entry: Entry, limit: int, now: float) -> float:
-        """Return the seconds until a newcomer starts, by its flow's fair share."""
+        """Return the seconds until a new request starts at its flow's fair share."""
         work = self._fair.ahead(entry.leaf, entry.cost)
         if not entry.is_short:
             limit = self._lanes.long_cap(limit, now)
@@ -396,7 +405,7 @@
         return wait
 
     def _displace(self, newcomer: Entry, now: float) -> bool:
-        """Make room by turning away the last of the heaviest flow, if it is heavier."""
+        """Evict the newest request of the heaviest flow if that flow is longer."""
         heaviest = self._fair.heaviest()
         if heaviest.size <= newcomer.leaf.size + 1:
             return False
@@ -407,10 +416,11 @@
         return True
 
     def _replan(self, limit: int, now: float) -> list[Refuse]:
-        """Turn away what the lower limit can't serve in time, the newest first.
+        """Refuse what cannot be served in time under a lower limit, newest first.
 
-        When a target turns cold with a full queue, most of it is lost. Callers that
-        are told so at once can try elsewhere; held to their deadlines they can't.
+        When a target restarts cold with a full queue, most of the queue is lost.
+        Callers that are refused immediately can retry elsewhere; callers held until
+        their deadlines cannot.
         """
         refusals = []
         for entry in reversed(list(self._waiting.values())):
@@ -423,7 +433,7 @@
         return refusals
 
     def _turn_away(self, entry: Entry, now: float) -> Refuse:
-        """Take a waiting entry out of the fair queue and refuse it."""
+        """Remove a waiting entry from the fair queue and return its refusal."""
         self._fair.remove(entry.leaf, entry)
         return self._refusal(entry, now)
 
@@ -433,11 +443,11 @@
         now: float,
         reason: RefuseReason = RefuseReason.DEADLINE,
     ) -> Refuse:
-        """Return a refusal that says when to come back."""
+        """Return a refusal that carries a retry delay."""
         wait = self.expected_wait(now)
         return Refuse(entry.ticket.id, reason, self._comeback(now, wait))
 
     def _comeback(self, now: float, excess: float) -> float:
-        """Return when a caller that is turned away may come back, in seconds."""
+        """Return the seconds after which a refused caller may retry."""
         each = self.costs.mean("") / max(1, self.ramp.limit(now))
         return self._retry_after.after(now, excess, each)
--- a/packages/policy/src/berylstage_policy/rates.py
+++ b/packages/policy/src/berylstage_policy/rates.py
@@ -1,4 +1,4 @@
-"""Rates over the last moments, with constant memory."""
+"""Exponentially decayed rates in constant memory."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class DecayedRate:
-    """Amount a second, over an exponentially fading window.
+    """Amount per second over an exponentially decaying window.
 
     Parameters
     ----------
     window : float
-        Seconds after which an amount counts 1/e.
+        Time constant in seconds, after which an amount counts 1/e.
     """
 
     __slots__ = ("updated", "_window", "_amount")
@@ -22,10 +22,10 @@
         self._amount = 0.0
 
     def add(self, amount: float, now: float) -> None:
-        """Count an amount."""
+        """Add an amount at the given time."""
         self._amount = self._amount * exp((self.updated - now) / self._window) + amount
         self.updated = now
 
     def rate(self, now: float) -> float:
-        """Return the amount a second."""
+        """Return the amount per second."""
         return self._amount * exp((self.updated - now) / self._window) / self._window
--- a/packages/policy/src/berylstage_policy/retries.py
+++ b/packages/policy/src/berylstage_policy/retries.py
@@ -1,9 +1,8 @@
-"""Whether to send a request again, and whether to send it twice.
+"""Retry and hedging policies with budgets.
 
-The load it answers: a target or service that fails. Retries without a budget multiply
-its load just when it can bear least; one sees a short fault that never ends, because
-the retries alone saturate the target. The budget is a share of successes, so it dries
-up when successes do.
+Retries without a budget multiply the load of a target or service that is failing, and a
+short fault becomes permanent because the retries alone saturate the target. The budget
+is a share of the successful requests, so it runs out when they stop.
 """
 
 from __future__ import annotations
@@ -18,12 +17,12 @@
 
     from berylstage_policy.thresholds import Thresholds
 
-# Ends after which the request certainly did not run.
+# Outcomes after which the request is known not to have run.
 CERTAINLY_NOT_RUN = frozenset({Outcome.SHED, Outcome.COLD, Outcome.NOT_RUN})
 
 
 class RetryVerdict(Enum):
-    """Whether to retry, or why not."""
+    """Decision to retry, or the reason not to."""
 
     RETRY = "retry"
     NOT_REPEATABLE = "not-repeatable"
@@ -34,7 +33,7 @@
 
 
 class RetryDecision:
-    """A verdict and, for a retry, the seconds to wait before it."""
+    """Verdict and, for a retry, the seconds to wait before it."""
 
     __slots__ = ("verdict", "delay")
 
@@ -44,15 +43,15 @@
 
 
 class Budget:
-    """Tokens earned by successes and spent on extra attempts.
+    """Token bucket that successes fill and extra attempts drain.
 
     Parameters
     ----------
     share : float
-        Extra attempts for each success.
+        Tokens added per success.
     reserve : float
-        Most tokens kept, which is also the stock at the start: what a quiet service
-        may retry before any success.
+        Capacity of the bucket, which is full at the start. It allows a service with
+        little traffic to retry before its first success.
     """
 
     __slots__ = ("share", "reserve", "tokens")
@@ -63,23 +62,23 @@
         self.tokens = reserve
 
     def earn(self) -> None:
-        """Count a success."""
+        """Add the tokens of one success."""
         self.tokens = min(self.reserve, self.tokens + self.share)
 
     def spend(self) -> bool:
-        """Take a token and return True, or return False when there is none."""
+        """Take a token; return False if the budget is exhausted."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
         return True
 
     def refund(self) -> None:
-        """Put a token back."""
+        """Return a token that was taken."""
         self.tokens = min(self.reserve, self.tokens + 1.0)
 
 
 class RetryPolicy:
-    """Decides about retries for one service.
+    """Decides about retries of the requests of one service.
 
     Parameters
     ----------
@@ -96,7 +95,7 @@
         self._delay = thresholds["retry_delay"]
 
     def succeeded(self) -> None:
-        """Count an answered request."""
+        """Record an answered request."""
         self.budget.earn()
 
     def decide(
@@ -107,20 +106,20 @@
         attempt: int,
         expected_cost: float,
     ) -> RetryDecision:
-        """Decide what follows an attempt that brought no answer.
+        """Decide whether to retry an attempt that brought no answer.
 
         Parameters
         ----------
         is_repeatable : bool
-            False for work that runs at most once. Such work is sent again only when
-            it certainly did not run.
+            Whether the request is idempotent. Any other request is retried only if it
+            certainly did not run.
         outcome : Outcome
         time_left : float
-            Seconds to the caller's deadline.
+            Seconds until the caller's deadline.
         attempt : int
-            Number of attempts made, from 1.
+            Number of attempts made so far, starting at 1.
         expected_cost : float
-            Seconds that another attempt is expected to take.
+            Expected duration of another attempt in seconds.
 
         Returns
         -------
@@ -141,11 +140,11 @@
 
 
 class HedgePolicy:
-    """Decides when a second attempt is sent beside the first, for one free service.
+    """Decides when to hedge the requests of one service without key ownership.
 
-    A target that stalls for a moment holds its requests while others idle. Only
-    repeatable work of free services is hedged: an owned key has no other target, and
-    work that may not be repeated would run twice.
+    A target that stalls for a moment delays its requests while other targets are idle.
+    Only idempotent requests of services without key ownership are hedged: an owned key
+    has no second target, and a request that is not idempotent could run twice.
 
     Parameters
     ----------
@@ -162,39 +161,40 @@
         self._delay = 0.0
 
     def answered(self, seconds: float) -> None:
-        """Learn from an answer: the delay follows a high quantile of answer times."""
+        """Record an answer; the delay follows a high quantile of the answer times."""
         self.budget.earn()
         if not self._delay:
             self._delay = seconds * 3
             return
-        # Stochastic approximation of the quantile: steps up and down balance when the
-        # wanted share of answers is faster.
+        # Stochastic approximation of the quantile: the steps up and down cancel out
+        # when the wanted share of answers is faster than the delay.
         if seconds > self._delay:
             self._delay *= 1.0 + self._step * self._quantile
         else:
             self._delay *= 1.0 - self._step * (1.0 - self._quantile)
 
     def delay(self, is_repeatable: bool, targets: int) -> float | None:
-        """Return the seconds after which to hedge, or None when never.
+        """Return the seconds after which to hedge, or None for no hedge.
 
         Parameters
         ----------
         is_repeatable : bool
         targets : int
-            Willing targets, the one that was sent to included.
+            Number of available targets, including the one that has the request.
         """
         if not is_repeatable or targets < 2 or not self._delay:
             return None
         return max(self._delay, self._least)
 
     def may_hedge(self) -> bool:
-        """Take from the budget, at the moment of hedging.
+        """Take a token for a hedge that is about to be sent.
 
-        Offer a hedge so that a busy target may decline it, and drop it then: a hedge
-        that queues helps nobody and delays others, and under overload all would.
+        Send the hedge with `may_decline`, so that a busy target can decline it, and
+        drop it then. A hedge that waits in a queue helps nobody and delays others, and
+        under overload every hedge would wait.
         """
         return self.budget.spend()
 
     def declined(self) -> None:
-        """Give back what a hedge took that did not run."""
+        """Return the token of a hedge that was declined."""
         self.budget.refund()
--- a/packages/policy/src/berylstage_policy/shares.py
+++ b/packages/policy/src/berylstage_policy/shares.py
@@ -1,8 +1,8 @@
-"""Which service of a split gets the next request.
+"""Smooth weighted round robin among the services of a traffic split.
 
-The load it answers: a route whose requests are divided among services by weight. Drawn
-at random, the share of a service strays by several in a hundred over a few hundred
-requests; here each VM keeps its own counts within one request of the weights.
+A weighted random choice deviates from the configured share by several percent over a
+few hundred requests. Each VM instead keeps its own counts within one request of the
+weights.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-# Turns after which a round of whole weights in hundredths begins anew.
+# Picks in one round of integer weights that are given in percent.
 ROUND = 100
 
 
 class WeightedTurns:
-    """Turns among several parts in proportion to their weights.
+    """Smooth weighted round robin over several alternatives.
 
     Parameters
     ----------
     weights : sequence of float
-        At least one above 0.
+        Weight of each alternative; at least one is above 0.
     start : float
-        From 0 to 1: where in the round this VM begins, so that VMs with few requests
-        each do not all begin with the same part.
+        Position in the round, from 0 to 1, at which this VM begins, so that VMs with
+        few requests each do not all begin with the same alternative.
     """
 
     __slots__ = ("_credits", "_total", "_weights")
@@ -38,7 +38,7 @@
             self.take()
 
     def take(self) -> int:
-        """Return the index of the part whose turn it is."""
+        """Return the index of the next alternative."""
         for i, weight in enumerate(self._weights):
             self._credits[i] += weight
         best = max(range(len(self._credits)), key=self._credits.__getitem__)
--- a/packages/policy/src/berylstage_policy/slots.py
+++ b/packages/policy/src/berylstage_policy/slots.py
@@ -1,21 +1,22 @@
-"""How long the slots of a target stay busy, by expectation."""
+"""Estimates of how long the slots of a target stay busy."""
 
 from __future__ import annotations
 
 
 def residual(cost: float, elapsed: float) -> float:
-    """Return how long a request will stay in its slot, in seconds.
+    """Return the expected seconds until a running request frees its slot.
 
-    Work that is over its time is expected to end soon, however long it has taken. To
-    expect as long again was tried: through stalls of moments it turned away requests
-    that were still answered in time, and a stall that lasts ends in `health` anyway.
+    A request that exceeds its expected cost is assumed to end soon, however long it has
+    run. Assuming as much time again as it has already taken refuses requests during
+    momentary stalls that would still be answered in time, and `health` detects a stall
+    that lasts.
 
     Parameters
     ----------
     cost : float
-        Seconds that it was expected to take.
+        Expected service time in seconds.
     elapsed : float
-        Seconds since it was started.
+        Seconds since the request was started.
 
     Returns
     -------
@@ -25,16 +26,16 @@
 
 
 def time_to_serve(work: float, limit: int, residuals: list[float]) -> float:
-    """Return the seconds until the slots have done some work and one is free.
+    """Return the seconds until the slots have done `work` and one of them is free.
 
     Parameters
     ----------
     work : float
-        Slot-seconds to be done first.
+        Slot-seconds of work to do first.
     limit : int
         Slots that may be used.
-    residuals : list of float
-        Seconds that each busy slot stays busy, shortest first.
+    remaining : list of float
+        Seconds that each busy slot stays busy, in ascending order.
 
     Returns
     -------
@@ -45,7 +46,7 @@
         free = [0.0] * (limit - busy) + residuals
     else:
         free = residuals[busy - limit :]
-    # Pour the work over the slots as they become free, the earliest first.
+    # Assign the work to the slots as they become free, the earliest slot first.
     level = free[0]
     for count in range(1, len(free)):
         room = (free[count] - level) * count
--- a/packages/policy/src/berylstage_policy/threshold.py
+++ b/packages/policy/src/berylstage_policy/threshold.py
@@ -1,10 +1,10 @@
-"""One named threshold: default, unit, range and reason."""
+"""Definition of a named threshold."""
 
 from __future__ import annotations
 
 
 class Threshold:
-    """One named threshold.
+    """Named threshold with its default, unit, range and rationale.
 
     Parameters
     ----------
@@ -13,12 +13,12 @@
     unit : str
         Unit of the value, such as ``s`` or ``ratio``.
     low, high : float
-        Range of values that make sense, both ends included.
+        Inclusive range of valid values.
     overridable : bool
-        Whether operators may override it through the sheet. What guards an
-        invariant may not be.
+        Whether operators may override the threshold in the sheet. False if it protects
+        an invariant.
     why : str
-        Why the default is what it is.
+        Rationale for the default.
     """
 
     __slots__ = ("name", "default", "unit", "low", "high", "overridable", "why")
--- a/packages/policy/src/berylstage_policy/threshold_placement.py
+++ b/packages/policy/src/berylstage_policy/threshold_placement.py
@@ -1,4 +1,4 @@
-"""Thresholds of placement, health and hot keys."""
+"""Thresholds of shard placement, target health and hot key detection."""
 
 from __future__ import annotations
 
--- a/packages/policy/src/berylstage_policy/threshold_queue.py
+++ b/packages/policy/src/berylstage_policy/threshold_queue.py
@@ -1,4 +1,4 @@
-"""Thresholds of queues, admission and cold starts."""
+"""Thresholds of admission, queueing and the ramp after a cold start."""
 
 from __future__ import annotations
 
--- a/packages/policy/src/berylstage_policy/threshold_routing.py
+++ b/packages/policy/src/berylstage_policy/threshold_routing.py
@@ -1,4 +1,4 @@
-"""Thresholds of the choice of a target, of retries and of hedges."""
+"""Thresholds of target selection, retries and hedging."""
 
 from __future__ import annotations
 
--- a/packages/policy/src/berylstage_policy/threshold_table.py
+++ b/packages/policy/src/berylstage_policy/threshold_table.py
@@ -1,4 +1,4 @@
-"""The table of all named thresholds."""
+"""All thresholds by name."""
 
 from __future__ import annotations
 
--- a/packages/policy/src/berylstage_policy/thresholds.py
+++ b/packages/policy/src/berylstage_policy/thresholds.py
@@ -1,12 +1,12 @@
-"""The thresholds in force: the table's defaults and the operators' overrides."""
+"""Threshold values in use: the defaults and the operators' overrides."""
 
 from __future__ import annotations
 
 from berylstage_policy.errors import ThresholdError
 from berylstage_policy.threshold_table import TABLE
 
-# Pairs of which the first must stay below the second: a decision that stops beyond
-# where it starts would go on for ever, to be seen as keys that never rest.
+# Pairs whose first value must stay below the second. A process whose stop bound lies
+# beyond its start bound would never end, and keys would move continuously.
 ORDERED = (
     ("balance_settled_high", "balance_high"),
     ("balance_low", "balance_settled_low"),
@@ -17,17 +17,17 @@
 
 
 class Thresholds:
-    """The values in force: the defaults and the operators' overrides.
+    """Threshold values in use: the defaults and the operators' overrides.
 
     Parameters
     ----------
     overrides : dict of str to float, optional
-        Values by name, as they stand in the sheet.
+        Values by name, as given in the sheet.
 
     Raises
     ------
     ExceptionGroup
-        One :class:`ThresholdError` for each override that can't be used.
+        One :class:`ThresholdError` for each invalid override.
     """
 
     __slots__ = ("_values",)
@@ -35,7 +35,7 @@
     def __init__(self, overrides: dict[str, float] | None = None):
         errors = check(overrides or {})
         if errors:
-            raise ExceptionGroup("thresholds can't be used", errors)
+            raise ExceptionGroup("invalid threshold overrides", errors)
         self._values = {row.name: row.default for row in TABLE.values()}
         self._values.update(overrides or {})
 
@@ -43,14 +43,14 @@
         return self._values[name]
 
     def replaced(self, **values: float) -> Thresholds:
-        """Return a copy with other values, unchecked, for experiments and tests."""
+        """Return a copy with other values, without validation, for tests and trials."""
         copy = Thresholds()
         copy._values = {**self._values, **values}
         return copy
 
 
 def check(overrides: dict[str, float]) -> list[ThresholdError]:
-    """Return what is wrong with the operators' overrides.
+    """Return the errors in the operators' overrides.
 
     Parameters
     ----------
@@ -59,7 +59,7 @@
     Returns
     -------
     list of ThresholdError
-        One for each fault; empty when all can be used.
+        One for each error; empty if all overrides are valid.
     """
     errors = []
     for name, value in sorted(overrides.items()):
@@ -67,11 +67,14 @@
         if row is None:
             known = ", ".join(sorted(n for n, r in TABLE.items() if r.overridable))
             errors.append(
-                ThresholdError(f"no threshold is named {name!r}; use one of {known}")
+                ThresholdError(f"unknown threshold {name!r}; use one of {known}")
             )
         elif not row.overridable:
             errors.append(
-                ThresholdError(f"{name} guards an invariant; remove it from the sheet")
+                ThresholdError(
+                    f"{name} protects an invariant and cannot be overridden; "
+                    "remove it from the sheet"
+                )
             )
         elif not row.low <= value <= row.high:
             errors.append(
@@ -84,7 +87,7 @@
 
 
 def _check_order(overrides: dict[str, float]) -> list[ThresholdError]:
-    """Return which pairs of thresholds are the wrong way round."""
+    """Return an error for each pair of thresholds in the wrong order."""
     errors = []
     for lower, upper in ORDERED:
         low = overrides.get(lower, TABLE[lower].default)
--- a/packages/policy/src/berylstage_policy/tickets.py
+++ b/packages/policy/src/berylstage_policy/tickets.py
@@ -1,4 +1,4 @@
-"""What stands in a queue, what is decided about it, and how it ended."""
+"""Requests offered for admission, the decisions about them, and their outcomes."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Ticket:
-    """One request as the decisions see it.
+    """One attempt of a request, as admission and queueing see it.
 
     Parameters
     ----------
@@ -16,12 +16,14 @@
     request_class : str
         ``interactive``, ``standard`` or ``batch``.
     caller : str
-        Who sent it; fairness within tenant and class is between callers.
+        Client that sent the request. Within a tenant and class, callers share slot time
+        fairly.
     service, kind, key : str
     arrived, deadline : float
         Monotonic seconds.
     expected_cost : float or None
-        Seconds that a slot will be busy; None for what the queue has learned.
+        Seconds for which a slot is expected to be busy. None to use the queue's cost
+        model.
     """
 
     __slots__ = (
@@ -63,7 +65,7 @@
 
 
 class Outcome(Enum):
-    """How work that was started ended."""
+    """Outcome of an attempt that was started."""
 
     ANSWERED = "answered"
     FAILED = "failed"
@@ -75,7 +77,7 @@
 
 
 class RefuseReason(Enum):
-    """Why a request is turned away."""
+    """Reason for which a request is refused."""
 
     DEADLINE = "deadline"
     QUEUE_FULL = "queue-full"
@@ -83,7 +85,7 @@
 
 
 class Decision:
-    """What becomes of a ticket that was offered: one of those below."""
+    """Base class of the admission decisions about a request."""
 
     __slots__ = ("ticket_id",)
 
@@ -92,32 +94,32 @@
 
 
 class Start(Decision):
-    """Send it to the target now."""
+    """The request starts: send it to the target now."""
 
     __slots__ = ()
 
 
 class Wait(Decision):
-    """It waits; it comes out of ``finished``, ``expired`` or ``drain``."""
+    """The request is queued until ``finished``, ``expired`` or ``drain`` returns it."""
 
     __slots__ = ()
 
 
 class Decline(Decision):
-    """Try another target, as all slots are busy here; it did not run."""
+    """All slots are busy and the request did not run: try another target."""
 
     __slots__ = ()
 
 
 class Refuse(Decision):
-    """Turn it away now; it did not run.
+    """The request is refused and did not run.
 
     Parameters
     ----------
     ticket_id : str
     reason : RefuseReason
     retry_after : float
-        Seconds after which the caller may come back, different for each caller.
+        Seconds after which the caller may retry; each caller gets a different delay.
     """
 
     __slots__ = ("reason", "retry_after")
--- a/packages/policy/tests/conftest.py
+++ b/packages/policy/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared fixtures: tickets and a target in virtual time behind one queue."""
+"""Shared fixtures: requests, and a simulated target behind one queue."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class QueuePlayer:
-    """Plays arrivals against one queue and a target that keeps to its demands."""
+    """Discrete-event simulation of arrivals at one queue and its target."""
 
     def __init__(self, slots=2, thresholds=DEFAULTS, is_warm=True):
         self.queue = TargetQueue(slots, thresholds, Random(1), 0.0)
--- a/packages/policy/tests/test_backoff.py
+++ b/packages/policy/tests/test_backoff.py
@@ -1,4 +1,4 @@
-"""Tests of when refused callers may come back."""
+"""Tests of the retry delays of refused callers."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 class TestRetryAfter:
     def test_returns_fit_the_capacity(self):
-        # A burst of 500 is turned away within the same moment by a target that serves
-        # 100 a second. If they returned together they would be turned away again.
+        # A target that serves 100 requests per second refuses a burst of 500 at once.
+        # Callers that return together would be refused again.
         spread = RetryAfter(Random(1), DEFAULTS)
         delays = [spread.after(0.0, 0.0, 0.01) for _ in range(500)]
         per_second = [sum(s <= d < s + 1 for d in delays) for s in range(6)]
@@ -25,8 +25,8 @@
         assert spread.after(60.0, 0.0, 0.01) < 1.0
 
     def test_sustained_refusal_never_tells_more_than_the_ceiling(self):
-        # Under hours of overload the calendar fills up. The wish to stay away stays
-        # bounded, and callers still don't return at the same moment.
+        # Hours of overload fill the schedule. The delays must stay bounded, and the
+        # callers must still not return at the same time.
         spread = RetryAfter(Random(1), DEFAULTS)
         delays = [spread.after(i * 0.001, 0.0, 0.01) for i in range(20000)]
         assert max(delays) <= DEFAULTS["retry_after_ceiling"]
--- a/packages/policy/tests/test_choice.py
+++ b/packages/policy/tests/test_choice.py
@@ -1,4 +1,4 @@
-"""Tests of the choice among the targets of a free service."""
+"""Tests of target selection for services without key ownership."""
 
 from __future__ import annotations
 
@@ -38,13 +38,14 @@
 
 class TestStragglers:
     def test_slow_target_gets_nothing_while_others_are_well(self, choice):
-        # One target of ten is ten times slower. A tenth of the callers would meet it.
+        # One target out of ten is ten times slower; a tenth of the requests would hit
+        # it.
         warm_up(choice, slow=NAMES[:1])
         assert NAMES[0] not in draw(choice, 1.2)
 
     def test_stalled_target_is_seen_before_its_first_late_answer(self, choice):
-        # The target stops with our request in work. Its load report and its answer
-        # both come too late to keep the next callers away.
+        # The target stalls while it runs a request of this VM. Its load report and its
+        # answer both arrive too late to protect the next callers.
         warm_up(choice)
         choice.sent(NAMES[0], "stuck", 1.2)
         assert choice.is_straggler(NAMES[0], 1.4)
@@ -56,8 +57,8 @@
         assert draw(choice, later)[NAMES[0]] > 0
 
     def test_when_all_are_slow_all_are_used(self, choice):
-        # The whole service slows down. If the rule set every target aside, nothing
-        # would be sent, or everything to one.
+        # The whole service slows down. If every target were avoided, nothing would be
+        # sent, or all requests would go to one target.
         warm_up(choice)
         for number in range(50):
             for name in NAMES:
@@ -87,8 +88,8 @@
         assert sum(drawn[name] for name in NAMES[:5]) < 2000 * 0.3
 
     def test_report_of_an_idle_target_draws_no_crowd(self, choice):
-        # All VMs hear, late, of the same idle target. If they believed it, it would
-        # get the traffic of all VMs until the next report.
+        # All VMs learn late of the same idle target. If they relied on the report, it
+        # would get the traffic of all VMs until the next one.
         warm_up(choice)
         for _ in range(50):
             for name in NAMES[1:]:
@@ -97,8 +98,8 @@
         assert draw(choice, 1.2)[NAMES[0]] < 2000 * 0.13
 
     def test_worn_target_that_this_vm_leads_is_not_preferred(self, choice):
-        # The balancer gives this VM half of all traffic. The targets that it leads
-        # would get that half while the others idle.
+        # The load balancer sends half of all traffic to this VM. The targets that it
+        # leads would receive that half while the others are idle.
         warm_up(choice)
         for _ in range(50):
             for name in NAMES:
--- a/packages/policy/tests/test_coldstart.py
+++ b/packages/policy/tests/test_coldstart.py
@@ -1,4 +1,4 @@
-"""Tests of the ramp after a start."""
+"""Tests of the concurrency ramp after a start."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
         assert ramp.limit(0.0) == 3
 
     def test_slow_answers_do_not_count_as_warmth(self, ramp):
-        # A cold target answers, three times slower than it will. Were its answers
-        # counted all the same, it would get its second request too early.
+        # A cold target answers three times slower than a warm one. If these answers
+        # counted, it would get a second request too early.
         complete(ramp, 3 * STEP, ratio=3.0)
         assert ramp.limit(0.0) == 1
 
@@ -57,9 +57,9 @@
         assert ramp.limit(1.0) == 2
 
     def test_word_of_an_unknown_target_does_not_shorten_its_ramp(self, ramp):
-        # A VM takes over a target of which it knows nothing, and whose report misleads:
-        # it says that it is warm. Its slow answers look normal to the VM, so their
-        # number alone must not open the slots.
+        # A VM starts to lead a target without learned service times, and the target's
+        # report of being warm is wrong. Slow answers look normal to the VM, so their
+        # number alone must not raise the limit.
         complete(ramp, 3 * STEP, ratio=None)
         assert ramp.limit(0.0) == 1
         complete(ramp, 3 * STEP, ratio=None)
@@ -67,7 +67,8 @@
 
     def test_fast_answers_without_the_targets_word_do_not_shorten_it(self):
         # Some cold targets answer as fast as warm ones until a second request makes
-        # them fall over. The target restarted, and its last word is of the run before.
+        # them crash. This target has restarted, and its last report is from before the
+        # restart.
         ramp = ColdStart(3, DEFAULTS, 0.0)
         ramp.seen(0.0, "a")
         ramp.seen(5.0, "b")
@@ -79,8 +80,9 @@
         assert ramp.limit(6.5) == 2
 
     def test_report_from_before_the_ramp_ended_is_history(self, ramp):
-        # The report lags by seconds: it says cold after the target has shown by its
-        # answers that it is warm. Believed, it would start the ramp over and over.
+        # Reports lag by seconds, so one may say cold after the answers have shown that
+        # the target is warm. If it were believed, the ramp would restart again and
+        # again.
         complete(ramp, 2 * STEP, now=5.0)
         ramp.reported(5.5, True, age=1.0)
         assert ramp.limit(5.5) == 3
@@ -99,15 +101,15 @@
         ids=["incarnation", "report", "refusal"],
     )
     def test_goes_back_to_one(self, warm, sign):
-        # The target restarted without warning under full load. Whatever shows it
-        # first, the next request may only go alone.
+        # The target restarts without notice under full load. Whatever reveals it first,
+        # the next request must be sent alone.
         sign(warm)
         assert warm.limit(0.0) == 1
         assert not warm.warm
 
     def test_lost_answer_holds_until_the_same_run_shows(self, warm):
-        # A connection broke. It may have been a restart, and then two requests are
-        # too many; if it wasn't, a whole ramp would waste the target's slots.
+        # A connection is lost. If the target restarted, two requests are too many; if
+        # it did not, a complete ramp would waste its slots.
         warm.doubted(0.1)
         assert warm.limit(0.1) == 1
         warm.seen(0.2, "a")
@@ -119,8 +121,8 @@
         assert warm.limit(0.2) == 1
 
     def test_silence_sends_one_request_ahead(self, warm):
-        # The target restarted while it was idle, so no request failed. The first one
-        # after a silence goes alone, or a full load would hit a cold target.
+        # The target restarted while it was idle, so no request failed. Unless the first
+        # request after a silence is sent alone, the full load hits a cold target.
         assert warm.limit(0.5) == 3
         assert warm.limit(2.0) == 1
         warm.seen(2.0, "a")
--- a/packages/policy/tests/test_fairness.py
+++ b/packages/policy/tests/test_fairness.py
@@ -1,4 +1,4 @@
-"""Tests of the tree of flows."""
+"""Tests of hierarchical fair queueing."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def serve(queue, count, top=None):
-    """Serve some items, each charged by its cost, and return their names."""
+    """Serve items, charge each by its cost, and return their names."""
     names = []
     for _ in range(count):
         name, leaf, cost = queue.pop(top)
@@ -60,9 +60,9 @@
         assert 7 <= served["people"] / served["batch"] <= 9
 
     def test_caller_that_had_more_is_not_passed_by_newcomers_for_ever(self):
-        # A caller has had a few requests in a busy minute. Each newcomer that is served
-        # once starts level; if time stood still meanwhile, the caller's next request
-        # would wait for as long as newcomers come.
+        # A caller has been served a few times in a busy period. Each new flow starts at
+        # the virtual time; if that did not advance, the caller's next request would
+        # wait for as long as new flows arrive.
         queue = FairQueue(2.5)
         for _ in range(3):
             push(queue, "early", "a")
@@ -77,8 +77,8 @@
             assert waited < 50
 
     def test_debts_end_with_the_busy_period(self):
-        # One caller had the slots for itself, taking nothing from anybody. Held against
-        # it later, that would make its requests late among others'.
+        # One caller used the slots while nobody else needed them. If it had to pay for
+        # that later, its requests would be late among those of others.
         queue = FairQueue(2.5)
         for _ in range(50):
             push(queue, "a", "a")
@@ -98,8 +98,9 @@
         assert len(leaves) <= IDLE_FLOWS
 
     def test_hours_of_one_lane_leave_no_entries_behind(self):
-        # The reconciliation fills the long lane's slots for hours while short work is
-        # served past it. Were every turn's entry kept, the VM would run out of memory.
+        # A reconciliation occupies the long lane's slots for hours while short requests
+        # are served past it. If every heap entry were kept, the VM would run out of
+        # memory.
         queue = FairQueue(2.5)
         push(queue, "long", "finance", lane="long")
         for i in range(5000):
@@ -122,9 +123,9 @@
 class TestWholeness:
     @pytest.mark.parametrize("rounds", range(20, 120))
     def test_lane_that_wakes_up_is_served_whenever_it_does(self, rounds):
-        # Short work was served past the reconciliation for a while, and old entries of
-        # the order are dropped in the moment in which a short request arrives. Dropped
-        # with them, the request waits for ever and the daemon's next turn fails.
+        # Short requests were served past a long one, and stale heap entries are
+        # compacted at the moment at which a short request arrives. If its entry were
+        # dropped too, the request would wait forever and the next pop would fail.
         queue = FairQueue(2.5)
         push(queue, "long", "finance", lane="long")
         for _ in range(rounds):
--- a/packages/policy/tests/test_health.py
+++ b/packages/policy/tests/test_health.py
@@ -1,4 +1,4 @@
-"""Tests of the verdict on a target."""
+"""Tests of the health state of a target."""
 
 from __future__ import annotations
 
@@ -14,16 +14,17 @@
 
 class TestSilence:
     def test_stall_shorter_than_a_move_costs_moves_nothing(self, health):
-        # A neighbour takes the target's processor for most of a second. Moving the
-        # keys would make them unavailable for longer than the stall does.
+        # Another workload takes the target's CPU for most of a second. Moving the keys
+        # would make them unavailable for longer than the stall does.
         for now in (0.3, 0.5, 0.9, 1.2):
             assert health.verdict(now) is Verdict.STALLED
         health.answered(1.24)
         assert health.verdict(1.25) is Verdict.WELL
 
     def test_lost_target_is_down_in_time_for_its_keys(self, health):
-        # The target is gone. Its keys are due back 2 s after, and the move takes some
-        # of that: the verdict has to leave it half a second and a heartbeat.
+        # The target is gone and its keys must be served again after 2 s. Part of that
+        # goes into the move, so the down state must leave half a second and a heartbeat
+        # for it.
         health.answered(5.0)
         assert health.verdict(6.25) is Verdict.DOWN
 
@@ -53,8 +54,8 @@
         assert health.capacity(2) == 2.0
 
     def test_slow_for_long_gets_fewer_keys_and_gets_them_back(self, health):
-        # One target of ten runs at a third of its pace for minutes. Its callers are
-        # late for as long as it keeps its full share of keys.
+        # One target out of ten runs at a third of its speed for minutes. Its callers
+        # get late answers for as long as it keeps its full share of keys.
         for now in range(20):
             health.answered(float(now))
             health.latency(float(now), 4.0)
--- a/packages/policy/tests/test_hotkeys.py
+++ b/packages/policy/tests/test_hotkeys.py
@@ -1,4 +1,4 @@
-"""Tests of finding hot keys with bounded memory."""
+"""Tests of hot key detection in bounded memory."""
 
 from __future__ import annotations
 
@@ -20,12 +20,13 @@
         assert len(sketch) == 64
         top = sketch.heaviest(5, 50.0)
         assert {key for key, _ in top} == {f"hot-{i}" for i in range(5)}
-        # Each has 40 a second.
+        # Each has 40 per second.
         assert all(30 < rate < 45 for _, rate in top)
 
     def test_cold_key_that_takes_over_a_counter_is_not_hot(self):
-        # With a full sketch a newcomer inherits the weight of the counter it takes.
-        # Taken for its own, each rare key would be set apart in turn.
+        # In a full sketch, a new key inherits the weight of the counter that it takes
+        # over. If that counted as its own weight, every rare key would be set apart in
+        # turn.
         sketch = KeySketch(4, 10.0)
         for i in range(400):
             sketch.add(f"k-{i % 4}", 1.0, 0.0)
@@ -38,8 +39,8 @@
         assert sketch.rate("a", 10.0) == pytest.approx(sketch.rate("a", 0.0) / 2)
 
     def test_weeks_of_decay_do_not_overflow(self):
-        # Weights are stored growing by decay; after a few hours they would pass what a
-        # float holds, and every rate would be nan.
+        # Stored weights grow with the decay. After a few hours they would exceed the
+        # range of a float, and every rate would be nan.
         sketch = KeySketch(8, 1.0)
         for now in range(0, 5000, 5):
             sketch.add("a", 1.0, float(now))
@@ -52,7 +53,7 @@
 
 class TestHotKeys:
     def play(self, hot, key, share, start, end, slots=2.0):
-        """Give a key a share of a target's slots, among many light keys."""
+        """Give one key a share of a target's slots, among many light keys."""
         rng = Random(int(start))
         steps = int((end - start) * 20)
         for i in range(steps):
@@ -71,8 +72,8 @@
         assert hot.changes(2.0, 60.0).set_apart == []
 
     def test_key_that_pauses_is_not_given_back_at_once(self):
-        # A booking page is quiet for half a minute. Given back and set apart again,
-        # its key would move twice and be unavailable each time.
+        # A hot key has no requests for half a minute. If it were given back and set
+        # apart again, it would move twice and be unavailable each time.
         hot = HotKeys(DEFAULTS)
         self.play(hot, "a", 0.5, 0.0, 30.0)
         hot.set_apart({"a"})
@@ -89,7 +90,7 @@
         assert given[-1] == ["a"]
 
     def test_hottest_fifty_change_within_minutes(self):
-        # Fifty keys take most of the load, and fifty others two minutes later.
+        # Fifty keys take most of the load, and a different fifty two minutes later.
         hot = HotKeys(DEFAULTS)
         rng = Random(5)
         apart = set()
--- a/packages/policy/tests/test_placement.py
+++ b/packages/policy/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of where shards go."""
+"""Tests of shard placement."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def settle(holdings, places, budget=8, rounds=100):
-    """Plan and apply until nothing moves; return the moves by shard."""
+    """Apply plans until one is empty; return the number of moves of each shard."""
     counts = {}
     for _ in range(rounds):
         moves = plan(holdings, places, budget)
@@ -75,8 +75,8 @@
         assert moves[0].destination == "field-log-03"
 
     def test_pin_to_closed_place_is_served_elsewhere(self):
-        # Operators pinned a key to a target whose data centre they then closed. If the
-        # pin went first, the key's callers would get no answer until it reopens.
+        # Operators pin a key to a target and then close its data centre. If the pin
+        # took precedence, the key's callers would get no answer until it reopens.
         holdings, places = make_holdings(), make_places(closed=("shymkent-a",))
         holdings[0].pinned = "field-log-02"
         apply(plan(holdings, places, 0), holdings)
@@ -84,7 +84,7 @@
         assert holdings[0].owner in eligible
 
     def test_no_eligible_place_moves_nothing(self):
-        # All data centres are closed at once. A plan that raised here would stop the
+        # All data centres are closed at once. An exception here would stop the
         # proposer, and with it the reopening.
         assert plan(make_holdings(), make_places(closed=CENTRES), 8) == []
 
@@ -104,8 +104,8 @@
         assert len(plan(holdings, places, 5)) == 5
 
     def test_shard_that_went_away_and_back_stays(self):
-        # A key has moved twice within minutes. Its callers have waited twice already,
-        # and others can make room instead.
+        # A key has moved twice within minutes. Its callers have already waited twice,
+        # so other keys have to move instead.
         holdings = make_holdings()
         apply(plan(holdings, make_places(closed=("shymkent-a",)), 0), holdings)
         tired = {holding.shard for holding in holdings[::2]}
@@ -117,7 +117,8 @@
 
     def test_one_new_target_among_many_is_filled(self):
         # A target joins eleven others. None of them is far above the mean, so a rule
-        # that looks at the most loaded only would leave the newcomer idle for good.
+        # that considers only the most loaded targets would leave the new one idle
+        # forever.
         holdings, places = make_holdings(), make_places()
         places[7].eligible = False
         apply(plan(holdings, places, 0), holdings)
@@ -126,8 +127,8 @@
         assert imbalance(holdings, places) < 1.15
 
     def test_key_heavier_than_a_target_does_not_move_to_and_fro(self):
-        # One key takes more than a target's mean. Moving it can't help, and each move
-        # makes its callers wait; its neighbours have to give way instead.
+        # One key has more load than a target's mean. Moving it cannot help, and each
+        # move makes its callers wait, so the other keys on its target have to move.
         holdings, places = make_holdings(), make_places()
         settle(holdings, places)
         holdings[9].load = 40.0
@@ -139,7 +140,8 @@
 
     def test_two_hot_keys_on_one_target_are_parted(self):
         # Two keys that became hot share a target. Each is too heavy for any other
-        # target as it is, so no single move helps, and their callers stay slow.
+        # target as it stands, so no single move helps and their callers get slow
+        # answers.
         places = [Place(f"field-log-{i:02}", CENTRES[i % 4], 2.0) for i in range(4)]
         holdings = [
             Holding(f"light/{i}", f"field-log-{1 + i % 3:02}", 0.2) for i in range(12)
@@ -157,7 +159,7 @@
 class TestDataCentreClosesAndReopens:
     def test_each_key_moves_at_most_twice(self):
         # Operators close shymkent-a for an hour and reopen it. Every move makes a key
-        # unavailable for a moment, so the return may not shuffle the others.
+        # unavailable for a moment, so the return must not move unrelated keys.
         holdings, places = make_holdings(), make_places()
         settle(holdings, places)
         in_closed = {p.name for p in places if p.data_centre == "shymkent-a"}
--- a/packages/policy/tests/test_queue.py
+++ b/packages/policy/tests/test_queue.py
@@ -1,4 +1,4 @@
-"""Tests of admission, queueing and slots, by what callers get."""
+"""Tests of admission, queueing and slots, measured by what callers get."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 
 class TestBurst:
     def test_burst_that_fits_the_deadlines_is_all_answered(self, make_player):
-        # Forty technicians open a history within the same moment. The target could
-        # serve them all in time, so turning any of them away would be our fault.
+        # Forty callers arrive within the same moment, and the target can serve all of
+        # them in time. No request may be refused.
         player = make_player()
         names = [player.arrive(0.001 * i, 0.02, caller=f"c{i}") for i in range(40)]
         player.run()
@@ -28,8 +28,8 @@
         assert player.most_running == 2
 
     def test_burst_beyond_the_deadlines_is_turned_away_at_once(self, make_player):
-        # A thousand requests arrive within a tenth of a second, ten times what can be
-        # answered in time. Callers that can't be served have to learn it at once.
+        # A thousand requests arrive within 0.1 s, ten times what can be answered in
+        # time. Callers that cannot be served must be refused immediately.
         player = make_player()
         names = [player.arrive(0.0001 * i, 0.02, caller=f"c{i}") for i in range(1000)]
         player.run()
@@ -42,22 +42,23 @@
         assert player.in_time(names) > 0.05
 
     def test_refused_callers_do_not_return_together(self, make_player):
-        # Callers obey the time to come back. If all were told the same, the burst
-        # would return whole, and be turned away again.
+        # Callers obey the retry delay. If all got the same one, the whole burst would
+        # return at once and be refused again.
         player = make_player()
         for i in range(1000):
             player.arrive(0.0001 * i, 0.02, caller=f"c{i}")
         player.run()
         returns = sorted(at + r.retry_after for at, r in player.refusals.values())
         per_second = [sum(int(t) == s for t in returns) for s in range(30)]
-        # The target serves 100 a second.
+        # The target serves 100 requests per second.
         assert max(per_second) <= 200
 
 
 class TestSaturation:
     def test_goodput_stays_at_capacity(self, make_player):
-        # Twice as much arrives as the target can do, for twenty seconds. Without
-        # deadlines in the queue it works on requests whose callers have gone.
+        # Requests arrive at twice the target's capacity for twenty seconds. If the
+        # queue ignored deadlines, the target would work on requests whose callers have
+        # gone.
         player = make_player()
         names = player.stream(0, 20, 200, 0.02)
         player.run()
@@ -67,8 +68,8 @@
         assert work / (2 * 20) > 0.95
 
     def test_no_class_is_starved(self, make_player):
-        # People, standard work and batch polls each bring as much as the target can
-        # bear. Batch waits, but a class that got nothing would never be done.
+        # Interactive, standard and batch requests each arrive at the target's capacity.
+        # Batch requests wait, but no class may be starved.
         player = make_player()
         names = {
             name: player.stream(
@@ -92,8 +93,8 @@
         assert decision.reason is RefuseReason.QUEUE_FULL
 
     def test_full_queue_makes_room_for_a_light_caller(self, make_ticket):
-        # One caller has filled the queue. If the next caller were refused for it, one
-        # flooding script would lock everybody else out.
+        # One caller has filled the queue. If the next caller were refused for that, a
+        # single flooding client would lock out everybody else.
         thresholds = DEFAULTS.replaced(queue_limit=10)
         queue = TargetQueue(1, thresholds, Random(1), 0.0)
         for i in range(11):
@@ -109,8 +110,8 @@
 
 class TestFairness:
     def test_flooding_caller_does_not_delay_the_others(self, make_player):
-        # A script sends three times what the target bears, ten others send a little.
-        # In a first-in-first-out queue the others would wait behind the script.
+        # One client sends three times the target's capacity and ten others send little.
+        # In a FIFO queue the others would wait behind it.
         player = make_player()
         player.stream(0, 10, 300, 0.02, caller="script")
         others = []
@@ -151,23 +152,24 @@
         return player, short, long
 
     def test_short_work_keeps_its_wait(self, make_player):
-        # The contract reconciliation runs for seconds a piece behind the morning's
-        # lookups. Once it holds all slots, technicians wait for seconds.
+        # Batch requests of several seconds run behind interactive lookups. If they
+        # occupied all slots, lookups would wait for seconds.
         player, short, long = self.play(make_player, 3, has_long=True)
         alone, names, _ = self.play(make_player, 3, has_long=False)
         assert player.p99(short) <= 2 * alone.p99(names)
         assert player.in_time(long) == 1.0
 
     def test_with_two_slots_short_work_waits_as_with_one(self, make_player):
-        # Of two slots one is left while the reconciliation runs. Nothing short of
-        # stopping it can give short work more, so that is the bound.
+        # One of two slots is left while long requests run. Short requests cannot get
+        # more without preemption, so a target with one slot is the bound.
         player, short, long = self.play(make_player, 2, has_long=True)
         bound, names, _ = self.play(make_player, 1, has_long=False)
         assert player.p99(short) <= 1.05 * bound.p99(names)
         assert player.in_time(long) == 1.0
 
     def test_without_the_reserve_short_work_waits_for_seconds(self, make_player):
-        # What goes wrong without the rule: this keeps the tests above honest.
+        # Control: without the reserve the failure occurs, so the tests above are able
+        # to detect it.
         player, short, _ = self.play(make_player, 2, True, short_presence=0.0)
         assert player.in_time(short) < 0.9
 
@@ -181,7 +183,7 @@
         assert player.most_running == 2
 
     def test_unlabelled_long_kind_is_learned(self, make_player):
-        # Operators forgot to call an export batch work. It shows by its time.
+        # An export is not labelled as batch and is recognized by its service time.
         player = make_player()
         player.stream(0, 60, 30, 0.015)
         for i in range(20):
@@ -194,8 +196,8 @@
 
 class TestSlowTarget:
     def test_waiting_requests_are_refused_when_it_becomes_certain(self, make_player):
-        # The target stalls with a full queue. What waits is refused as soon as it
-        # can't be answered in time, and before its deadline.
+        # The target stalls with a full queue. Waiting requests are refused as soon as
+        # they cannot be answered in time, before their deadlines.
         player = make_player()
         player.stream(0, 2, 80, 0.02)
         stuck = [player.arrive(2.0 + 0.001 * i, 10.0, caller="s") for i in range(2)]
@@ -209,8 +211,8 @@
         assert all(name in player.started for name in stuck)
 
     def test_recovered_target_is_used_again(self, make_player):
-        # Every answer was slower than the deadlines for a while. If the learned cost
-        # alone turned everything away, nobody would see that it has recovered.
+        # Every answer exceeded the deadlines for a while. If the learned cost alone
+        # refused everything, the recovery would never be detected.
         player = make_player()
         player.stream(0, 2, 80, 0.02)
         player.run(until=2.0)
@@ -231,8 +233,8 @@
         assert player.most_running == 1
 
     def test_answers_of_a_cold_target_are_not_taken_for_its_pace(self, make_player):
-        # A new lead finds the target cold, three times slower. Learned as its pace,
-        # that would make every cold answer look warm.
+        # A new leader finds the target cold and three times slower. If that were
+        # learned as its warm service time, every cold answer would look warm.
         player = make_player(is_warm=False)
         player.slowdown = 3.0
         player.stream(0, 3, 15, 0.02)
@@ -244,8 +246,9 @@
         assert player.queue.costs.mean("lookup") == 0.02
 
     def test_cold_again_with_a_full_queue_turns_away_at_once(self, make_player):
-        # The target restarts without warning while fifty wait. At one slot most of
-        # them can't be answered, and they hear of it now rather than at the deadline.
+        # The target restarts without notice while fifty requests wait. With one slot
+        # most of them cannot be answered, and they are refused now rather than at the
+        # deadline.
         player = make_player(slots=4)
         player.queue.costs.observe("lookup", 0.04, True)
         for i in range(80):
@@ -269,8 +272,8 @@
         assert queue.next_expiry() is None
 
     def test_cancelled_in_a_slot_keeps_the_slot(self, make_ticket):
-        # The caller has gone but the target still works. Giving the slot away before
-        # the target has confirmed would put one too many on it.
+        # The caller has gone but the target still works on the request. Freeing the
+        # slot before the target confirms would exceed its concurrency limit.
         queue = TargetQueue(1, DEFAULTS, Random(1), 0.0)
         queue.offer(make_ticket("a"), 0.0)
         assert queue.cancelled("a", 0.0)
@@ -313,7 +316,7 @@
 class TestPause:
     def test_paused_queue_keeps_its_tickets(self, make_ticket):
         # The target's process is gone and connections are refused. Sending on would
-        # burn the whole queue in the moment before the keys move.
+        # lose the whole queue in the moment before the keys move.
         queue = TargetQueue(1, DEFAULTS, Random(1), 0.0)
         queue.pause(0.4)
         assert isinstance(queue.offer(make_ticket("a"), 0.0), Wait)
@@ -322,16 +325,15 @@
 
 
 def values(thing):
-    """Return what a decision keeps in its slots, as text."""
+    """Return the slot values of an object as text."""
     names = getattr(type(thing), "__slots__", None) or vars(thing)
     return {name: str(getattr(thing, name)) for name in names}
 
 
 class TestThresholds:
     def test_of_a_later_sheet_hold_for_what_comes(self):
-        # Operators raise the share of batch work in the sheet of the afternoon. The
-        # sheet is in force on every VM, but a queue that has been there since the
-        # morning would go on by the old share until its target changes hands.
+        # Operators change the thresholds in the sheet. If a queue kept the old ones,
+        # VMs would use different values until the target's leader changes.
         changed = DEFAULTS.replaced(
             queue_limit=1.0,
             wait_share=0.5,
@@ -357,7 +359,7 @@
         assert old._fair._returning == new._fair._returning
 
     def test_weight_of_a_flow_that_waits_changes(self):
-        # The same, for a class whose work waits already.
+        # The new weight also applies to a flow that already has waiting requests.
         queue = TargetQueue(1, DEFAULTS, Random(1), 0.0)
         leaf = queue._fair.leaf((("short", 1.0), ("batch", 1.0)))
         assert queue._fair.leaf((("short", 1.0), ("batch", 7.0))) is leaf
--- a/packages/policy/tests/test_queue_machine.py
+++ b/packages/policy/tests/test_queue_machine.py
@@ -1,4 +1,4 @@
-"""A state machine over one queue: whatever happens, in whatever order."""
+"""State machine test of one queue under any order of events."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class QueueMachine(RuleBasedStateMachine):
-    """Offers, ends and faults in any order; each ticket has exactly one fate."""
+    """Offers, completions and faults in any order; each request ends exactly once."""
 
     def __init__(self):
         super().__init__()
@@ -28,7 +28,7 @@
         self.incarnation = 1
 
     def start(self, tickets):
-        """Take what the queue starts: never more than its limit at this instant."""
+        """Record what the queue starts, which must respect the current limit."""
         for ticket in tickets:
             assert ticket.id in self.waiting
             del self.waiting[ticket.id]
@@ -37,7 +37,7 @@
             assert len(self.running) <= self.queue.ramp.limit(self.now)
 
     def settle(self):
-        """Collect refusals as long as the queue says that there are some."""
+        """Collect the refusals that `next_expiry` announces."""
         due = self.queue.next_expiry()
         if due is None or due > self.now:
             return
@@ -145,8 +145,8 @@
 
     @invariant()
     def slots_are_not_left_idle(self):
-        # A ticket that waits before an idle target would wait for ever: only an ending
-        # starts it.
+        # Only the end of a request starts a waiting one, so a request that waits at an
+        # idle target would wait forever.
         assert not self.waiting or self.running
 
 
--- a/packages/policy/tests/test_retries.py
+++ b/packages/policy/tests/test_retries.py
@@ -33,7 +33,7 @@
     def test_what_may_have_run_is_repeated_only_if_it_may_be(
         self, policy, is_repeatable, outcome, verdict
     ):
-        # A parts order got no answer. Sent again, a second motor would be shipped.
+        # An order got no answer. If it were sent again, it could be executed twice.
         found = policy.decide(is_repeatable, outcome, 1.0, 1, 0.02)
         assert found.verdict is verdict
 
@@ -46,8 +46,8 @@
         assert found.verdict is RetryVerdict.ATTEMPTS
 
     def test_failing_service_gets_a_bounded_load_of_retries(self, policy):
-        # Everything fails for a while. Two retries of each request would triple the
-        # load of a service that is failing under it.
+        # All requests fail for a while. Two retries of each would triple the load of a
+        # service that fails under load.
         for _ in range(1000):
             policy.succeeded()
         verdicts = [
@@ -77,7 +77,7 @@
         return policy
 
     def test_delay_follows_the_quantile(self):
-        # The 95th percentile of these answers is 60 ms.
+        # The 95th percentile of these answer times is 60 ms.
         assert 0.045 < self.make().delay(True, 12) < 0.08
 
     def test_only_repeatable_work_with_another_target(self):
@@ -87,7 +87,7 @@
         assert HedgePolicy(DEFAULTS).delay(True, 12) is None
 
     def test_budget_bounds_the_extra_load(self):
-        # All targets slow down at once. Every request is late then, and hedging them
-        # all would double the load that slows the targets.
+        # All targets slow down at once, so every request is late. Hedging all of them
+        # would double the load that causes the slowdown.
         policy = self.make()
         assert sum(policy.may_hedge() for _ in range(1000)) <= DEFAULTS["hedge_reserve"]
--- a/packages/policy/tests/test_shares.py
+++ b/packages/policy/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Tests of the turns among the parts of a split."""
+"""Tests of weighted round robin over a traffic split."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
             assert abs(count - 1000 * weight / sum(weights)) <= 1
 
     def test_vms_with_few_requests_each_keep_the_weights_together(self):
-        # Each of many VMs sees three requests of a split of 90 to 10. If all began with
-        # the same part, the smaller one would get nothing.
+        # Each of many VMs gets three requests of a 90 to 10 split. If all began with
+        # the same service, the smaller one would get nothing.
         rng = Random(1)
         small = 0
         for _ in range(400):
--- a/packages/policy/tests/test_thresholds.py
+++ b/packages/policy/tests/test_thresholds.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' overrides."""
+"""Tests of the operators' threshold overrides."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
         assert thresholds["balance_high"] == TABLE["balance_high"].default
 
     def test_all_faults_are_told_at_once_with_remedies(self):
-        # A planner mistyped one name, gave one value out of range, and overrode one
-        # that guards an invariant. Told one by one, that costs three exports.
+        # One name is misspelt, one value is out of range, and one threshold is not
+        # overridable. Reporting them one by one would cost three exports of the sheet.
         with pytest.raises(ExceptionGroup) as caught:
             Thresholds({"queue_limt": 1.0, "balance_high": 99.0, "down_after": 9.0})
         messages = [str(exc) for exc in caught.value.exceptions]
@@ -37,6 +37,7 @@
         assert len(check({"queue_limit": float("nan")})) == 1
 
     def test_settled_bound_beyond_its_trigger_is_refused(self):
-        # With the stop above the start, balancing would begin and never end.
+        # If the stop bound lies beyond the start bound, balancing begins and never
+        # ends.
         errors = check({"balance_settled_high": 1.5})
         assert "balance_high" in str(errors[0])
