--- a/packages/policy/src/berylstage_policy/backoff.py
+++ b/packages/policy/src/berylstage_policy/backoff.py
@@ -18,12 +18,12 @@
 class RetryAfter:
     """Schedules the retries of refused callers within the available capacity."""
 
-    __slots__ = ("_rng", "_floor", "_ceiling", "_next")
+    __slots__ = ("_rng", "_floor_seconds", "_ceiling_seconds", "_next_free")
 
     def __init__(self, rng: Random, thresholds: Thresholds):
         self._rng = rng
         # Earliest time that has not been given to a caller yet.
-        self._next = 0.0
+        self._next_free = 0.0
         self.set_thresholds(thresholds)
 
     def set_thresholds(self, thresholds: Thresholds) -> None:
@@ -33,10 +33,12 @@
         ----------
         thresholds : Thresholds
         """
-        self._floor = thresholds["retry_after_floor"]
-        self._ceiling = thresholds["retry_after_ceiling"]
+        self._floor_seconds = thresholds["retry_after_floor"]
+        self._ceiling_seconds = thresholds["retry_after_ceiling"]
 
-    def after(self, now: float, excess: float, seconds_each: float) -> float:
+    def next_delay(
+        self, now: float, excess: float, seconds_per_request: float
+    ) -> float:
         """Return the seconds after which a refused caller may retry.
 
         Parameters
@@ -52,12 +54,14 @@
         float
         """
         jitter = self._rng.uniform(0.5, 1.5)
-        earliest = now + (self._floor + max(0.0, excess)) * jitter
-        self._next = max(self._next, now + self._floor) + seconds_each
-        moment = max(earliest, self._next)
-        if moment > now + self._ceiling:
+        earliest = now + (self._floor_seconds + max(0.0, excess)) * jitter
+        self._next_free = (
+            max(self._next_free, now + self._floor_seconds) + seconds_per_request
+        )
+        return_at = max(earliest, self._next_free)
+        if return_at > now + self._ceiling_seconds:
             # The schedule is full. The load will have changed by then, so the remaining
             # callers are only spread to keep them from returning together.
-            self._next = min(self._next, now + self._ceiling)
-            return self._ceiling * self._rng.uniform(0.5, 1.0)
-        return moment - now
+            self._next_free = min(self._next_free, now + self._ceiling_seconds)
+            return self._ceiling_seconds * self._rng.uniform(0.5, 1.0)
+        return return_at - now
--- a/packages/policy/src/berylstage_policy/choice.py
+++ b/packages/policy/src/berylstage_policy/choice.py
@@ -29,8 +29,8 @@
         "name",
         "slots",
         "outstanding",
-        "ratio",
-        "observed",
+        "latency_ratio",
+        "observed_at",
         "avoid_until",
         "penalty",
         "occupancy",
@@ -42,8 +42,8 @@
         # Requests in flight as (sent, overdue from, kind), oldest first.
         self.outstanding: dict[str, tuple[float, float, str]] = {}
         # Smoothed answer time relative to the typical one for the kind.
-        self.ratio = 1.0
-        self.observed = float("-inf")
+        self.latency_ratio = 1.0
+        self.observed_at = float("-inf")
         self.avoid_until = float("-inf")
         # Seconds for which a slow target is avoided; 0 while it is not slow.
         self.penalty = 0.0
@@ -70,13 +70,13 @@
         "_rng",
         "_views",
         "_typical",
-        "_occupancy",
-        "_preferred",
-        "_candidates",
+        "_total_occupancy",
+        "_preferred_occupancy",
+        "_sample_size",
         "_gain",
-        "_memory",
-        "_straggler",
-        "_longest_penalty",
+        "_memory_seconds",
+        "_straggler_ratio",
+        "_max_penalty_seconds",
     )
 
     def __init__(self, thresholds: Thresholds, rng: Random):
@@ -84,13 +84,13 @@
         self._views: dict[str, TargetView] = {}
         # Answer time by kind over all targets, the baseline for detecting stragglers.
         self._typical: dict[str, float] = {}
-        self._occupancy = 0.0
-        self._preferred = thresholds["choice_preferred"]
-        self._candidates = int(thresholds["choice_candidates"])
+        self._total_occupancy = 0.0
+        self._preferred_occupancy = thresholds["choice_preferred"]
+        self._sample_size = int(thresholds["choice_candidates"])
         self._gain = thresholds["choice_gain"]
-        self._memory = thresholds["choice_memory"]
-        self._straggler = thresholds["straggler_ratio"]
-        self._longest_penalty = thresholds["straggler_avoided"]
+        self._memory_seconds = thresholds["choice_memory"]
+        self._straggler_ratio = thresholds["straggler_ratio"]
+        self._max_penalty_seconds = thresholds["straggler_avoided"]
 
     def set_target(self, name: str, slots: int) -> None:
         """Add a target or change its number of slots."""
@@ -104,43 +104,47 @@
         """Remove a target and its statistics."""
         view = self._views.pop(name, None)
         if view is not None:
-            self._occupancy -= view.occupancy
+            self._total_occupancy -= view.occupancy
 
     def sent(self, target: str, request_id: str, now: float, kind: str = "") -> None:
         """Record that a request was sent to a target."""
         view = self._views[target]
         typical = self._typical.get(kind)
-        overdue = now + self._straggler * typical if typical else float("inf")
+        overdue = now + self._straggler_ratio * typical if typical else float("inf")
         view.outstanding[request_id] = (now, overdue, kind)
 
     def ended(self, target: str, request_id: str, now: float, is_answer: bool) -> None:
         """Record that a request ended, with or without an answer."""
         view = self._views.get(target)
-        found = view.outstanding.pop(request_id, None) if view is not None else None
-        if view is None or found is None:
+        sent_request = (
+            view.outstanding.pop(request_id, None) if view is not None else None
+        )
+        if view is None or sent_request is None:
             return
         if not is_answer:
             self._avoid(view, now)
             return
-        sent, _, kind = found
-        ratio = self._learn(kind, now - sent)
+        sent, _, kind = sent_request
+        latency_ratio = self._update_typical(kind, now - sent)
         # After a pause the smoothed ratio is outdated; the first answer replaces it.
-        is_fresh = now - view.observed > self._memory
-        view.ratio += (1.0 if is_fresh else self._gain) * (ratio - view.ratio)
-        view.observed = now
-        if view.ratio > self._straggler:
+        is_outdated = now - view.observed_at > self._memory_seconds
+        view.latency_ratio += (1.0 if is_outdated else self._gain) * (
+            latency_ratio - view.latency_ratio
+        )
+        view.observed_at = now
+        if view.latency_ratio > self._straggler_ratio:
             self._avoid(view, now)
-        elif ratio <= self._straggler and now >= view.avoid_until:
+        elif latency_ratio <= self._straggler_ratio and now >= view.avoid_until:
             view.penalty = 0.0
 
-    def _learn(self, kind: str, seconds: float) -> float:
+    def _update_typical(self, kind: str, seconds: float) -> float:
         """Add an answer time to the typical time and return its ratio to that."""
         typical = self._typical.get(kind)
         if not typical:
             self._typical[kind] = seconds
             return 1.0
         gain = self._gain / len(self._views)
-        capped = min(seconds, self._straggler * typical)
+        capped = min(seconds, self._straggler_ratio * typical)
         self._typical[kind] = typical + gain * (capped - typical)
         return seconds / typical
 
@@ -148,7 +152,9 @@
         """Avoid a target for a while, twice as long each time it is found slow."""
         if now < view.avoid_until:
             return
-        view.penalty = min(2 * view.penalty or self._memory, self._longest_penalty)
+        view.penalty = min(
+            2 * view.penalty or self._memory_seconds, self._max_penalty_seconds
+        )
         view.avoid_until = now + view.penalty
 
     def withdrawn(self, target: str, request_id: str) -> None:
@@ -174,11 +180,11 @@
         if view is not None:
             change = OCCUPANCY_GAIN * (queue / view.slots - view.occupancy)
             view.occupancy += change
-            self._occupancy += change
+            self._total_occupancy += change
 
     def choose(
         self,
-        willing: Sequence[str],
+        available: Sequence[str],
         now: float,
         idle: Sequence[str] = (),
     ) -> str:
@@ -200,16 +206,18 @@
         for name in idle:
             if self._may_prefer(name, now):
                 return name
-        count = min(self._candidates, len(willing))
-        drawn = self._rng.sample(willing, count)
-        best = min(drawn, key=lambda name: self._score(self._views[name], now))
+        count = min(self._sample_size, len(available))
+        sampled = self._rng.sample(available, count)
+        best = min(sampled, key=lambda name: self._score(self._views[name], now))
         if not self.is_straggler(best, now):
             return best
         # All sampled targets are stragglers. With one target in ten slowed, that is one
         # sample in a hundred, which is enough to raise the 99th percentile of the
         # answer times.
-        rest = [name for name in willing if not self.is_straggler(name, now)]
-        return self._rng.choice(rest) if rest else best
+        non_stragglers = [
+            name for name in available if not self.is_straggler(name, now)
+        ]
+        return self._rng.choice(non_stragglers) if non_stragglers else best
 
     def _may_prefer(self, name: str, now: float) -> bool:
         """Return whether an idle target that this VM leads may be preferred.
@@ -217,9 +225,9 @@
         If the load balancer sends half of the traffic to one VM, the targets that the
         VM leads would otherwise be overloaded while others are idle.
         """
-        mean = self._occupancy / len(self._views)
-        is_worn = self._views[name].occupancy > self._preferred * mean
-        return not is_worn and not self.is_straggler(name, now)
+        mean = self._total_occupancy / len(self._views)
+        is_overused = self._views[name].occupancy > self._preferred_occupancy * mean
+        return not is_overused and not self.is_straggler(name, now)
 
     def is_straggler(self, target: str, now: float) -> bool:
         """Return whether a target is currently much slower than the others."""
@@ -235,10 +243,10 @@
 
     def _score(self, view: TargetView, now: float) -> float:
         """Return the expected time to an answer, as a multiple of the typical time."""
-        queued = len(view.outstanding)
-        is_recent = now - view.observed <= self._memory
-        ratio = view.ratio if is_recent else 1.0
+        in_flight = len(view.outstanding)
+        is_recent = now - view.observed_at <= self._memory_seconds
+        latency_ratio = view.latency_ratio if is_recent else 1.0
         if self.is_straggler(view.name, now):
             # If all targets are slow, only their load distinguishes them.
-            ratio = self._straggler
-        return ratio * (1.0 + queued / view.slots)
+            latency_ratio = self._straggler_ratio
+        return latency_ratio * (1.0 + in_flight / view.slots)
--- a/packages/policy/src/berylstage_policy/coldstart.py
+++ b/packages/policy/src/berylstage_policy/coldstart.py
@@ -33,19 +33,19 @@
         "_slots",
         "_limit",
         "_incarnation",
-        "_told_cold",
-        "_told_warm",
-        "_started",
-        "_suspect",
-        "_confirmed",
-        "_raised",
-        "_count",
-        "_ratios",
+        "_reported_cold",
+        "_reported_warm",
+        "_started_at",
+        "_restart_suspected",
+        "_confirmed_at",
+        "_raised_at",
+        "_completions",
+        "_ratio_sum",
         "_windows",
-        "_step",
-        "_slow",
-        "_patience",
-        "_silence",
+        "_completions_per_level",
+        "_slow_ratio",
+        "_max_windows",
+        "_max_silence_seconds",
     )
 
     def __init__(self, slots: int, thresholds: Thresholds, now: float):
@@ -53,14 +53,14 @@
         self._limit = 1
         self._incarnation = ""
         # Latest report from this incarnation of the target.
-        self._told_cold = False
-        self._told_warm = False
-        self._started = now
-        self._suspect = False
-        self._confirmed = now
-        self._raised = float("-inf")
-        self._count = 0
-        self._ratios = 0.0
+        self._reported_cold = False
+        self._reported_warm = False
+        self._started_at = now
+        self._restart_suspected = False
+        self._confirmed_at = now
+        self._raised_at = float("-inf")
+        self._completions = 0
+        self._ratio_sum = 0.0
         self._windows = 0
         self.set_thresholds(thresholds)
 
@@ -71,10 +71,10 @@
         ----------
         thresholds : Thresholds
         """
-        self._step = int(thresholds["ramp_completions"])
-        self._slow = thresholds["ramp_slow_ratio"]
-        self._patience = int(thresholds["ramp_patience"])
-        self._silence = thresholds["confirm_silence"]
+        self._completions_per_level = int(thresholds["ramp_completions"])
+        self._slow_ratio = thresholds["ramp_slow_ratio"]
+        self._max_windows = int(thresholds["ramp_patience"])
+        self._max_silence_seconds = thresholds["confirm_silence"]
 
     @property
     def level(self) -> int:
@@ -91,7 +91,10 @@
         # A target that restarts while idle fails no request. The restart would be
         # noticed only by the requests lost when the full load arrives, so the first
         # request after a silence is sent alone.
-        if self._suspect or now - self._confirmed > self._silence:
+        if (
+            self._restart_suspected
+            or now - self._confirmed_at > self._max_silence_seconds
+        ):
             return 1
         return self._limit
 
@@ -100,22 +103,22 @@
         self._slots = slots
         self._limit = min(self._limit, slots)
 
-    def new_start(self, now: float) -> None:
+    def reset(self, now: float) -> None:
         """Reset the limit to one after a restart or a report of a cold start."""
         self._limit = 1
-        self._suspect = False
-        self._started = now
-        self._told_cold = False
-        self._told_warm = False
-        self._begin_level()
+        self._restart_suspected = False
+        self._started_at = now
+        self._reported_cold = False
+        self._reported_warm = False
+        self._reset_level()
 
     def seen(self, now: float, incarnation: str) -> None:
         """Record a reply that names the target's incarnation."""
         if incarnation and self._incarnation and incarnation != self._incarnation:
-            self.new_start(now)
+            self.reset(now)
         self._incarnation = incarnation or self._incarnation
-        self._confirmed = now
-        self._suspect = False
+        self._confirmed_at = now
+        self._restart_suspected = False
 
     def reported(self, now: float, cold: bool, age: float = 0.0) -> None:
         """Record the target's own report of whether it is in cold start.
@@ -133,15 +136,15 @@
         age : float
             Seconds since the report was made.
         """
-        made = now - age
-        if cold and made > self._raised:
-            self.new_start(now)
-            self._told_cold = True
-        elif not cold and made >= self._started and not self._told_warm:
-            self._told_cold = False
-            self._told_warm = True
-            self._count = 0
-            self._ratios = 0.0
+        reported_at = now - age
+        if cold and reported_at > self._raised_at:
+            self.reset(now)
+            self._reported_cold = True
+        elif not cold and reported_at >= self._started_at and not self._reported_warm:
+            self._reported_cold = False
+            self._reported_warm = True
+            self._completions = 0
+            self._ratio_sum = 0.0
 
     def doubted(self, now: float) -> None:
         """Limit the target to one request until its incarnation is confirmed.
@@ -150,7 +153,7 @@
         each lost connection would cost too much, so the limit is restored once a reply
         names the same incarnation.
         """
-        self._suspect = True
+        self._restart_suspected = True
 
     def completed(self, now: float, ratio: float | None) -> None:
         """Count an answer towards the next level.
@@ -162,31 +165,31 @@
             Service time relative to that of the same kind on the warm target; None if
             unknown.
         """
-        self._confirmed = now
-        if self.warm or self._told_cold:
+        self._confirmed_at = now
+        if self.warm or self._reported_cold:
             return
-        self._count += 1
+        self._completions += 1
         # Without a warm service time to compare with, slow answers look normal, and
         # without the target's report, a fragile target looks warm. The ramp then
         # proceeds as for a slow target, which takes several times as many answers.
-        is_known = ratio is not None and self._told_warm
-        self._ratios += ratio if is_known and ratio is not None else UNKNOWN_RATIO
-        if self._count < self._step:
+        is_known = ratio is not None and self._reported_warm
+        self._ratio_sum += ratio if is_known and ratio is not None else UNKNOWN_RATIO
+        if self._completions < self._completions_per_level:
             return
         self._windows += 1
         # A target that is still slow is still cold, whatever the count. A target that
         # is permanently slow must not stay at one request forever.
-        is_fast = self._ratios <= self._slow * self._count
-        if is_fast or self._windows >= self._patience:
+        is_fast = self._ratio_sum <= self._slow_ratio * self._completions
+        if is_fast or self._windows >= self._max_windows:
             self._limit += 1
-            self._raised = now
-            self._begin_level()
+            self._raised_at = now
+            self._reset_level()
         else:
-            self._count = 0
-            self._ratios = 0.0
+            self._completions = 0
+            self._ratio_sum = 0.0
 
-    def _begin_level(self) -> None:
+    def _reset_level(self) -> None:
         """Reset the counters of the level."""
-        self._count = 0
-        self._ratios = 0.0
+        self._completions = 0
+        self._ratio_sum = 0.0
         self._windows = 0
--- a/packages/policy/src/berylstage_policy/costs.py
+++ b/packages/policy/src/berylstage_policy/costs.py
@@ -11,18 +11,18 @@
 
 # Limit on the kinds that are tracked; a sheet defines tens. The least recently observed
 # one is evicted first.
-KINDS = 256
+MAX_KINDS = 256
 
 
 class KindCost:
     """Service time of one kind: smoothed mean and deviation, in seconds."""
 
-    __slots__ = ("mean", "deviation", "long", "is_warm")
+    __slots__ = ("mean", "deviation", "is_long", "is_warm")
 
     def __init__(self, seconds: float):
         self.mean = seconds
         self.deviation = seconds / 2
-        self.long = False
+        self.is_long = False
         # Whether the target was warm at the latest observation.
         self.is_warm = False
 
@@ -30,11 +30,18 @@
 class CostModel:
     """Service time of each kind, and whether it is long relative to the others."""
 
-    __slots__ = ("_kinds", "_typical", "_gain", "_default", "_ratio", "_floor")
+    __slots__ = (
+        "_kinds",
+        "_typical_seconds",
+        "_gain",
+        "_default_seconds",
+        "_long_ratio",
+        "_long_floor_seconds",
+    )
 
     def __init__(self, thresholds: Thresholds):
         self._kinds: dict[str, KindCost] = {}
-        self._typical = 0.0
+        self._typical_seconds = 0.0
         self.set_thresholds(thresholds)
 
     def set_thresholds(self, thresholds: Thresholds) -> None:
@@ -45,9 +52,9 @@
         thresholds : Thresholds
         """
         self._gain = thresholds["cost_gain"]
-        self._default = thresholds["cost_default"]
-        self._ratio = thresholds["long_ratio"]
-        self._floor = thresholds["long_floor"]
+        self._default_seconds = thresholds["cost_default"]
+        self._long_ratio = thresholds["long_ratio"]
+        self._long_floor_seconds = thresholds["long_floor"]
 
     def observe(
         self, kind: str, seconds: float, is_short: bool, is_warm: bool = True
@@ -74,20 +81,20 @@
             cost = KindCost(seconds)
             cost.is_warm = True
         self._kinds[kind] = cost
-        if len(self._kinds) > KINDS:
+        if len(self._kinds) > MAX_KINDS:
             del self._kinds[next(iter(self._kinds))]
         error = seconds - cost.mean
         cost.mean += self._gain * error
         cost.deviation += self._gain * (abs(error) - cost.deviation)
         if is_short:
-            gain = self._gain if self._typical else 1.0
-            self._typical += gain * (seconds - self._typical)
+            gain = self._gain if self._typical_seconds else 1.0
+            self._typical_seconds += gain * (seconds - self._typical_seconds)
         self._classify(cost)
 
     def _classify(self, cost: KindCost) -> None:
         """Mark the kind long, or short again once its mean falls to half the bound."""
-        bound = max(self._floor, self._ratio * self._typical)
-        cost.long = cost.mean >= (bound / 2 if cost.long else bound)
+        bound = max(self._long_floor_seconds, self._long_ratio * self._typical_seconds)
+        cost.is_long = cost.mean >= (bound / 2 if cost.is_long else bound)
 
     def warm_ratio(self, kind: str, seconds: float) -> float | None:
         """Return a service time relative to the warm one, or None if unknown."""
@@ -100,10 +107,10 @@
         """Return the expected service time in seconds."""
         cost = self._kinds.get(kind)
         if cost is None:
-            return self._typical or self._default
+            return self._typical_seconds or self._default_seconds
         return cost.mean
 
     def is_long(self, kind: str) -> bool:
         """Return whether a kind takes much longer than typical requests."""
         cost = self._kinds.get(kind)
-        return cost is not None and cost.long
+        return cost is not None and cost.is_long
--- a/packages/policy/src/berylstage_policy/entries.py
+++ b/packages/policy/src/berylstage_policy/entries.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from berylstage_policy.slots import residual
+from berylstage_policy.slots import remaining_seconds
 
 if TYPE_CHECKING:
     from berylstage_policy.fairness import Flow
@@ -53,13 +53,13 @@
         self.is_charged = False
 
 
-class Slots:
+class RunningEntries:
     """Entries that occupy a slot of the target."""
 
-    __slots__ = ("long", "_entries")
+    __slots__ = ("long_count", "_entries")
 
     def __init__(self) -> None:
-        self.long = 0
+        self.long_count = 0
         self._entries: dict[str, Entry] = {}
 
     def __len__(self) -> int:
@@ -68,21 +68,23 @@
     def __contains__(self, ticket_id: str) -> bool:
         return ticket_id in self._entries
 
-    def begin(self, entry: Entry, now: float) -> None:
+    def add(self, entry: Entry, now: float) -> None:
         """Record that the entry occupies a slot from now on."""
         entry.started = now
         self._entries[entry.ticket.id] = entry
         if not entry.is_short:
-            self.long += 1
+            self.long_count += 1
 
-    def end(self, ticket_id: str) -> Entry | None:
+    def remove(self, ticket_id: str) -> Entry | None:
         """Remove and return an entry, or return None if it occupies no slot."""
         entry = self._entries.pop(ticket_id, None)
         if entry is not None and not entry.is_short:
-            self.long -= 1
+            self.long_count -= 1
         return entry
 
-    def residuals(self, now: float) -> list[float]:
+    def remaining_seconds_sorted(self, now: float) -> list[float]:
         """Return the seconds that each busy slot stays busy, in ascending order."""
         entries = self._entries.values()
-        return sorted(residual(entry.cost, now - entry.started) for entry in entries)
+        return sorted(
+            remaining_seconds(entry.cost, now - entry.started) for entry in entries
+        )
--- a/packages/policy/src/berylstage_policy/fairness.py
+++ b/packages/policy/src/berylstage_policy/fairness.py
@@ -18,10 +18,10 @@
 
 # Idle children that a node keeps, so that a caller that sends one request at a time
 # cannot clear its debt by being idle in between. It bounds the memory of each node.
-IDLE_FLOWS = 256
+MAX_IDLE_FLOWS = 256
 
 # Stale heap entries that a node tolerates, in addition to four for each child.
-STALE_ENTRIES = 64
+MAX_STALE_ENTRIES = 64
 
 
 class Flow(Generic[T]):
@@ -38,15 +38,15 @@
         "parent",
         "weight",
         "start_tag",
-        "now_tag",
+        "virtual_time",
         "children",
-        "heap",
+        "child_heap",
         "active_weight",
         "items",
         "size",
         "backlog",
-        "period",
-        "order",
+        "busy_period",
+        "sort_key",
     )
 
     def __init__(self, parent: Flow[T] | None, weight: float):
@@ -56,10 +56,10 @@
         self.start_tag = 0.0
         # Start tag of the child served last, at which children that become active
         # start.
-        self.now_tag = 0.0
+        self.virtual_time = 0.0
         self.children: dict[str, Flow[T]] = {}
         # Heap of (sort key, number, child). Entries with an outdated key are skipped.
-        self.heap: list[tuple[tuple[float, int], int, Flow[T]]] = []
+        self.child_heap: list[tuple[tuple[float, int], int, Flow[T]]] = []
         self.active_weight = 0.0
         # Waiting items with their arrival numbers and expected costs.
         self.items: deque[tuple[T, int, float]] = deque()
@@ -67,41 +67,43 @@
         self.backlog = 0.0
         # Busy period in which the start tag was set. The tag has no meaning in a later
         # one.
-        self.period = 0
+        self.busy_period = 0
         # Position among the parent's children; the lowest is served first.
-        self.order = (0.0, 0)
+        self.sort_key = (0.0, 0)
 
     def child(self, name: str, weight: float) -> Flow[T]:
         """Return the child of that name, creating it if necessary."""
         found = self.children.get(name)
         if found is None:
-            if len(self.children) >= IDLE_FLOWS:
-                self._forget_idle()
+            if len(self.children) >= MAX_IDLE_FLOWS:
+                self._drop_idle()
             found = self.children[name] = Flow(self, weight)
-            found.start_tag = self.now_tag
+            found.start_tag = self.virtual_time
         found.weight = weight
         return found
 
-    def _forget_idle(self) -> None:
+    def _drop_idle(self) -> None:
         """Remove the idle children without debt, or else half of the idle ones."""
         idle = [name for name, flow in self.children.items() if not flow.size]
-        settled = [n for n in idle if self.children[n].start_tag <= self.now_tag]
-        for name in settled or idle[: len(idle) // 2]:
+        debt_free = [n for n in idle if self.children[n].start_tag <= self.virtual_time]
+        for name in debt_free or idle[: len(idle) // 2]:
             del self.children[name]
 
-    def compact(self) -> None:
+    def compact_heap(self) -> None:
         """Remove stale heap entries, which stay while only one child is served."""
-        self.heap = [e for e in self.heap if e[2].size and e[0] is e[2].order]
-        heapify(self.heap)
+        self.child_heap = [
+            e for e in self.child_heap if e[2].size and e[0] is e[2].sort_key
+        ]
+        heapify(self.child_heap)
 
-    def first(self) -> Flow[T]:
+    def next_child(self) -> Flow[T]:
         """Return the active child to serve next; there must be one."""
-        heap = self.heap
+        child_heap = self.child_heap
         while True:
-            order, _, flow = heap[0]
-            if flow.size and order is flow.order:
+            sort_key, _, flow = child_heap[0]
+            if flow.size and sort_key is flow.sort_key:
                 return flow
-            heappop(heap)
+            heappop(child_heap)
 
 
 class FairQueue(Generic[T]):
@@ -114,17 +116,17 @@
         work.
     """
 
-    __slots__ = ("root", "_period", "_pushed", "_returning")
+    __slots__ = ("root", "_busy_period", "_sequence", "_overtaking_factor")
 
-    def __init__(self, returning: float) -> None:
-        self.set_returning(returning)
+    def __init__(self, overtaking_factor: float) -> None:
+        self.set_overtaking_factor(overtaking_factor)
         self.root: Flow[T] = Flow(None, 1.0)
-        self._period = 0
-        self._pushed = 0
+        self._busy_period = 0
+        self._sequence = 0
 
-    def set_returning(self, returning: float) -> None:
+    def set_overtaking_factor(self, overtaking_factor: float) -> None:
         """Replace the upper bound on the work served before a new item."""
-        self._returning = returning
+        self._overtaking_factor = overtaking_factor
 
     def __len__(self) -> int:
         return self.root.size
@@ -138,8 +140,8 @@
 
     def push(self, leaf: Flow[T], item: T, cost: float) -> None:
         """Append an item with its expected cost to a leaf."""
-        self._pushed += 1
-        leaf.items.append((item, self._pushed, cost))
+        self._sequence += 1
+        leaf.items.append((item, self._sequence, cost))
         flow: Flow[T] = leaf
         while flow.parent is not None:
             parent = flow.parent
@@ -148,10 +150,10 @@
             flow.size += 1
             flow.backlog += cost
             if flow.size == 1:
-                self._enter_period(flow, parent)
-                flow.start_tag = max(flow.start_tag, parent.now_tag)
+                self._reset_stale_tag(flow, parent)
+                flow.start_tag = max(flow.start_tag, parent.virtual_time)
                 parent.active_weight += flow.weight
-                self._queue(flow, parent)
+                self._insert(flow, parent)
             flow = parent
         flow.size += 1
         flow.backlog += cost
@@ -161,67 +163,67 @@
         flow = leaf
         while flow.parent is not None:
             parent = flow.parent
-            self._enter_period(flow, parent)
+            self._reset_stale_tag(flow, parent)
             flow.start_tag += cost / flow.weight
             # Virtual time advances with the work that is done. If it followed the start
             # tags alone, it would stand still while new flows are served once each, and
             # a flow with a slightly higher tag would wait for as long as new flows
             # arrive.
             weights = parent.active_weight + (0.0 if flow.size else flow.weight)
-            parent.now_tag += cost / weights
+            parent.virtual_time += cost / weights
             if flow.size:
-                self._queue(flow, parent)
+                self._insert(flow, parent)
             flow = parent
 
-    def _enter_period(self, flow: Flow[T], parent: Flow[T]) -> None:
+    def _reset_stale_tag(self, flow: Flow[T], parent: Flow[T]) -> None:
         """Reset a start tag that was set in an earlier busy period."""
-        if flow.period != self._period:
-            flow.start_tag = parent.now_tag
-            flow.period = self._period
+        if flow.busy_period != self._busy_period:
+            flow.start_tag = parent.virtual_time
+            flow.busy_period = self._busy_period
 
-    def _queue(self, flow: Flow[T], parent: Flow[T]) -> None:
+    def _insert(self, flow: Flow[T], parent: Flow[T]) -> None:
         """Push an active flow onto its parent's heap, by start tag and arrival."""
-        self._pushed += 1
-        number = flow.items[0][1] if flow.items else self._pushed
-        flow.order = (max(parent.now_tag, flow.start_tag), number)
-        heappush(parent.heap, (flow.order, self._pushed, flow))
-        if len(parent.heap) > STALE_ENTRIES + 4 * len(parent.children):
-            parent.compact()
-
-    def pop(self, top: str | None = None) -> T:
+        self._sequence += 1
+        number = flow.items[0][1] if flow.items else self._sequence
+        flow.sort_key = (max(parent.virtual_time, flow.start_tag), number)
+        heappush(parent.child_heap, (flow.sort_key, self._sequence, flow))
+        if len(parent.child_heap) > MAX_STALE_ENTRIES + 4 * len(parent.children):
+            parent.compact_heap()
+
+    def pop(self, child_name: str | None = None) -> T:
         """Remove and return the next item, of one child of the root if it is named."""
         flow = self.root
-        if top is not None:
-            flow = flow.children[top]
-            self.root.now_tag = max(self.root.now_tag, flow.start_tag)
+        if child_name is not None:
+            flow = flow.children[child_name]
+            self.root.virtual_time = max(self.root.virtual_time, flow.start_tag)
         while not flow.items:
-            parent, flow = flow, flow.first()
-            parent.now_tag = max(parent.now_tag, flow.order[0])
-        return self.pop_first(flow)
+            parent, flow = flow, flow.next_child()
+            parent.virtual_time = max(parent.virtual_time, flow.sort_key[0])
+        return self._pop_leaf(flow)
 
-    def pop_first(self, leaf: Flow[T]) -> T:
+    def _pop_leaf(self, leaf: Flow[T]) -> T:
         """Remove and return the first item of a leaf, out of fair order."""
         item, _, cost = leaf.items.popleft()
-        self._shrink(leaf, cost)
-        self._requeue(leaf)
+        self._subtract(leaf, cost)
+        self._reinsert(leaf)
         return item
 
-    def _requeue(self, leaf: Flow[T]) -> None:
+    def _reinsert(self, leaf: Flow[T]) -> None:
         """Push a leaf onto its parent's heap again after its first item changed."""
         if leaf.items and leaf.parent is not None:
-            self._queue(leaf, leaf.parent)
+            self._insert(leaf, leaf.parent)
 
     def remove(self, leaf: Flow[T], item: T) -> None:
         """Remove an item that will not be served."""
         for index, (found, _, cost) in enumerate(leaf.items):
             if found is item:
                 del leaf.items[index]
-                self._shrink(leaf, cost)
+                self._subtract(leaf, cost)
                 if not index:
-                    self._requeue(leaf)
+                    self._reinsert(leaf)
                 return
 
-    def _shrink(self, leaf: Flow[T], cost: float) -> None:
+    def _subtract(self, leaf: Flow[T], cost: float) -> None:
         """Subtract one item from a leaf and all of its ancestors."""
         flow: Flow[T] | None = leaf
         while flow is not None:
@@ -231,9 +233,9 @@
                 flow.parent.active_weight -= flow.weight
             flow = flow.parent
         if not self.root.size:
-            self._period += 1
+            self._busy_period += 1
 
-    def ahead(self, leaf: Flow[T], cost: float) -> float:
+    def work_ahead(self, leaf: Flow[T], cost: float) -> float:
         """Return the work that is served before a new item of a leaf.
 
         It is the backlog of the item's own flow plus the work that siblings on each
@@ -258,15 +260,15 @@
             parent = flow.parent
             weights = parent.active_weight + (0.0 if flow.size else flow.weight)
             # Recent service in excess of the share, which the flow waits out first.
-            debt = max(0.0, flow.start_tag - parent.now_tag)
-            if flow.period != self._period:
+            debt = max(0.0, flow.start_tag - parent.virtual_time)
+            if flow.busy_period != self._busy_period:
                 debt = 0.0
             shared = (debt + (work + cost) / flow.weight) * weights - cost
-            work = min(parent.backlog * self._returning, shared)
+            work = min(parent.backlog * self._overtaking_factor, shared)
             flow = parent
         return work
 
-    def heaviest(self) -> Flow[T]:
+    def heaviest_leaf(self) -> Flow[T]:
         """Return the leaf reached by following the largest backlog per weight."""
         flow = self.root
         while flow.children:
--- a/packages/policy/src/berylstage_policy/health.py
+++ b/packages/policy/src/berylstage_policy/health.py
@@ -23,7 +23,7 @@
     ``SLOW`` lowers the target's share of keys. ``DOWN`` moves its keys.
     """
 
-    WELL = "well"
+    HEALTHY = "well"
     STALLED = "stalled"
     SLOW = "slow"
     DOWN = "down"
@@ -39,9 +39,9 @@
     """
 
     __slots__ = (
-        "_last_sign",
+        "_last_reply",
         "_refused_since",
-        "_slow_since",
+        "_transition_since",
         "_is_slow",
         "_stall_after",
         "_down_after",
@@ -53,9 +53,9 @@
     )
 
     def __init__(self, thresholds: Thresholds, now: float):
-        self._last_sign = now
+        self._last_reply = now
         self._refused_since: float | None = None
-        self._slow_since: float | None = None
+        self._transition_since: float | None = None
         self._is_slow = False
         self._ratio = 1.0
         self._stall_after = thresholds["stall_after"]
@@ -67,7 +67,7 @@
 
     def answered(self, now: float) -> None:
         """Record any reply of the target, including a refusal."""
-        self._last_sign = now
+        self._last_reply = now
         self._refused_since = None
 
     def refused_connection(self, now: float) -> None:
@@ -85,34 +85,34 @@
             Smoothed service time divided by the median of the service's targets.
         """
         self._ratio = ratio
-        bound = self._slow_ratio / (2.0 if self._is_slow else 1.0)
-        if (ratio >= bound) == self._is_slow:
-            self._slow_since = None
-        elif self._slow_since is None:
-            self._slow_since = now
-        elif now - self._slow_since >= self._slow_after:
+        limit_ratio = self._slow_ratio / (2.0 if self._is_slow else 1.0)
+        if (ratio >= limit_ratio) == self._is_slow:
+            self._transition_since = None
+        elif self._transition_since is None:
+            self._transition_since = now
+        elif now - self._transition_since >= self._slow_after:
             self._is_slow = not self._is_slow
-            self._slow_since = None
+            self._transition_since = None
 
     def verdict(self, now: float) -> Verdict:
         """Return the health state of the target."""
         refused = self._refused_since
         if refused is not None and now - refused >= self._refused_down_after:
             return Verdict.DOWN
-        silence = now - self._last_sign
+        silence = now - self._last_reply
         if silence >= self._down_after:
             return Verdict.DOWN
         if silence >= self._stall_after or refused is not None:
             return Verdict.STALLED
-        return Verdict.SLOW if self._is_slow else Verdict.WELL
+        return Verdict.SLOW if self._is_slow else Verdict.HEALTHY
 
     def next_change(self, now: float) -> float:
         """Return when the health state changes if no reply arrives until then."""
-        moments = [self._last_sign + self._stall_after]
-        moments.append(self._last_sign + self._down_after)
+        times = [self._last_reply + self._stall_after]
+        times.append(self._last_reply + self._down_after)
         if self._refused_since is not None:
-            moments.append(self._refused_since + self._refused_down_after)
-        return min((m for m in moments if m > now), default=float("inf"))
+            times.append(self._refused_since + self._refused_down_after)
+        return min((m for m in times if m > now), default=float("inf"))
 
     def capacity(self, slots: int) -> float:
         """Return the capacity for placement: the slots, or less for a slow target."""
--- a/packages/policy/src/berylstage_policy/hotkeys.py
+++ b/packages/policy/src/berylstage_policy/hotkeys.py
@@ -18,10 +18,10 @@
 
 # Weight at which all counters are rescaled to prevent overflow: decay is implemented by
 # growing the weight of new observations instead of shrinking all counters.
-RESCALE_AT = 1e100
+MAX_SCALE = 1e100
 
 
-class Counter:
+class KeyCounter:
     """Counted weight of one key and the maximum overestimate."""
 
     __slots__ = ("key", "weight", "error")
@@ -47,14 +47,21 @@
         Seconds after which a weight has decayed by half.
     """
 
-    __slots__ = ("_size", "_half_life", "_counters", "_by_weight", "_origin", "_total")
+    __slots__ = (
+        "_size",
+        "_half_life",
+        "_counters",
+        "_by_weight",
+        "_scale_origin",
+        "_total",
+    )
 
     def __init__(self, size: int, half_life: float):
         self._size = size
         self._half_life = half_life
-        self._counters: dict[str, Counter] = {}
+        self._counters: dict[str, KeyCounter] = {}
         self._by_weight: SortedList = SortedList(key=lambda c: c.weight)
-        self._origin: float | None = None
+        self._scale_origin: float | None = None
         self._total = 0.0
 
     def __len__(self) -> int:
@@ -62,17 +69,17 @@
 
     def _scale(self, now: float) -> float:
         """Return the stored weight of a unit observation made at this time."""
-        if self._origin is None:
-            self._origin = now
-        scale = 2.0 ** ((now - self._origin) / self._half_life)
-        if scale < RESCALE_AT:
+        if self._scale_origin is None:
+            self._scale_origin = now
+        scale = 2.0 ** ((now - self._scale_origin) / self._half_life)
+        if scale < MAX_SCALE:
             return scale
         for counter in self._counters.values():
             counter.weight /= scale
             counter.error /= scale
         self._by_weight = SortedList(self._counters.values(), key=lambda c: c.weight)
         self._total /= scale
-        self._origin = now
+        self._scale_origin = now
         return 1.0
 
     def add(self, key: str, weight: float, now: float) -> None:
@@ -84,7 +91,7 @@
             self._by_weight.remove(counter)
             counter.weight += amount
         elif len(self._counters) < self._size:
-            counter = self._counters[key] = Counter(key, amount, 0.0)
+            counter = self._counters[key] = KeyCounter(key, amount, 0.0)
         else:
             counter = self._by_weight.pop(0)
             del self._counters[counter.key]
@@ -99,10 +106,10 @@
         counter = self._counters.get(key)
         return self._rate(counter, now) if counter is not None else 0.0
 
-    def _rate(self, counter: Counter, now: float) -> float:
+    def _rate(self, counter: KeyCounter, now: float) -> float:
         """Convert a decayed sum to a rate: a steady rate r sums to r·half-life/ln 2."""
-        certain = counter.weight - counter.error
-        return certain / self._scale(now) * 0.6931471805599453 / self._half_life
+        lower_bound = counter.weight - counter.error
+        return lower_bound / self._scale(now) * 0.6931471805599453 / self._half_life
 
     def heaviest(self, count: int, now: float) -> list[tuple[str, float]]:
         """Return the heaviest keys with lower bounds of their rates, heaviest first."""
@@ -130,19 +137,19 @@
 
     __slots__ = (
         "sketch",
-        "_enter",
-        "_leave",
-        "_leave_after",
-        "_most",
+        "_enter_share",
+        "_leave_share",
+        "_leave_after_seconds",
+        "_max_keys",
         "_cool_since",
-        "_apart",
+        "_separate_keys",
     )
 
     def __init__(self, thresholds: Thresholds):
         self.sketch = KeySketch(
             int(thresholds["hot_counters"]), thresholds["hot_half_life"]
         )
-        self._apart: set[str] = set()
+        self._separate_keys: set[str] = set()
         self._cool_since: dict[str, float] = {}
         self.set_thresholds(thresholds)
 
@@ -153,10 +160,10 @@
         ----------
         thresholds : Thresholds
         """
-        self._enter = thresholds["hot_enter"]
-        self._leave = thresholds["hot_leave"]
-        self._leave_after = thresholds["hot_leave_after"]
-        self._most = int(thresholds["hot_most"])
+        self._enter_share = thresholds["hot_enter"]
+        self._leave_share = thresholds["hot_leave"]
+        self._leave_after_seconds = thresholds["hot_leave_after"]
+        self._max_keys = int(thresholds["hot_most"])
 
     def observe(self, key: str, seconds: float, now: float) -> None:
         """Add the slot time that a request for the key took."""
@@ -164,7 +171,7 @@
 
     def set_apart(self, keys: set[str]) -> None:
         """Record which keys have a shard of their own in the current assignment."""
-        self._apart = set(keys)
+        self._separate_keys = set(keys)
         self._cool_since = {k: t for k, t in self._cool_since.items() if k in keys}
 
     def changes(self, slots: float, now: float) -> HotKeyChanges:
@@ -180,22 +187,24 @@
         -------
         HotKeyChanges
         """
-        give_back = self._cooled(slots, now)
-        room = self._most - len(self._apart) + len(give_back)
-        heaviest = self.sketch.heaviest(self._most, now)
+        give_back = self._find_cooled(slots, now)
+        remaining_quota = self._max_keys - len(self._separate_keys) + len(give_back)
+        heaviest = self.sketch.heaviest(self._max_keys, now)
         hot = [
             key
             for key, rate in heaviest
-            if rate >= self._enter * slots and key not in self._apart
+            if rate >= self._enter_share * slots and key not in self._separate_keys
         ]
-        return HotKeyChanges(hot[: max(0, room)], give_back)
+        return HotKeyChanges(hot[: max(0, remaining_quota)], give_back)
 
-    def _cooled(self, slots: float, now: float) -> list[str]:
+    def _find_cooled(self, slots: float, now: float) -> list[str]:
         """Return the keys set apart whose load has been low for long enough."""
         cooled = []
-        for key in sorted(self._apart):
-            if self.sketch.rate(key, now) >= self._leave * slots:
+        for key in sorted(self._separate_keys):
+            if self.sketch.rate(key, now) >= self._leave_share * slots:
                 self._cool_since.pop(key, None)
-            elif now - self._cool_since.setdefault(key, now) >= self._leave_after:
+            elif (
+                now - self._cool_since.setdefault(key, now) >= self._leave_after_seconds
+            ):
                 cooled.append(key)
         return cooled
--- a/packages/policy/src/berylstage_policy/lanes.py
+++ b/packages/policy/src/berylstage_policy/lanes.py
@@ -27,9 +27,9 @@
     """Assigns requests to the short or long lane and sizes the short reserve."""
 
     __slots__ = (
-        "_presence",
+        "_presence_seconds",
         "_load",
-        "_utilisation",
+        "_max_utilisation",
         "_lane_weights",
         "_class_weights",
     )
@@ -46,8 +46,8 @@
         ----------
         thresholds : Thresholds
         """
-        self._presence = thresholds["short_presence"]
-        self._utilisation = thresholds["reserve_utilisation"]
+        self._presence_seconds = thresholds["short_presence"]
+        self._max_utilisation = thresholds["reserve_utilisation"]
         self._lane_weights = {SHORT: thresholds["short_weight"], LONG: 1.0}
         self._class_weights = {
             "interactive": thresholds["weight_interactive"],
@@ -59,11 +59,13 @@
         """Return whether a request is short, by its class or learned service time."""
         return ticket.request_class != "batch" and not costs.is_long(ticket.kind)
 
-    def offered(self, cost: float, now: float) -> None:
+    def record_offered(self, cost: float, now: float) -> None:
         """Record a short request that was offered."""
         self._load.add(cost, now)
 
-    def path(self, ticket: Ticket, is_short: bool) -> tuple[tuple[str, float], ...]:
+    def flow_path(
+        self, ticket: Ticket, is_short: bool
+    ) -> tuple[tuple[str, float], ...]:
         """Return the request's flow as (name, weight) for each level of the tree."""
         lane = SHORT if is_short else LONG
         return (
@@ -73,9 +75,9 @@
             (ticket.caller, 1.0),
         )
 
-    def long_cap(self, limit: int, now: float) -> int:
+    def max_long_slots(self, limit: int, now: float) -> int:
         """Return how many of the usable slots long requests may occupy; at least 1."""
-        if limit == 1 or now - self._load.updated > self._presence:
+        if limit == 1 or now - self._load.updated_at > self._presence_seconds:
             return limit
-        reserve = ceil(self._load.rate(now) / self._utilisation)
+        reserve = ceil(self._load.rate(now) / self._max_utilisation)
         return limit - min(max(reserve, 1), limit - 1)
--- a/packages/policy/src/berylstage_policy/placement.py
+++ b/packages/policy/src/berylstage_policy/placement.py
@@ -14,13 +14,14 @@
 
 # Weight of a shard without load, as a share of the mean load. Idle shards are spread by
 # number, so that no target holds all of those that become active later.
-IDLE_WEIGHT = 0.01
+IDLE_WEIGHT_SHARE = 0.01
 
-# Recent moves, one away and one back, after which a shard is no longer rebalanced.
-MOST_RECENT_MOVES = 2
+# Moves of a shard within minutes, one away and one back, after which it is no longer
+# rebalanced.
+MAX_RECENT_MOVES = 2
 
 # Places with the lowest levels that are tried as partners of a repack.
-REPACK_PARTNERS = 4
+MAX_REPACK_PARTNERS = 4
 
 # Relative difference in level up to which a shard stays in place during a repack.
 STAY_MARGIN = 0.02
@@ -172,7 +173,7 @@
 def _weights(holdings: list[Holding]) -> dict[str, float]:
     """Return the weight of each shard: its load plus a small minimum."""
     total = sum(holding.load for holding in holdings)
-    floor = IDLE_WEIGHT * total / len(holdings) if total > 0 else 1.0
+    floor = IDLE_WEIGHT_SHARE * total / len(holdings) if total > 0 else 1.0
     return {holding.shard: holding.load + floor for holding in holdings}
 
 
@@ -183,7 +184,7 @@
 ) -> list[Move]:
     """Assign every shard to a bin and return the moves that this requires."""
     moves = []
-    homeless = []
+    unassigned = []
     for holding in holdings:
         weight = weights[holding.shard]
         if holding.pinned in bins:
@@ -197,24 +198,24 @@
             # A data centre that closes and reopens moves a key away and back. If load
             # fluctuations moved the same key as well, it would be unavailable a third
             # time within minutes, while other keys never were.
-            if holding.recent_moves < MOST_RECENT_MOVES:
+            if holding.recent_moves < MAX_RECENT_MOVES:
                 owner_bin.movable.append((weight, holding.shard))
         else:
-            homeless.append(holding)
-    moves.extend(_place_homeless(homeless, weights, bins))
+            unassigned.append(holding)
+    moves.extend(_place_unassigned(unassigned, weights, bins))
     return moves
 
 
-def _place_homeless(
-    homeless: list[Holding],
+def _place_unassigned(
+    unassigned: list[Holding],
     weights: dict[str, float],
     bins: dict[str, _Bin],
 ) -> list[Move]:
     """Assign shards without an eligible owner, heaviest first, to the lowest level."""
     moves = []
     by_level = SortedKeyList(bins.values(), key=lambda place: (place.level, place.name))
-    homeless.sort(key=lambda holding: (-weights[holding.shard], holding.shard))
-    for holding in homeless:
+    unassigned.sort(key=lambda holding: (-weights[holding.shard], holding.shard))
+    for holding in unassigned:
         lowest = by_level.pop(0)
         weight = weights[holding.shard]
         lowest.weight += weight
@@ -236,23 +237,23 @@
     settled_high = mean * thresholds["balance_settled_high"]
     settled_low = mean * thresholds["balance_settled_low"]
     by_level = SortedKeyList(bins.values(), key=lambda place: (place.level, place.name))
-    outlying = [b for b in bins.values() if b.level > high or b.level < low]
-    if not outlying:
+    outliers = [b for b in bins.values() if b.level > high or b.level < low]
+    if not outliers:
         return []
     moves: list[Move] = []
-    over = sorted((b for b in outlying if b.level > high), key=lambda b: -b.level)
-    for source in over:
+    overloaded = sorted((b for b in outliers if b.level > high), key=lambda b: -b.level)
+    for source in overloaded:
         while len(moves) < budget and source.level > settled_high:
-            move = _shift(source, by_level[0], by_level, mean)
+            move = _move_best_shard(source, by_level[0], by_level, mean)
             if move is None:
                 gain = mean * thresholds["balance_repack_gain"]
                 moves.extend(_repack(source, by_level, budget - len(moves), gain))
                 break
             moves.append(move)
-    under = sorted((b for b in outlying if b.level < low), key=lambda b: b.level)
-    for destination in under:
+    underloaded = sorted((b for b in outliers if b.level < low), key=lambda b: b.level)
+    for destination in underloaded:
         while len(moves) < budget and destination.level < settled_low:
-            move = _shift(by_level[-1], destination, by_level, mean)
+            move = _move_best_shard(by_level[-1], destination, by_level, mean)
             if move is None:
                 break
             moves.append(move)
@@ -270,10 +271,10 @@
     best: list[tuple[float, str, str]] = []
     lowest = source.level - gain
     partner = None
-    for candidate in by_level[:REPACK_PARTNERS]:
+    for candidate in by_level[:MAX_REPACK_PARTNERS]:
         if candidate is source:
             continue
-        level, changes = _divide(source, candidate)
+        level, changes = _distribute_evenly(source, candidate)
         if level < lowest and len(changes) <= budget:
             best, lowest, partner = changes, level, candidate
     if partner is None:
@@ -293,7 +294,9 @@
     return moves
 
 
-def _divide(one: _Bin, other: _Bin) -> tuple[float, list[tuple[float, str, str]]]:
+def _distribute_evenly(
+    first_bin: _Bin, second_bin: _Bin
+) -> tuple[float, list[tuple[float, str, str]]]:
     """Distribute the shards of two places evenly, the heaviest first.
 
     Returns
@@ -303,7 +306,7 @@
     changes : list of (weight, shard, owner)
         Shards that would move, with their present owner.
     """
-    places = (one, other)
+    places = (first_bin, second_bin)
     weights = [p.weight - sum(w for w, _ in p.movable) for p in places]
     entries = [(w, s, i) for i, p in enumerate(places) for w, s in p.movable]
     changes = []
@@ -318,7 +321,7 @@
     return max(weights[i] / places[i].capacity for i in (0, 1)), changes
 
 
-def _shift(
+def _move_best_shard(
     source: _Bin,
     destination: _Bin,
     by_level: SortedKeyList,
@@ -326,18 +329,22 @@
 ) -> Move | None:
     """Move the shard that best evens out two places, or return None if none does."""
     # Weight whose move would bring both places to the same level.
-    even = (source.level - destination.level) / (
+    equalizing_weight = (source.level - destination.level) / (
         1 / source.capacity + 1 / destination.capacity
     )
     # A heavy key cannot be split. Moving it would only swap the roles of the two
     # places, and the next plan would move it back. A shard of twice the equalizing
     # weight swaps the levels exactly, so only clearly lighter shards are considered.
-    wanted = min(even, (source.level - mean) * source.capacity)
-    fitting = [entry for entry in source.movable if entry[0] <= 1.5 * even]
-    if not fitting or even <= 0:
+    ideal_weight = min(equalizing_weight, (source.level - mean) * source.capacity)
+    light_enough = [
+        entry for entry in source.movable if entry[0] <= 1.5 * equalizing_weight
+    ]
+    if not light_enough or equalizing_weight <= 0:
         return None
-    wanted = wanted if wanted > 0 else even
-    entry = min(fitting, key=lambda entry: (abs(entry[0] - wanted), entry[1]))
+    ideal_weight = ideal_weight if ideal_weight > 0 else equalizing_weight
+    entry = min(
+        light_enough, key=lambda entry: (abs(entry[0] - ideal_weight), entry[1])
+    )
     by_level.remove(source)
     by_level.remove(destination)
     source.movable.remove(entry)
--- a/packages/policy/src/berylstage_policy/queue.py
+++ b/packages/policy/src/berylstage_policy/queue.py
@@ -14,11 +14,11 @@
 from berylstage_policy.backoff import RetryAfter
 from berylstage_policy.coldstart import ColdStart
 from berylstage_policy.costs import CostModel
-from berylstage_policy.entries import Entry, Slots
+from berylstage_policy.entries import Entry, RunningEntries
 from berylstage_policy.expiry import ExpiryHeap
 from berylstage_policy.fairness import FairQueue
 from berylstage_policy.lanes import SHORT, Lanes
-from berylstage_policy.slots import time_to_serve
+from berylstage_policy.slots import seconds_to_serve
 from berylstage_policy.tickets import (
     Decision,
     Decline,
@@ -73,14 +73,14 @@
         self.ramp = ColdStart(slots, thresholds, now)
         self.costs = costs or CostModel(thresholds)
         self._retry_after = RetryAfter(rng, thresholds)
-        self._fair: FairQueue[Entry] = FairQueue(thresholds["returning_work"])
+        self._fair_queue: FairQueue[Entry] = FairQueue(thresholds["returning_work"])
         self._waiting: dict[str, Entry] = {}
-        self._slots = Slots()
+        self._running = RunningEntries()
         self._expiry = ExpiryHeap(self._waiting)
-        self._displaced: list[Refuse] = []
+        self._pending_refusals: list[Refuse] = []
         self._draining = False
         self._paused_until: float | None = None
-        self._planned_limit = 1
+        self._checked_level = 1
         self._lanes = Lanes(thresholds)
         self._set_limits(thresholds)
 
@@ -95,7 +95,7 @@
         self.costs.set_thresholds(thresholds)
         self._retry_after.set_thresholds(thresholds)
         self._lanes.set_thresholds(thresholds)
-        self._fair.set_returning(thresholds["returning_work"])
+        self._fair_queue.set_overtaking_factor(thresholds["returning_work"])
         self._set_limits(thresholds)
 
     def _set_limits(self, thresholds: Thresholds) -> None:
@@ -111,17 +111,17 @@
     @property
     def running(self) -> int:
         """Number of requests that occupy a slot."""
-        return len(self._slots)
+        return len(self._running)
 
     def has_free_slot(self, now: float) -> bool:
         """Return whether a new request would start immediately."""
         is_idle = not self._waiting and self._paused_until is None
-        return is_idle and len(self._slots) < self.ramp.limit(now)
+        return is_idle and len(self._running) < self.ramp.limit(now)
 
     def set_slots(self, slots: int, now: float) -> list[Ticket]:
         """Change the number of slots and return the requests to start now."""
         self.ramp.set_slots(slots)
-        return self._fill(now)
+        return self._start_waiting(now)
 
     def seen(self, incarnation: str, now: float) -> list[Ticket]:
         """Record the incarnation in a lease or probe reply; return what starts now.
@@ -140,7 +140,7 @@
             which many waiting requests may be refused.
         """
         self.ramp.seen(now, incarnation)
-        return self._fill(now)
+        return self._start_waiting(now)
 
     def reported(self, is_cold: bool, now: float, age: float = 0.0) -> None:
         """Record the cold-start flag of a report that is `age` seconds old."""
@@ -164,7 +164,7 @@
     def resume(self, now: float) -> list[Ticket]:
         """End the pause and return the requests to start now."""
         self._paused_until = None
-        return self._fill(now)
+        return self._start_waiting(now)
 
     def offer(self, ticket: Ticket, now: float, may_decline: bool = False) -> Decision:
         """Decide whether to start, queue, decline or refuse a new request.
@@ -184,13 +184,17 @@
             retry delay.
         """
         if self._draining:
-            return Refuse(ticket.id, RefuseReason.DRAINING, self._comeback(now, 0.0))
+            return Refuse(
+                ticket.id, RefuseReason.DRAINING, self._compute_retry_after(now, 0.0)
+            )
         if ticket.deadline <= now:
-            return Refuse(ticket.id, RefuseReason.DEADLINE, self._comeback(now, 0.0))
-        entry = self._entry(ticket, now)
+            return Refuse(
+                ticket.id, RefuseReason.DEADLINE, self._compute_retry_after(now, 0.0)
+            )
+        entry = self._make_entry(ticket, now)
         limit = self.ramp.limit(now)
         if self._may_start(entry, limit, now):
-            self._begin(entry, now)
+            self._start_entry(entry, now)
             return Start(ticket.id)
         if may_decline:
             return Decline(ticket.id)
@@ -198,10 +202,12 @@
         slack = (ticket.deadline - now) * self._wait_share - entry.cost
         if wait > slack:
             excess = wait - max(0.0, slack)
-            retry_after = self._comeback(now, excess)
+            retry_after = self._compute_retry_after(now, excess)
             return Refuse(ticket.id, RefuseReason.DEADLINE, retry_after)
-        if len(self._waiting) >= self._queue_limit and not self._displace(entry, now):
-            retry_after = self._comeback(now, wait)
+        if len(self._waiting) >= self._queue_limit and not self._evict_heaviest(
+            entry, now
+        ):
+            retry_after = self._compute_retry_after(now, wait)
             return Refuse(ticket.id, RefuseReason.QUEUE_FULL, retry_after)
         self._enqueue(entry)
         return Wait(ticket.id)
@@ -236,16 +242,16 @@
         list of Ticket
             Requests to send to the target now.
         """
-        entry = self._slots.end(ticket_id)
+        entry = self._running.remove(ticket_id)
         if entry is None:
             return []
         # The flow was charged the expected cost at the start. Without this correction,
         # a flow whose requests take longer than expected would get more than its share
         # until the cost model has learned their service time.
         if entry.is_charged and outcome is Outcome.ANSWERED:
-            self._fair.charge(entry.leaf, seconds - entry.cost)
-        self._learn(entry, now, seconds, outcome, incarnation)
-        return self._fill(now)
+            self._fair_queue.charge(entry.leaf, seconds - entry.cost)
+        self._record_outcome(entry, now, seconds, outcome, incarnation)
+        return self._start_waiting(now)
 
     def cancelled(self, ticket_id: str, now: float) -> bool:
         """Remove a request whose caller has disconnected from the queue.
@@ -258,28 +264,30 @@
         """
         entry = self._waiting.pop(ticket_id, None)
         if entry is not None:
-            self._fair.remove(entry.leaf, entry)
-        return ticket_id in self._slots
+            self._fair_queue.remove(entry.leaf, entry)
+        return ticket_id in self._running
 
     def expired(self, now: float) -> list[Refuse]:
         """Remove and return the requests that can no longer meet their deadlines."""
-        refusals, self._displaced = self._displaced, []
-        if self.ramp.level < self._planned_limit:
-            refusals.extend(self._replan(self.ramp.limit(now), now))
-        self._planned_limit = self.ramp.level
-        while (ticket_id := self._expiry.due(now)) is not None:
-            refusals.append(self._turn_away(self._waiting.pop(ticket_id), now))
+        refusals, self._pending_refusals = self._pending_refusals, []
+        if self.ramp.level < self._checked_level:
+            refusals.extend(self._refuse_excess(self.ramp.limit(now), now))
+        self._checked_level = self.ramp.level
+        while (ticket_id := self._expiry.pop_due(now)) is not None:
+            refusals.append(self._refuse_waiting(self._waiting.pop(ticket_id), now))
         return refusals
 
     def next_expiry(self) -> float | None:
         """Return when `expired` will return refusals, or None if nothing waits."""
-        if self._displaced or self.ramp.level < self._planned_limit:
+        if self._pending_refusals or self.ramp.level < self._checked_level:
             return float("-inf")
-        return self._expiry.next()
+        return self._expiry.next_expiry()
 
     def expected_wait(self, now: float) -> float:
         """Return the seconds that a typical new request waits, for load digests."""
-        return self._time_to_serve(self._fair.root.backlog, self.ramp.limit(now), now)
+        return self._seconds_to_serve(
+            self._fair_queue.root.backlog, self.ramp.limit(now), now
+        )
 
     def drain(self) -> list[Ticket]:
         """Refuse new requests from now on; remove and return the waiting ones."""
@@ -296,80 +304,82 @@
         tickets = []
         for entry in self._waiting.values():
             tickets.append(entry.ticket)
-            self._fair.remove(entry.leaf, entry)
+            self._fair_queue.remove(entry.leaf, entry)
         self._waiting.clear()
         self._expiry.clear()
         return tickets
 
-    def _entry(self, ticket: Ticket, now: float) -> Entry:
+    def _make_entry(self, ticket: Ticket, now: float) -> Entry:
         """Create the queue entry of a request from its flow and expected cost."""
         is_short = self._lanes.is_short(ticket, self.costs)
         cost = ticket.expected_cost or self.costs.mean(ticket.kind)
         if is_short:
-            self._lanes.offered(cost, now)
+            self._lanes.record_offered(cost, now)
         # Slow answers raise the expected cost. If the cost alone could refuse every
         # request, none would run and a recovered target would never be detected.
         slack = (ticket.deadline - now) * (1.0 - self._wait_share)
         latest = max(ticket.deadline - cost, now + min(slack, cost))
-        leaf = self._fair.leaf(self._lanes.path(ticket, is_short))
+        leaf = self._fair_queue.leaf(self._lanes.flow_path(ticket, is_short))
         return Entry(ticket, leaf, cost, is_short, latest)
 
     def _may_start(self, entry: Entry, limit: int, now: float) -> bool:
         """Return whether a request can start now without passing one that could."""
-        if len(self._slots) >= limit or self._paused_until is not None:
+        if len(self._running) >= limit or self._paused_until is not None:
             return False
         if entry.is_short:
-            lane = self._fair.root.children.get(SHORT)
+            lane = self._fair_queue.root.children.get(SHORT)
             return lane is None or not lane.size
-        return not len(self._fair) and self._slots.long < self._lanes.long_cap(
-            limit, now
-        )
+        return not len(
+            self._fair_queue
+        ) and self._running.long_count < self._lanes.max_long_slots(limit, now)
 
-    def _begin(self, entry: Entry, now: float) -> None:
+    def _start_entry(self, entry: Entry, now: float) -> None:
         """Assign a slot to the entry and charge its flow."""
-        self._slots.begin(entry, now)
+        self._running.add(entry, now)
         # Slots are free for everybody while nobody waits, so nothing is charged.
         if self._waiting:
-            self._fair.charge(entry.leaf, entry.cost)
+            self._fair_queue.charge(entry.leaf, entry.cost)
             entry.is_charged = True
 
     def _enqueue(self, entry: Entry) -> None:
         """Add the entry to the fair queue and to the expiry heap."""
         ticket_id = entry.ticket.id
         self._waiting[ticket_id] = entry
-        self._fair.push(entry.leaf, entry, entry.cost)
+        self._fair_queue.push(entry.leaf, entry, entry.cost)
         self._expiry.add(entry.latest_start, ticket_id, len(self._waiting))
 
-    def _fill(self, now: float) -> list[Ticket]:
+    def _start_waiting(self, now: float) -> list[Ticket]:
         """Start waiting requests while slots are available to them."""
         limit = self.ramp.limit(now)
-        self._planned_limit = max(self._planned_limit, self.ramp.level)
+        self._checked_level = max(self._checked_level, self.ramp.level)
         started = []
         if self._paused_until is not None:
             return []
-        while self._waiting and len(self._slots) < limit:
-            entry = self._next(limit, now)
+        while self._waiting and len(self._running) < limit:
+            entry = self._pop_next(limit, now)
             if entry is None:
                 break
             del self._waiting[entry.ticket.id]
             if entry.latest_start < now:
-                self._displaced.append(self._refusal(entry, now))
+                self._pending_refusals.append(self._make_refusal(entry, now))
                 continue
-            self._begin(entry, now)
+            self._start_entry(entry, now)
             started.append(entry.ticket)
         return started
 
-    def _next(self, limit: int, now: float) -> Entry | None:
+    def _pop_next(self, limit: int, now: float) -> Entry | None:
         """Remove and return the entry to start next, or None if none may start."""
-        is_capped = self._slots.long >= self._lanes.long_cap(limit, now)
-        if not is_capped:
-            return self._fair.pop()
-        short = self._fair.root.children.get(SHORT)
+        is_long_limited = self._running.long_count >= self._lanes.max_long_slots(
+            limit, now
+        )
+        if not is_long_limited:
+            return self._fair_queue.pop()
+        short = self._fair_queue.root.children.get(SHORT)
         if short is None or not short.size:
             return None
-        return self._fair.pop(SHORT)
+        return self._fair_queue.pop(SHORT)
 
-    def _learn(
+    def _record_outcome(
         self,
         entry: Entry,
         now: float,
@@ -382,7 +392,7 @@
         if incarnation:
             ramp.seen(now, incarnation)
         if outcome is Outcome.COLD:
-            ramp.new_start(now)
+            ramp.reset(now)
         elif outcome is Outcome.UNKNOWN:
             ramp.doubted(now)
         elif outcome is Outcome.ANSWERED:
@@ -390,32 +400,36 @@
             ramp.completed(now, self.costs.warm_ratio(kind, seconds))
             self.costs.observe(kind, seconds, entry.is_short, ramp.warm)
 
-    def _time_to_serve(self, work: float, limit: int, now: float) -> float:
+    def _seconds_to_serve(self, work: float, limit: int, now: float) -> float:
         """Return the seconds until the slots have done `work` and one is free."""
-        return time_to_serve(work, limit, self._slots.residuals(now))
+        return seconds_to_serve(
+            work, limit, self._running.remaining_seconds_sorted(now)
+        )
 
     def _expected_wait(self, entry: Entry, limit: int, now: float) -> float:
         """Return the seconds until a new request starts at its flow's fair share."""
-        work = self._fair.ahead(entry.leaf, entry.cost)
+        work = self._fair_queue.work_ahead(entry.leaf, entry.cost)
         if not entry.is_short:
-            limit = self._lanes.long_cap(limit, now)
-        wait = self._time_to_serve(work, limit, now)
+            limit = self._lanes.max_long_slots(limit, now)
+        wait = self._seconds_to_serve(work, limit, now)
         if self._paused_until is not None:
             wait += max(0.0, self._paused_until - now)
         return wait
 
-    def _displace(self, newcomer: Entry, now: float) -> bool:
+    def _evict_heaviest(self, new_entry: Entry, now: float) -> bool:
         """Evict the newest request of the heaviest flow if that flow is longer."""
-        heaviest = self._fair.heaviest()
-        if heaviest.size <= newcomer.leaf.size + 1:
+        heaviest_leaf = self._fair_queue.heaviest_leaf()
+        if heaviest_leaf.size <= new_entry.leaf.size + 1:
             return False
-        victim = heaviest.items[-1][0]
+        victim = heaviest_leaf.items[-1][0]
         del self._waiting[victim.ticket.id]
-        self._fair.remove(heaviest, victim)
-        self._displaced.append(self._refusal(victim, now, RefuseReason.QUEUE_FULL))
+        self._fair_queue.remove(heaviest_leaf, victim)
+        self._pending_refusals.append(
+            self._make_refusal(victim, now, RefuseReason.QUEUE_FULL)
+        )
         return True
 
-    def _replan(self, limit: int, now: float) -> list[Refuse]:
+    def _refuse_excess(self, limit: int, now: float) -> list[Refuse]:
         """Refuse what cannot be served in time under a lower limit, newest first.
 
         When a target restarts cold with a full queue, most of the queue is lost.
@@ -424,20 +438,20 @@
         """
         refusals = []
         for entry in reversed(list(self._waiting.values())):
-            work = self._fair.ahead(entry.leaf, 0.0) - entry.cost
-            wait = self._time_to_serve(max(0.0, work), limit, now)
+            work = self._fair_queue.work_ahead(entry.leaf, 0.0) - entry.cost
+            wait = self._seconds_to_serve(max(0.0, work), limit, now)
             if now + wait <= entry.latest_start:
                 continue
             del self._waiting[entry.ticket.id]
-            refusals.append(self._turn_away(entry, now))
+            refusals.append(self._refuse_waiting(entry, now))
         return refusals
 
-    def _turn_away(self, entry: Entry, now: float) -> Refuse:
+    def _refuse_waiting(self, entry: Entry, now: float) -> Refuse:
         """Remove a waiting entry from the fair queue and return its refusal."""
-        self._fair.remove(entry.leaf, entry)
-        return self._refusal(entry, now)
+        self._fair_queue.remove(entry.leaf, entry)
+        return self._make_refusal(entry, now)
 
-    def _refusal(
+    def _make_refusal(
         self,
         entry: Entry,
         now: float,
@@ -445,9 +459,9 @@
     ) -> Refuse:
         """Return a refusal that carries a retry delay."""
         wait = self.expected_wait(now)
-        return Refuse(entry.ticket.id, reason, self._comeback(now, wait))
+        return Refuse(entry.ticket.id, reason, self._compute_retry_after(now, wait))
 
-    def _comeback(self, now: float, excess: float) -> float:
+    def _compute_retry_after(self, now: float, excess: float) -> float:
         """Return the seconds after which a refused caller may retry."""
-        each = self.costs.mean("") / max(1, self.ramp.limit(now))
-        return self._retry_after.after(now, excess, each)
+        seconds_per_request = self.costs.mean("") / max(1, self.ramp.limit(now))
+        return self._retry_after.next_delay(now, excess, seconds_per_request)
--- a/packages/policy/src/berylstage_policy/rates.py
+++ b/packages/policy/src/berylstage_policy/rates.py
@@ -14,18 +14,24 @@
         Time constant in seconds, after which an amount counts 1/e.
     """
 
-    __slots__ = ("updated", "_window", "_amount")
+    __slots__ = ("updated_at", "_window_seconds", "_amount")
 
     def __init__(self, window: float):
-        self.updated = float("-inf")
-        self._window = window
+        self.updated_at = float("-inf")
+        self._window_seconds = window
         self._amount = 0.0
 
     def add(self, amount: float, now: float) -> None:
         """Add an amount at the given time."""
-        self._amount = self._amount * exp((self.updated - now) / self._window) + amount
-        self.updated = now
+        self._amount = (
+            self._amount * exp((self.updated_at - now) / self._window_seconds) + amount
+        )
+        self.updated_at = now
 
     def rate(self, now: float) -> float:
         """Return the amount per second."""
-        return self._amount * exp((self.updated - now) / self._window) / self._window
+        return (
+            self._amount
+            * exp((self.updated_at - now) / self._window_seconds)
+            / self._window_seconds
+        )
--- a/packages/policy/src/berylstage_policy/retries.py
+++ b/packages/policy/src/berylstage_policy/retries.py
@@ -18,7 +18,7 @@
     from berylstage_policy.thresholds import Thresholds
 
 # Outcomes after which the request is known not to have run.
-CERTAINLY_NOT_RUN = frozenset({Outcome.SHED, Outcome.COLD, Outcome.NOT_RUN})
+NOT_RUN_OUTCOMES = frozenset({Outcome.SHED, Outcome.COLD, Outcome.NOT_RUN})
 
 
 class RetryVerdict(Enum):
@@ -86,12 +86,12 @@
     rng : Random
     """
 
-    __slots__ = ("budget", "_rng", "_attempts", "_delay")
+    __slots__ = ("budget", "_rng", "_max_attempts", "_delay")
 
     def __init__(self, thresholds: Thresholds, rng: Random):
         self.budget = Budget(thresholds["retry_share"], thresholds["retry_reserve"])
         self._rng = rng
-        self._attempts = int(thresholds["retry_attempts"])
+        self._max_attempts = int(thresholds["retry_attempts"])
         self._delay = thresholds["retry_delay"]
 
     def succeeded(self) -> None:
@@ -127,9 +127,9 @@
         """
         if outcome in (Outcome.ANSWERED, Outcome.CANCELLED):
             return RetryDecision(RetryVerdict.FINAL)
-        if not is_repeatable and outcome not in CERTAINLY_NOT_RUN:
+        if not is_repeatable and outcome not in NOT_RUN_OUTCOMES:
             return RetryDecision(RetryVerdict.NOT_REPEATABLE)
-        if attempt >= self._attempts:
+        if attempt >= self._max_attempts:
             return RetryDecision(RetryVerdict.ATTEMPTS)
         delay = self._rng.uniform(0.0, self._delay * 2 ** (attempt - 1))
         if delay + expected_cost > time_left:
--- a/packages/policy/src/berylstage_policy/shares.py
+++ b/packages/policy/src/berylstage_policy/shares.py
@@ -13,7 +13,7 @@
     from collections.abc import Sequence
 
 # Picks in one round of integer weights that are given in percent.
-ROUND = 100
+PICKS_PER_ROUND = 100
 
 
 class WeightedTurns:
@@ -34,7 +34,7 @@
         self._weights = list(weights)
         self._total = sum(weights)
         self._credits = [0.0 for _ in weights]
-        for _ in range(int(start * ROUND)):
+        for _ in range(int(start * PICKS_PER_ROUND)):
             self.take()
 
     def take(self) -> int:
--- a/packages/policy/src/berylstage_policy/slots.py
+++ b/packages/policy/src/berylstage_policy/slots.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-def residual(cost: float, elapsed: float) -> float:
+def remaining_seconds(cost: float, elapsed: float) -> float:
     """Return the expected seconds until a running request frees its slot.
 
     A request that exceeds its expected cost is assumed to end soon, however long it has
@@ -25,7 +25,7 @@
     return max(cost - elapsed, cost / 2)
 
 
-def time_to_serve(work: float, limit: int, residuals: list[float]) -> float:
+def seconds_to_serve(work: float, limit: int, remaining: list[float]) -> float:
     """Return the seconds until the slots have done `work` and one of them is free.
 
     Parameters
@@ -41,17 +41,17 @@
     -------
     float
     """
-    busy = len(residuals)
+    busy = len(remaining)
     if busy < limit:
-        free = [0.0] * (limit - busy) + residuals
+        free_at = [0.0] * (limit - busy) + remaining
     else:
-        free = residuals[busy - limit :]
+        free_at = remaining[busy - limit :]
     # Assign the work to the slots as they become free, the earliest slot first.
-    level = free[0]
-    for count in range(1, len(free)):
-        room = (free[count] - level) * count
-        if work <= room:
+    level = free_at[0]
+    for count in range(1, len(free_at)):
+        capacity = (free_at[count] - level) * count
+        if work <= capacity:
             return level + work / count
-        work -= room
-        level = free[count]
-    return level + work / len(free)
+        work -= capacity
+        level = free_at[count]
+    return level + work / len(free_at)
--- a/packages/policy/src/berylstage_policy/thresholds.py
+++ b/packages/policy/src/berylstage_policy/thresholds.py
@@ -7,7 +7,7 @@
 
 # Pairs whose first value must stay below the second. A process whose stop bound lies
 # beyond its start bound would never end, and keys would move continuously.
-ORDERED = (
+ORDERED_PAIRS = (
     ("balance_settled_high", "balance_high"),
     ("balance_low", "balance_settled_low"),
     ("hot_leave", "hot_enter"),
@@ -89,7 +89,7 @@
 def _check_order(overrides: dict[str, float]) -> list[ThresholdError]:
     """Return an error for each pair of thresholds in the wrong order."""
     errors = []
-    for lower, upper in ORDERED:
+    for lower, upper in ORDERED_PAIRS:
         low = overrides.get(lower, TABLE[lower].default)
         high = overrides.get(upper, TABLE[upper].default)
         if low >= high:
--- a/packages/policy/tests/conftest.py
+++ b/packages/policy/tests/conftest.py
@@ -11,7 +11,7 @@
 from berylstage_policy.tickets import Outcome, Refuse, Start, Ticket
 
 
-class QueuePlayer:
+class QueueSimulation:
     """Discrete-event simulation of arrivals at one queue and its target."""
 
     def __init__(self, slots=2, thresholds=DEFAULTS, is_warm=True):
@@ -24,8 +24,8 @@
         self.answers = {}
         self.refusals = {}
         self.started = {}
-        self.slowdown = 1.0
-        self.most_running = 0
+        self.slowdown_factor = 1.0
+        self.max_running = 0
         self.incarnation = "a"
         if is_warm:
             self._warm_up()
@@ -35,7 +35,7 @@
         while not self.queue.ramp.warm:
             self.queue.ramp.completed(0.0, 1.0)
 
-    def arrive(
+    def add_arrival(
         self,
         at,
         demand,
@@ -63,12 +63,14 @@
         heappush(self.events, (at, self.count, "arrive", name))
         return name
 
-    def stream(self, start, end, rate, demand, seed=1, **options):
+    def add_poisson_arrivals(self, start, end, rate, demand, seed=1, **options):
         rng = Random(seed)
         names = []
         at = start + rng.expovariate(rate)
         while at < end:
-            names.append(self.arrive(at, rng.gammavariate(2, demand / 2), **options))
+            names.append(
+                self.add_arrival(at, rng.gammavariate(2, demand / 2), **options)
+            )
             at += rng.expovariate(rate)
         return names
 
@@ -94,9 +96,9 @@
 
     def _start(self, name, now):
         self.started[name] = now
-        self.most_running = max(self.most_running, self.queue.running)
+        self.max_running = max(self.max_running, self.queue.running)
         self.count += 1
-        finish = now + self.demands[name] * self.slowdown
+        finish = now + self.demands[name] * self.slowdown_factor
         heappush(self.events, (finish, self.count, "finish", name))
 
     def _finish(self, name, now):
@@ -112,7 +114,7 @@
         for refusal in refusals:
             self.refusals[refusal.ticket_id] = (now, refusal)
 
-    def in_time(self, names):
+    def in_time_share(self, names):
         good = [
             n
             for n in names
@@ -133,8 +135,8 @@
 
 
 @pytest.fixture
-def make_player():
-    return QueuePlayer
+def make_simulation():
+    return QueueSimulation
 
 
 @pytest.fixture
--- a/packages/policy/tests/test_backoff.py
+++ b/packages/policy/tests/test_backoff.py
@@ -12,28 +12,28 @@
     def test_returns_fit_the_capacity(self):
         # A target that serves 100 requests per second refuses a burst of 500 at once.
         # Callers that return together would be refused again.
-        spread = RetryAfter(Random(1), DEFAULTS)
-        delays = [spread.after(0.0, 0.0, 0.01) for _ in range(500)]
+        retry_after = RetryAfter(Random(1), DEFAULTS)
+        delays = [retry_after.next_delay(0.0, 0.0, 0.01) for _ in range(500)]
         per_second = [sum(s <= d < s + 1 for d in delays) for s in range(6)]
         assert max(per_second) <= 110
         assert min(delays) >= DEFAULTS["retry_after_floor"] / 2
 
     def test_calendar_is_free_again_after_a_while(self):
-        spread = RetryAfter(Random(1), DEFAULTS)
+        retry_after = RetryAfter(Random(1), DEFAULTS)
         for _ in range(500):
-            spread.after(0.0, 0.0, 0.01)
-        assert spread.after(60.0, 0.0, 0.01) < 1.0
+            retry_after.next_delay(0.0, 0.0, 0.01)
+        assert retry_after.next_delay(60.0, 0.0, 0.01) < 1.0
 
     def test_sustained_refusal_never_tells_more_than_the_ceiling(self):
         # Hours of overload fill the schedule. The delays must stay bounded, and the
         # callers must still not return at the same time.
-        spread = RetryAfter(Random(1), DEFAULTS)
-        delays = [spread.after(i * 0.001, 0.0, 0.01) for i in range(20000)]
+        retry_after = RetryAfter(Random(1), DEFAULTS)
+        delays = [retry_after.next_delay(i * 0.001, 0.0, 0.01) for i in range(20000)]
         assert max(delays) <= DEFAULTS["retry_after_ceiling"]
         late = delays[-1000:]
         assert max(late) - min(late) > 10.0
         assert min(late) >= DEFAULTS["retry_after_ceiling"] / 2
 
     def test_long_queue_is_told(self):
-        spread = RetryAfter(Random(1), DEFAULTS)
-        assert spread.after(0.0, 4.0, 0.01) > 2.0
+        retry_after = RetryAfter(Random(1), DEFAULTS)
+        assert retry_after.next_delay(0.0, 4.0, 0.01) > 2.0
--- a/packages/policy/tests/test_coldstart.py
+++ b/packages/policy/tests/test_coldstart.py
@@ -16,7 +16,7 @@
     return found
 
 
-def complete(ramp, count, ratio=1.0, now=0.0):
+def record_completions(ramp, count, ratio=1.0, now=0.0):
     for _ in range(count):
         ramp.completed(now, ratio)
 
@@ -24,7 +24,7 @@
 @pytest.fixture
 def warm(ramp):
     ramp.seen(0.0, "a")
-    complete(ramp, 2 * STEP)
+    record_completions(ramp, 2 * STEP)
     assert ramp.warm
     return ramp
 
@@ -34,38 +34,38 @@
         limits = []
         for _ in range(2 * STEP):
             limits.append(ramp.limit(0.0))
-            complete(ramp, 1)
+            record_completions(ramp, 1)
         assert limits == [1] * STEP + [2] * STEP
         assert ramp.limit(0.0) == 3
 
-    def test_slow_answers_do_not_count_as_warmth(self, ramp):
+    def test_slow_answers_do_not_raise_the_limit(self, ramp):
         # A cold target answers three times slower than a warm one. If these answers
         # counted, it would get a second request too early.
-        complete(ramp, 3 * STEP, ratio=3.0)
+        record_completions(ramp, 3 * STEP, ratio=3.0)
         assert ramp.limit(0.0) == 1
 
-    def test_target_that_stays_slow_is_not_held_for_ever(self, ramp):
-        complete(ramp, STEP * int(DEFAULTS["ramp_patience"]), ratio=3.0)
+    def test_permanently_slow_target_is_not_held_forever(self, ramp):
+        record_completions(ramp, STEP * int(DEFAULTS["ramp_patience"]), ratio=3.0)
         assert ramp.limit(0.0) == 2
 
     def test_completions_before_the_report_is_warm_do_not_count(self, ramp):
         ramp.reported(0.0, True)
-        complete(ramp, 8 * STEP)
+        record_completions(ramp, 8 * STEP)
         assert ramp.limit(0.0) == 1
         ramp.reported(1.0, False)
-        complete(ramp, STEP, now=1.0)
+        record_completions(ramp, STEP, now=1.0)
         assert ramp.limit(1.0) == 2
 
-    def test_word_of_an_unknown_target_does_not_shorten_its_ramp(self, ramp):
+    def test_report_without_learned_times_does_not_shorten_the_ramp(self, ramp):
         # A VM starts to lead a target without learned service times, and the target's
         # report of being warm is wrong. Slow answers look normal to the VM, so their
         # number alone must not raise the limit.
-        complete(ramp, 3 * STEP, ratio=None)
+        record_completions(ramp, 3 * STEP, ratio=None)
         assert ramp.limit(0.0) == 1
-        complete(ramp, 3 * STEP, ratio=None)
+        record_completions(ramp, 3 * STEP, ratio=None)
         assert ramp.limit(0.0) == 2
 
-    def test_fast_answers_without_the_targets_word_do_not_shorten_it(self):
+    def test_fast_answers_without_a_report_do_not_shorten_the_ramp(self):
         # Some cold targets answer as fast as warm ones until a second request makes
         # them crash. This target has restarted, and its last report is from before the
         # restart.
@@ -73,17 +73,17 @@
         ramp.seen(0.0, "a")
         ramp.seen(5.0, "b")
         ramp.reported(5.2, False, age=1.0)
-        complete(ramp, 3 * STEP, now=5.2)
+        record_completions(ramp, 3 * STEP, now=5.2)
         assert ramp.limit(5.2) == 1
         ramp.reported(6.5, False, age=1.0)
-        complete(ramp, STEP, now=6.5)
+        record_completions(ramp, STEP, now=6.5)
         assert ramp.limit(6.5) == 2
 
-    def test_report_from_before_the_ramp_ended_is_history(self, ramp):
+    def test_cold_report_from_before_the_ramp_ended_is_ignored(self, ramp):
         # Reports lag by seconds, so one may say cold after the answers have shown that
         # the target is warm. If it were believed, the ramp would restart again and
         # again.
-        complete(ramp, 2 * STEP, now=5.0)
+        record_completions(ramp, 2 * STEP, now=5.0)
         ramp.reported(5.5, True, age=1.0)
         assert ramp.limit(5.5) == 3
         ramp.reported(7.0, True, age=1.0)
@@ -96,7 +96,7 @@
         [
             lambda ramp: ramp.seen(1.0, "b"),
             lambda ramp: ramp.reported(1.0, True),
-            lambda ramp: ramp.new_start(1.0),
+            lambda ramp: ramp.reset(1.0),
         ],
         ids=["incarnation", "report", "refusal"],
     )
@@ -107,7 +107,7 @@
         assert warm.limit(0.0) == 1
         assert not warm.warm
 
-    def test_lost_answer_holds_until_the_same_run_shows(self, warm):
+    def test_lost_answer_limits_until_the_incarnation_is_confirmed(self, warm):
         # A connection is lost. If the target restarted, two requests are too many; if
         # it did not, a complete ramp would waste its slots.
         warm.doubted(0.1)
@@ -115,12 +115,12 @@
         warm.seen(0.2, "a")
         assert warm.limit(0.2) == 3
 
-    def test_lost_answer_and_another_run_is_a_new_start(self, warm):
+    def test_lost_answer_and_another_incarnation_is_a_restart(self, warm):
         warm.doubted(0.1)
         warm.seen(0.2, "b")
         assert warm.limit(0.2) == 1
 
-    def test_silence_sends_one_request_ahead(self, warm):
+    def test_one_request_is_sent_after_a_silence(self, warm):
         # The target restarted while it was idle, so no request failed. Unless the first
         # request after a silence is sent alone, the full load hits a cold target.
         assert warm.limit(0.5) == 3
@@ -135,5 +135,5 @@
         assert warm.limit(0.0) == 2
         warm.set_slots(4)
         assert warm.limit(0.0) == 2
-        complete(warm, STEP)
+        record_completions(warm, STEP)
         assert warm.limit(0.0) == 3
--- a/packages/policy/tests/test_fairness.py
+++ b/packages/policy/tests/test_fairness.py
@@ -6,7 +6,7 @@
 from random import Random
 
 import pytest
-from berylstage_policy.fairness import IDLE_FLOWS, FairQueue
+from berylstage_policy.fairness import MAX_IDLE_FLOWS, FairQueue
 
 
 def path(caller, lane="short", request_class="interactive", weight=1.0):
@@ -43,7 +43,7 @@
         served = Counter(serve(queue, 20))
         assert abs(served["a"] - served["b"]) <= 1
 
-    def test_costly_requests_count_by_their_cost(self):
+    def test_requests_are_charged_their_cost(self):
         queue = FairQueue(2.5)
         for _ in range(200):
             push(queue, "dear", "a", cost=0.1)
@@ -59,7 +59,7 @@
         served = Counter(serve(queue, 180))
         assert 7 <= served["people"] / served["batch"] <= 9
 
-    def test_caller_that_had_more_is_not_passed_by_newcomers_for_ever(self):
+    def test_served_caller_is_not_overtaken_by_new_ones_forever(self):
         # A caller has been served a few times in a busy period. Each new flow starts at
         # the virtual time; if that did not advance, the caller's next request would
         # wait for as long as new flows arrive.
@@ -91,13 +91,13 @@
 class TestMemory:
     def test_callers_that_came_once_are_forgotten(self):
         queue = FairQueue(2.5)
-        for i in range(20 * IDLE_FLOWS):
+        for i in range(20 * MAX_IDLE_FLOWS):
             push(queue, "x", f"caller-{i}")
             serve(queue, 1)
         leaves = queue.leaf(path("x")[:3]).children
-        assert len(leaves) <= IDLE_FLOWS
+        assert len(leaves) <= MAX_IDLE_FLOWS
 
-    def test_hours_of_one_lane_leave_no_entries_behind(self):
+    def test_serving_one_lane_for_hours_leaves_no_stale_entries(self):
         # A reconciliation occupies the long lane's slots for hours while short requests
         # are served past it. If every heap entry were kept, the VM would run out of
         # memory.
@@ -106,7 +106,7 @@
         for i in range(5000):
             push(queue, "short", f"caller-{i % 10}")
             serve(queue, 1, top="short")
-        assert len(queue.root.heap) < 100
+        assert len(queue.root.child_heap) < 100
 
 
 class TestAhead:
@@ -114,15 +114,15 @@
         queue = FairQueue(2.5)
         for _ in range(100):
             push(queue, "flood", "script")
-        light = queue.ahead(queue.leaf(path("light")), 0.02)
-        heavy = queue.ahead(queue.leaf(path("script")), 0.02)
+        light = queue.work_ahead(queue.leaf(path("light")), 0.02)
+        heavy = queue.work_ahead(queue.leaf(path("script")), 0.02)
         assert light < 0.05
         assert heavy >= 2.0
 
 
 class TestWholeness:
     @pytest.mark.parametrize("rounds", range(20, 120))
-    def test_lane_that_wakes_up_is_served_whenever_it_does(self, rounds):
+    def test_lane_that_becomes_active_is_served(self, rounds):
         # Short requests were served past a long one, and stale heap entries are
         # compacted at the moment at which a short request arrives. If its entry were
         # dropped too, the request would wait forever and the next pop would fail.
--- a/packages/policy/tests/test_health.py
+++ b/packages/policy/tests/test_health.py
@@ -19,7 +19,7 @@
         for now in (0.3, 0.5, 0.9, 1.2):
             assert health.verdict(now) is Verdict.STALLED
         health.answered(1.24)
-        assert health.verdict(1.25) is Verdict.WELL
+        assert health.verdict(1.25) is Verdict.HEALTHY
 
     def test_lost_target_is_down_in_time_for_its_keys(self, health):
         # The target is gone and its keys must be served again after 2 s. Part of that
@@ -28,7 +28,7 @@
         health.answered(5.0)
         assert health.verdict(6.25) is Verdict.DOWN
 
-    def test_refused_connections_are_believed_sooner(self, health):
+    def test_refused_connections_are_detected_sooner(self, health):
         health.refused_connection(0.1)
         assert health.verdict(0.2) is Verdict.STALLED
         assert health.verdict(0.6) is Verdict.DOWN
@@ -36,7 +36,7 @@
     def test_quick_restart_is_not_down(self, health):
         health.refused_connection(0.1)
         health.answered(0.3)
-        assert health.verdict(0.55) is Verdict.WELL
+        assert health.verdict(0.55) is Verdict.HEALTHY
 
     def test_next_change_names_each_step(self, health):
         assert health.next_change(0.0) == DEFAULTS["stall_after"]
@@ -64,7 +64,7 @@
         for now in range(20, 40):
             health.answered(float(now))
             health.latency(float(now), 1.0)
-        assert health.verdict(39.0) is Verdict.WELL
+        assert health.verdict(39.0) is Verdict.HEALTHY
         assert health.capacity(2) == 2.0
 
     def test_ratio_about_the_bound_does_not_flap(self, health):
--- a/packages/policy/tests/test_hotkeys.py
+++ b/packages/policy/tests/test_hotkeys.py
@@ -5,12 +5,12 @@
 from random import Random
 
 import pytest
-from berylstage_policy.hotkeys import RESCALE_AT, HotKeys, KeySketch
+from berylstage_policy.hotkeys import MAX_SCALE, HotKeys, KeySketch
 from berylstage_policy.thresholds import DEFAULTS
 
 
 class TestKeySketch:
-    def test_finds_the_heavy_among_many_with_bounded_memory(self):
+    def test_finds_heavy_keys_in_bounded_memory(self):
         sketch = KeySketch(64, 10.0)
         rng = Random(1)
         for i in range(50000):
@@ -23,7 +23,7 @@
         # Each has 40 per second.
         assert all(30 < rate < 45 for _, rate in top)
 
-    def test_cold_key_that_takes_over_a_counter_is_not_hot(self):
+    def test_rare_key_that_takes_over_a_counter_is_not_hot(self):
         # In a full sketch, a new key inherits the weight of the counter that it takes
         # over. If that counted as its own weight, every rare key would be set apart in
         # turn.
@@ -48,11 +48,11 @@
         assert sketch.rate("a", 4995.0) == pytest.approx(
             2 * sketch.rate("b", 4995.0), rel=1e-6
         )
-        assert sketch._total < RESCALE_AT * 10
+        assert sketch._total < MAX_SCALE * 10
 
 
 class TestHotKeys:
-    def play(self, hot, key, share, start, end, slots=2.0):
+    def add_load(self, hot, key, share, start, end, slots=2.0):
         """Give one key a share of a target's slots, among many light keys."""
         rng = Random(int(start))
         steps = int((end - start) * 20)
@@ -63,28 +63,28 @@
 
     def test_hot_key_is_set_apart_within_seconds(self):
         hot = HotKeys(DEFAULTS)
-        self.play(hot, "a", 0.5, 0.0, 15.0)
+        self.add_load(hot, "a", 0.5, 0.0, 15.0)
         assert hot.changes(2.0, 15.0).set_apart == ["a"]
 
-    def test_light_key_is_not(self):
+    def test_light_key_is_not_set_apart(self):
         hot = HotKeys(DEFAULTS)
-        self.play(hot, "a", 0.1, 0.0, 60.0)
+        self.add_load(hot, "a", 0.1, 0.0, 60.0)
         assert hot.changes(2.0, 60.0).set_apart == []
 
     def test_key_that_pauses_is_not_given_back_at_once(self):
         # A hot key has no requests for half a minute. If it were given back and set
         # apart again, it would move twice and be unavailable each time.
         hot = HotKeys(DEFAULTS)
-        self.play(hot, "a", 0.5, 0.0, 30.0)
+        self.add_load(hot, "a", 0.5, 0.0, 30.0)
         hot.set_apart({"a"})
         for now in range(30, 100, 5):
             assert hot.changes(2.0, float(now)).give_back == []
-        self.play(hot, "a", 0.5, 100.0, 110.0)
+        self.add_load(hot, "a", 0.5, 100.0, 110.0)
         assert hot.changes(2.0, 110.0).give_back == []
 
     def test_cooled_key_is_given_back(self):
         hot = HotKeys(DEFAULTS)
-        self.play(hot, "a", 0.5, 0.0, 30.0)
+        self.add_load(hot, "a", 0.5, 0.0, 30.0)
         hot.set_apart({"a"})
         given = [hot.changes(2.0, float(now)).give_back for now in range(30, 200, 5)]
         assert given[-1] == ["a"]
--- a/packages/policy/tests/test_placement.py
+++ b/packages/policy/tests/test_placement.py
@@ -6,12 +6,17 @@
 
 from berylstage_policy.placement import Holding, Place, plan
 
-CENTRES = ("almaty-a", "almaty-b", "shymkent-a", "taraz-a")
+DATA_CENTRES = ("almaty-a", "almaty-b", "shymkent-a", "taraz-a")
 
 
 def make_places(closed=()):
     return [
-        Place(f"field-log-{i:02}", CENTRES[i % 4], 2.0, CENTRES[i % 4] not in closed)
+        Place(
+            f"field-log-{i:02}",
+            DATA_CENTRES[i % 4],
+            2.0,
+            DATA_CENTRES[i % 4] not in closed,
+        )
         for i in range(12)
     ]
 
@@ -23,7 +28,7 @@
     ]
 
 
-def apply(moves, holdings):
+def apply_moves(moves, holdings):
     owners = {move.shard: move.destination for move in moves}
     for holding in holdings:
         holding.owner = owners.get(holding.shard, holding.owner)
@@ -36,14 +41,14 @@
     return max(levels.values()) * len(levels) / sum(levels.values())
 
 
-def settle(holdings, places, budget=8, rounds=100):
+def apply_until_settled(holdings, places, budget=8, rounds=100):
     """Apply plans until one is empty; return the number of moves of each shard."""
     counts = {}
     for _ in range(rounds):
         moves = plan(holdings, places, budget)
         if not moves:
             break
-        apply(moves, holdings)
+        apply_moves(moves, holdings)
         for move in moves:
             counts[move.shard] = counts.get(move.shard, 0) + 1
     else:
@@ -56,18 +61,18 @@
         holdings, places = make_holdings(), make_places()
         moves = plan(holdings, places, 0)
         assert len(moves) == len(holdings)
-        apply(moves, holdings)
+        apply_moves(moves, holdings)
         assert imbalance(holdings, places) < 1.05
 
     def test_shards_without_load_are_spread_by_number(self):
         holdings = [Holding(f"s/{i}", None) for i in range(24)]
-        apply(plan(holdings, make_places(), 0), holdings)
+        apply_moves(plan(holdings, make_places(), 0), holdings)
         owners = [holding.owner for holding in holdings]
         assert all(owners.count(owner) == 2 for owner in set(owners))
 
     def test_pinned_shard_moves_to_its_place(self):
         holdings, places = make_holdings(), make_places()
-        settle(holdings, places)
+        apply_until_settled(holdings, places)
         elsewhere = next(h for h in holdings if h.owner != "field-log-03")
         elsewhere.pinned = "field-log-03"
         moves = plan(holdings, places, 0)
@@ -79,20 +84,20 @@
         # took precedence, the key's callers would get no answer until it reopens.
         holdings, places = make_holdings(), make_places(closed=("shymkent-a",))
         holdings[0].pinned = "field-log-02"
-        apply(plan(holdings, places, 0), holdings)
+        apply_moves(plan(holdings, places, 0), holdings)
         eligible = {place.name for place in places if place.eligible}
         assert holdings[0].owner in eligible
 
     def test_no_eligible_place_moves_nothing(self):
         # All data centres are closed at once. An exception here would stop the
         # proposer, and with it the reopening.
-        assert plan(make_holdings(), make_places(closed=CENTRES), 8) == []
+        assert plan(make_holdings(), make_places(closed=DATA_CENTRES), 8) == []
 
 
 class TestBalance:
     def test_settled_placement_stays_under_small_drift(self):
         holdings, places = make_holdings(), make_places()
-        settle(holdings, places)
+        apply_until_settled(holdings, places)
         rng = random.Random(2)
         for holding in holdings:
             holding.load *= rng.uniform(0.9, 1.1)
@@ -100,20 +105,20 @@
 
     def test_budget_bounds_moves_for_balance(self):
         holdings, places = make_holdings(), make_places()
-        apply(plan(holdings, make_places(closed=("shymkent-a",)), 0), holdings)
+        apply_moves(plan(holdings, make_places(closed=("shymkent-a",)), 0), holdings)
         assert len(plan(holdings, places, 5)) == 5
 
-    def test_shard_that_went_away_and_back_stays(self):
+    def test_recently_moved_shard_stays(self):
         # A key has moved twice within minutes. Its callers have already waited twice,
         # so other keys have to move instead.
         holdings = make_holdings()
-        apply(plan(holdings, make_places(closed=("shymkent-a",)), 0), holdings)
-        tired = {holding.shard for holding in holdings[::2]}
+        apply_moves(plan(holdings, make_places(closed=("shymkent-a",)), 0), holdings)
+        recently_moved = {holding.shard for holding in holdings[::2]}
         for holding in holdings[::2]:
             holding.recent_moves = 2
-        counts = settle(holdings, make_places())
+        counts = apply_until_settled(holdings, make_places())
         assert counts
-        assert not tired & set(counts)
+        assert not recently_moved & set(counts)
 
     def test_one_new_target_among_many_is_filled(self):
         # A target joins eleven others. None of them is far above the mean, so a rule
@@ -121,34 +126,36 @@
         # forever.
         holdings, places = make_holdings(), make_places()
         places[7].eligible = False
-        apply(plan(holdings, places, 0), holdings)
+        apply_moves(plan(holdings, places, 0), holdings)
         places[7].eligible = True
-        settle(holdings, places)
+        apply_until_settled(holdings, places)
         assert imbalance(holdings, places) < 1.15
 
-    def test_key_heavier_than_a_target_does_not_move_to_and_fro(self):
+    def test_key_heavier_than_a_target_does_not_oscillate(self):
         # One key has more load than a target's mean. Moving it cannot help, and each
         # move makes its callers wait, so the other keys on its target have to move.
         holdings, places = make_holdings(), make_places()
-        settle(holdings, places)
+        apply_until_settled(holdings, places)
         holdings[9].load = 40.0
-        counts = settle(holdings, places)
+        counts = apply_until_settled(holdings, places)
         assert holdings[9].shard not in counts
         neighbours = [h for h in holdings if h.owner == holdings[9].owner]
         assert len(neighbours) <= 2
         assert plan(holdings, places, 8) == []
 
-    def test_two_hot_keys_on_one_target_are_parted(self):
+    def test_two_hot_keys_on_one_target_are_separated(self):
         # Two keys that became hot share a target. Each is too heavy for any other
         # target as it stands, so no single move helps and their callers get slow
         # answers.
-        places = [Place(f"field-log-{i:02}", CENTRES[i % 4], 2.0) for i in range(4)]
+        places = [
+            Place(f"field-log-{i:02}", DATA_CENTRES[i % 4], 2.0) for i in range(4)
+        ]
         holdings = [
             Holding(f"light/{i}", f"field-log-{1 + i % 3:02}", 0.2) for i in range(12)
         ]
         holdings += [Holding(f"hot/{i}", "field-log-00", 0.54) for i in range(2)]
         before = imbalance(holdings, places)
-        counts = settle(holdings, places)
+        counts = apply_until_settled(holdings, places)
         hot = {holding.owner for holding in holdings if holding.shard[0] == "h"}
         assert before > 1.1
         assert len(hot) == 2
@@ -161,11 +168,11 @@
         # Operators close shymkent-a for an hour and reopen it. Every move makes a key
         # unavailable for a moment, so the return must not move unrelated keys.
         holdings, places = make_holdings(), make_places()
-        settle(holdings, places)
+        apply_until_settled(holdings, places)
         in_closed = {p.name for p in places if p.data_centre == "shymkent-a"}
         least = sum(holding.owner in in_closed for holding in holdings)
-        away = settle(holdings, make_places(closed=("shymkent-a",)))
-        back = settle(holdings, places)
+        away = apply_until_settled(holdings, make_places(closed=("shymkent-a",)))
+        back = apply_until_settled(holdings, places)
         total = {
             shard: away.get(shard, 0) + back.get(shard, 0) for shard in away | back
         }
--- a/packages/policy/tests/test_queue.py
+++ b/packages/policy/tests/test_queue.py
@@ -18,70 +18,79 @@
 
 
 class TestBurst:
-    def test_burst_that_fits_the_deadlines_is_all_answered(self, make_player):
+    def test_burst_that_fits_the_deadlines_is_all_answered(self, make_simulation):
         # Forty callers arrive within the same moment, and the target can serve all of
         # them in time. No request may be refused.
-        player = make_player()
-        names = [player.arrive(0.001 * i, 0.02, caller=f"c{i}") for i in range(40)]
-        player.run()
-        assert player.in_time(names) == 1.0
-        assert player.most_running == 2
+        simulation = make_simulation()
+        names = [
+            simulation.add_arrival(0.001 * i, 0.02, caller=f"c{i}") for i in range(40)
+        ]
+        simulation.run()
+        assert simulation.in_time_share(names) == 1.0
+        assert simulation.max_running == 2
 
-    def test_burst_beyond_the_deadlines_is_turned_away_at_once(self, make_player):
+    def test_burst_beyond_the_deadlines_is_refused_at_once(self, make_simulation):
         # A thousand requests arrive within 0.1 s, ten times what can be answered in
         # time. Callers that cannot be served must be refused immediately.
-        player = make_player()
-        names = [player.arrive(0.0001 * i, 0.02, caller=f"c{i}") for i in range(1000)]
-        player.run()
+        simulation = make_simulation()
+        names = [
+            simulation.add_arrival(0.0001 * i, 0.02, caller=f"c{i}")
+            for i in range(1000)
+        ]
+        simulation.run()
         waits = sorted(
-            at - player.tickets[name].arrived
-            for name, (at, _) in player.refusals.items()
+            at - simulation.tickets[name].arrived
+            for name, (at, _) in simulation.refusals.items()
         )
-        assert len(player.refusals) > 800
+        assert len(simulation.refusals) > 800
         assert waits[int(0.9 * len(waits))] == 0.0
-        assert player.in_time(names) > 0.05
+        assert simulation.in_time_share(names) > 0.05
 
-    def test_refused_callers_do_not_return_together(self, make_player):
+    def test_refused_callers_do_not_return_together(self, make_simulation):
         # Callers obey the retry delay. If all got the same one, the whole burst would
         # return at once and be refused again.
-        player = make_player()
+        simulation = make_simulation()
         for i in range(1000):
-            player.arrive(0.0001 * i, 0.02, caller=f"c{i}")
-        player.run()
-        returns = sorted(at + r.retry_after for at, r in player.refusals.values())
+            simulation.add_arrival(0.0001 * i, 0.02, caller=f"c{i}")
+        simulation.run()
+        returns = sorted(at + r.retry_after for at, r in simulation.refusals.values())
         per_second = [sum(int(t) == s for t in returns) for s in range(30)]
         # The target serves 100 requests per second.
         assert max(per_second) <= 200
 
 
 class TestSaturation:
-    def test_goodput_stays_at_capacity(self, make_player):
+    def test_goodput_stays_at_capacity(self, make_simulation):
         # Requests arrive at twice the target's capacity for twenty seconds. If the
         # queue ignored deadlines, the target would work on requests whose callers have
         # gone.
-        player = make_player()
-        names = player.stream(0, 20, 200, 0.02)
-        player.run()
-        answered = [n for n in names if n in player.answers]
-        work = sum(player.demands[n] for n in answered if player.answers[n] <= 1 + 20)
-        assert player.in_time(answered) > 0.98
+        simulation = make_simulation()
+        names = simulation.add_poisson_arrivals(0, 20, 200, 0.02)
+        simulation.run()
+        answered = [n for n in names if n in simulation.answers]
+        work = sum(
+            simulation.demands[n] for n in answered if simulation.answers[n] <= 1 + 20
+        )
+        assert simulation.in_time_share(answered) > 0.98
         assert work / (2 * 20) > 0.95
 
-    def test_no_class_is_starved(self, make_player):
+    def test_no_class_is_starved(self, make_simulation):
         # Interactive, standard and batch requests each arrive at the target's capacity.
         # Batch requests wait, but no class may be starved.
-        player = make_player()
+        simulation = make_simulation()
         names = {
-            name: player.stream(
+            name: simulation.add_poisson_arrivals(
                 0, 20, 100, 0.02, seed=i, request_class=name, caller=name, kind=name
             )
             for i, name in enumerate(("interactive", "standard", "batch"))
         }
-        player.run()
-        shares = {name: player.in_time(found) for name, found in names.items()}
+        simulation.run()
+        shares = {
+            name: simulation.in_time_share(found) for name, found in names.items()
+        }
         assert shares["interactive"] > shares["standard"] > shares["batch"] > 0.03
 
-    def test_queue_is_bounded(self, make_player, make_ticket):
+    def test_queue_is_bounded(self, make_simulation, make_ticket):
         thresholds = DEFAULTS.replaced(queue_limit=10)
         queue = TargetQueue(1, thresholds, Random(1), 0.0)
         queue.offer(make_ticket("first", deadline=1000.0), 0.0)
@@ -92,7 +101,7 @@
         assert isinstance(decision, Refuse)
         assert decision.reason is RefuseReason.QUEUE_FULL
 
-    def test_full_queue_makes_room_for_a_light_caller(self, make_ticket):
+    def test_full_queue_evicts_for_a_light_caller(self, make_ticket):
         # One caller has filled the queue. If the next caller were refused for that, a
         # single flooding client would lock out everybody else.
         thresholds = DEFAULTS.replaced(queue_limit=10)
@@ -109,36 +118,42 @@
 
 
 class TestFairness:
-    def test_flooding_caller_does_not_delay_the_others(self, make_player):
+    def test_flooding_caller_does_not_delay_the_others(self, make_simulation):
         # One client sends three times the target's capacity and ten others send little.
         # In a FIFO queue the others would wait behind it.
-        player = make_player()
-        player.stream(0, 10, 300, 0.02, caller="script")
+        simulation = make_simulation()
+        simulation.add_poisson_arrivals(0, 10, 300, 0.02, caller="script")
         others = []
         for i in range(10):
-            others += player.stream(0, 10, 4, 0.02, seed=i + 2, caller=f"c{i}")
-        player.run()
-        assert player.in_time(others) > 0.98
-        assert player.p99(others) < 0.3
+            others += simulation.add_poisson_arrivals(
+                0, 10, 4, 0.02, seed=i + 2, caller=f"c{i}"
+            )
+        simulation.run()
+        assert simulation.in_time_share(others) > 0.98
+        assert simulation.p99(others) < 0.3
 
-    def test_heavy_callers_share_evenly(self, make_player):
-        player = make_player()
+    def test_heavy_callers_share_evenly(self, make_simulation):
+        simulation = make_simulation()
         names = [
-            player.stream(0, 20, 100, 0.02, seed=i, caller=f"c{i}") for i in range(3)
+            simulation.add_poisson_arrivals(0, 20, 100, 0.02, seed=i, caller=f"c{i}")
+            for i in range(3)
+        ]
+        simulation.run()
+        done = [
+            sum(simulation.demands[n] for n in f if n in simulation.answers)
+            for f in names
         ]
-        player.run()
-        done = [sum(player.demands[n] for n in f if n in player.answers) for f in names]
         assert max(done) / mean(done) < 1.1
 
 
 class TestLongAmongShort:
-    def play(self, make_player, slots, has_long, **changed):
-        player = make_player(slots, DEFAULTS.replaced(**changed))
-        short = player.stream(0, 60, 30, 0.015)
+    def simulate_mix(self, make_simulation, slots, has_long, **changed):
+        simulation = make_simulation(slots, DEFAULTS.replaced(**changed))
+        short = simulation.add_poisson_arrivals(0, 60, 30, 0.015)
         long = []
         if has_long:
             long = [
-                player.arrive(
+                simulation.add_arrival(
                     5.0 + 0.1 * i,
                     3.0,
                     caller="finance",
@@ -148,118 +163,128 @@
                 )
                 for i in range(12)
             ]
-        player.run()
-        return player, short, long
+        simulation.run()
+        return simulation, short, long
 
-    def test_short_work_keeps_its_wait(self, make_player):
+    def test_short_work_keeps_its_wait(self, make_simulation):
         # Batch requests of several seconds run behind interactive lookups. If they
         # occupied all slots, lookups would wait for seconds.
-        player, short, long = self.play(make_player, 3, has_long=True)
-        alone, names, _ = self.play(make_player, 3, has_long=False)
-        assert player.p99(short) <= 2 * alone.p99(names)
-        assert player.in_time(long) == 1.0
+        simulation, short, long = self.simulate_mix(make_simulation, 3, has_long=True)
+        alone, names, _ = self.simulate_mix(make_simulation, 3, has_long=False)
+        assert simulation.p99(short) <= 2 * alone.p99(names)
+        assert simulation.in_time_share(long) == 1.0
 
-    def test_with_two_slots_short_work_waits_as_with_one(self, make_player):
+    def test_with_two_slots_short_work_waits_as_with_one(self, make_simulation):
         # One of two slots is left while long requests run. Short requests cannot get
         # more without preemption, so a target with one slot is the bound.
-        player, short, long = self.play(make_player, 2, has_long=True)
-        bound, names, _ = self.play(make_player, 1, has_long=False)
-        assert player.p99(short) <= 1.05 * bound.p99(names)
-        assert player.in_time(long) == 1.0
+        simulation, short, long = self.simulate_mix(make_simulation, 2, has_long=True)
+        bound, names, _ = self.simulate_mix(make_simulation, 1, has_long=False)
+        assert simulation.p99(short) <= 1.05 * bound.p99(names)
+        assert simulation.in_time_share(long) == 1.0
 
-    def test_without_the_reserve_short_work_waits_for_seconds(self, make_player):
+    def test_without_the_reserve_short_work_waits_for_seconds(self, make_simulation):
         # Control: without the reserve the failure occurs, so the tests above are able
         # to detect it.
-        player, short, _ = self.play(make_player, 2, True, short_presence=0.0)
-        assert player.in_time(short) < 0.9
+        simulation, short, _ = self.simulate_mix(
+            make_simulation, 2, True, short_presence=0.0
+        )
+        assert simulation.in_time_share(short) < 0.9
 
-    def test_long_work_alone_gets_all_slots(self, make_player):
-        player = make_player()
+    def test_long_work_alone_gets_all_slots(self, make_simulation):
+        simulation = make_simulation()
         for i in range(4):
-            player.arrive(
+            simulation.add_arrival(
                 0.1 * i, 3.0, kind="reconcile", request_class="batch", deadline=60.0
             )
-        player.run()
-        assert player.most_running == 2
+        simulation.run()
+        assert simulation.max_running == 2
 
-    def test_unlabelled_long_kind_is_learned(self, make_player):
+    def test_unlabelled_long_kind_is_learned(self, make_simulation):
         # An export is not labelled as batch and is recognized by its service time.
-        player = make_player()
-        player.stream(0, 60, 30, 0.015)
+        simulation = make_simulation()
+        simulation.add_poisson_arrivals(0, 60, 30, 0.015)
         for i in range(20):
-            player.arrive(2.0 * i, 2.0, kind="export", caller="e", deadline=120.0)
-        late = player.stream(20, 60, 10, 0.015, seed=9, caller="live")
-        player.run()
-        assert player.queue.costs.is_long("export")
-        assert player.in_time(late) > 0.99
+            simulation.add_arrival(
+                2.0 * i, 2.0, kind="export", caller="e", deadline=120.0
+            )
+        late = simulation.add_poisson_arrivals(20, 60, 10, 0.015, seed=9, caller="live")
+        simulation.run()
+        assert simulation.queue.costs.is_long("export")
+        assert simulation.in_time_share(late) > 0.99
 
 
 class TestSlowTarget:
-    def test_waiting_requests_are_refused_when_it_becomes_certain(self, make_player):
+    def test_waiting_requests_are_refused_once_they_cannot_succeed(
+        self, make_simulation
+    ):
         # The target stalls with a full queue. Waiting requests are refused as soon as
         # they cannot be answered in time, before their deadlines.
-        player = make_player()
-        player.stream(0, 2, 80, 0.02)
-        stuck = [player.arrive(2.0 + 0.001 * i, 10.0, caller="s") for i in range(2)]
-        waiting = [player.arrive(2.1 + i * 0.01, 0.02, caller="w") for i in range(20)]
-        player.run()
-        assert not any(name in player.answers for name in waiting)
+        simulation = make_simulation()
+        simulation.add_poisson_arrivals(0, 2, 80, 0.02)
+        stuck = [
+            simulation.add_arrival(2.0 + 0.001 * i, 10.0, caller="s") for i in range(2)
+        ]
+        waiting = [
+            simulation.add_arrival(2.1 + i * 0.01, 0.02, caller="w") for i in range(20)
+        ]
+        simulation.run()
+        assert not any(name in simulation.answers for name in waiting)
         for name in waiting:
-            at, refusal = player.refusals[name]
-            assert at < player.tickets[name].deadline
+            at, refusal = simulation.refusals[name]
+            assert at < simulation.tickets[name].deadline
             assert refusal.retry_after > 0
-        assert all(name in player.started for name in stuck)
+        assert all(name in simulation.started for name in stuck)
 
-    def test_recovered_target_is_used_again(self, make_player):
+    def test_recovered_target_is_used_again(self, make_simulation):
         # Every answer exceeded the deadlines for a while. If the learned cost alone
         # refused everything, the recovery would never be detected.
-        player = make_player()
-        player.stream(0, 2, 80, 0.02)
-        player.run(until=2.0)
-        player.slowdown = 100.0
-        player.stream(2, 10, 80, 0.02, seed=2)
-        player.run(until=10.0)
-        player.slowdown = 1.0
-        after = player.stream(14, 20, 50, 0.02, seed=3)
-        player.run()
-        assert player.in_time(after) > 0.95
+        simulation = make_simulation()
+        simulation.add_poisson_arrivals(0, 2, 80, 0.02)
+        simulation.run(until=2.0)
+        simulation.slowdown_factor = 100.0
+        simulation.add_poisson_arrivals(2, 10, 80, 0.02, seed=2)
+        simulation.run(until=10.0)
+        simulation.slowdown_factor = 1.0
+        after = simulation.add_poisson_arrivals(14, 20, 50, 0.02, seed=3)
+        simulation.run()
+        assert simulation.in_time_share(after) > 0.95
 
 
 class TestColdTarget:
-    def test_never_more_than_one_at_first(self, make_player):
-        player = make_player(is_warm=False)
-        player.stream(0, 0.1, 500, 0.02)
-        player.run(until=0.1)
-        assert player.most_running == 1
+    def test_never_more_than_one_at_first(self, make_simulation):
+        simulation = make_simulation(is_warm=False)
+        simulation.add_poisson_arrivals(0, 0.1, 500, 0.02)
+        simulation.run(until=0.1)
+        assert simulation.max_running == 1
 
-    def test_answers_of_a_cold_target_are_not_taken_for_its_pace(self, make_player):
+    def test_answers_of_a_cold_target_are_not_learned_as_warm(self, make_simulation):
         # A new leader finds the target cold and three times slower. If that were
         # learned as its warm service time, every cold answer would look warm.
-        player = make_player(is_warm=False)
-        player.slowdown = 3.0
-        player.stream(0, 3, 15, 0.02)
-        player.run()
-        assert player.most_running == 1
-        player.queue.costs.observe("lookup", 0.02, True)
-        assert player.queue.costs.mean("lookup") == 0.02
-        player.queue.costs.observe("lookup", 0.06, True, is_warm=False)
-        assert player.queue.costs.mean("lookup") == 0.02
-
-    def test_cold_again_with_a_full_queue_turns_away_at_once(self, make_player):
+        simulation = make_simulation(is_warm=False)
+        simulation.slowdown_factor = 3.0
+        simulation.add_poisson_arrivals(0, 3, 15, 0.02)
+        simulation.run()
+        assert simulation.max_running == 1
+        simulation.queue.costs.observe("lookup", 0.02, True)
+        assert simulation.queue.costs.mean("lookup") == 0.02
+        simulation.queue.costs.observe("lookup", 0.06, True, is_warm=False)
+        assert simulation.queue.costs.mean("lookup") == 0.02
+
+    def test_restart_with_a_full_queue_refuses_at_once(self, make_simulation):
         # The target restarts without notice while fifty requests wait. With one slot
         # most of them cannot be answered, and they are refused now rather than at the
         # deadline.
-        player = make_player(slots=4)
-        player.queue.costs.observe("lookup", 0.04, True)
+        simulation = make_simulation(slots=4)
+        simulation.queue.costs.observe("lookup", 0.04, True)
         for i in range(80):
-            player.arrive(0.0001 * i, 0.04, caller=f"c{i}", deadline=1.6)
-        player.run(until=0.1)
-        before = player.queue.waiting
-        player.queue.seen("another", 0.1)
-        assert player.queue.next_expiry() == float("-inf")
-        refusals = player.queue.expired(0.1)
+            simulation.add_arrival(0.0001 * i, 0.04, caller=f"c{i}", deadline=1.6)
+        simulation.run(until=0.1)
+        before = simulation.queue.waiting
+        simulation.queue.seen("another", 0.1)
+        assert simulation.queue.next_expiry() == float("-inf")
+        refusals = simulation.queue.expired(0.1)
         assert before / 3 < len(refusals) < before
-        assert player.queue.ramp.limit(0.1) == 1
+        assert simulation.queue.ramp.limit(0.1) == 1
 
 
 class TestTicketLife:
@@ -302,7 +327,7 @@
 
 
 class TestDrain:
-    def test_hands_out_what_waits_and_refuses_the_rest(self, make_ticket):
+    def test_returns_waiting_requests_and_refuses_new_ones(self, make_ticket):
         queue = TargetQueue(1, DEFAULTS, Random(1), 0.0)
         for name in "abc":
             queue.offer(make_ticket(name), 0.0)
@@ -324,14 +349,14 @@
         assert [ticket.id for ticket in queue.resume(0.2)] == ["a"]
 
 
-def values(thing):
+def read_slots(thing):
     """Return the slot values of an object as text."""
     names = getattr(type(thing), "__slots__", None) or vars(thing)
     return {name: str(getattr(thing, name)) for name in names}
 
 
 class TestThresholds:
-    def test_of_a_later_sheet_hold_for_what_comes(self):
+    def test_changed_thresholds_apply_to_new_requests(self):
         # Operators change the thresholds in the sheet. If a queue kept the old ones,
         # VMs would use different values until the target's leader changes.
         changed = DEFAULTS.replaced(
@@ -349,18 +374,21 @@
         new = TargetQueue(2, changed, Random(1), 0.0)
         old.set_thresholds(changed)
         for part in ("ramp", "costs", "_retry_after", "_lanes"):
-            found, wanted = values(getattr(old, part)), values(getattr(new, part))
+            found, wanted = (
+                read_slots(getattr(old, part)),
+                read_slots(getattr(new, part)),
+            )
             for fields in (found, wanted):
                 fields.pop("_rng", None)
                 fields.pop("_load", None)
             assert found == wanted, part
         assert old._queue_limit == new._queue_limit
         assert old._wait_share == new._wait_share
-        assert old._fair._returning == new._fair._returning
+        assert old._fair_queue._overtaking_factor == new._fair_queue._overtaking_factor
 
-    def test_weight_of_a_flow_that_waits_changes(self):
+    def test_changed_weight_applies_to_a_waiting_flow(self):
         # The new weight also applies to a flow that already has waiting requests.
         queue = TargetQueue(1, DEFAULTS, Random(1), 0.0)
-        leaf = queue._fair.leaf((("short", 1.0), ("batch", 1.0)))
-        assert queue._fair.leaf((("short", 1.0), ("batch", 7.0))) is leaf
+        leaf = queue._fair_queue.leaf((("short", 1.0), ("batch", 1.0)))
+        assert queue._fair_queue.leaf((("short", 1.0), ("batch", 7.0))) is leaf
         assert leaf.weight == 7.0
--- a/packages/policy/tests/test_queue_machine.py
+++ b/packages/policy/tests/test_queue_machine.py
@@ -27,7 +27,7 @@
         self.running = {}
         self.incarnation = 1
 
-    def start(self, tickets):
+    def record_started(self, tickets):
         """Record what the queue starts, which must respect the current limit."""
         for ticket in tickets:
             assert ticket.id in self.waiting
@@ -36,7 +36,7 @@
         if tickets:
             assert len(self.running) <= self.queue.ramp.limit(self.now)
 
-    def settle(self):
+    def collect_refusals(self):
         """Collect the refusals that `next_expiry` announces."""
         due = self.queue.next_expiry()
         if due is None or due > self.now:
@@ -72,7 +72,7 @@
             self.waiting[ticket.id] = ticket
         elif isinstance(decision, Refuse):
             assert decision.retry_after > 0
-        self.settle()
+        self.collect_refusals()
 
     @rule(
         index=st.integers(0, 10), outcome=st.sampled_from(Outcome), named=st.booleans()
@@ -83,8 +83,10 @@
         name = sorted(self.running)[index % len(self.running)]
         seconds = self.now - self.running.pop(name)
         incarnation = str(self.incarnation) if named else ""
-        self.start(self.queue.finished(name, self.now, seconds, outcome, incarnation))
-        self.settle()
+        self.record_started(
+            self.queue.finished(name, self.now, seconds, outcome, incarnation)
+        )
+        self.collect_refusals()
 
     @rule(index=st.integers(0, 10))
     def cancel(self, index):
@@ -94,32 +96,32 @@
         name = names[index % len(names)]
         assert self.queue.cancelled(name, self.now) == (name in self.running)
         self.waiting.pop(name, None)
-        self.settle()
+        self.collect_refusals()
 
     @rule(seconds=st.floats(0.001, 1.0))
     def pass_time(self, seconds):
         self.now += seconds
-        self.settle()
+        self.collect_refusals()
 
     @rule(is_restart=st.booleans())
     def heartbeat(self, is_restart):
         self.incarnation += is_restart
-        self.start(self.queue.seen(str(self.incarnation), self.now))
+        self.record_started(self.queue.seen(str(self.incarnation), self.now))
         if is_restart:
             assert self.queue.ramp.limit(self.now) == 1
-        self.settle()
+        self.collect_refusals()
 
     @rule(is_cold=st.booleans(), age=st.floats(0.0, 2.0))
     def report(self, is_cold, age):
         self.queue.reported(is_cold, self.now, age)
-        self.settle()
+        self.collect_refusals()
 
     @rule()
     def pause_and_resume(self):
         self.queue.pause(self.now + 0.4)
         assert self.queue.finished("nobody", self.now, 0.0, Outcome.ANSWERED) == []
-        self.start(self.queue.resume(self.now))
-        self.settle()
+        self.record_started(self.queue.resume(self.now))
+        self.collect_refusals()
 
     @rule()
     def hand_back(self):
@@ -129,8 +131,8 @@
 
     @rule(slots=st.integers(1, 4))
     def change_slots(self, slots):
-        self.start(self.queue.set_slots(slots, self.now))
-        self.settle()
+        self.record_started(self.queue.set_slots(slots, self.now))
+        self.collect_refusals()
 
     @invariant()
     def queue_and_we_agree(self):
--- a/packages/policy/tests/test_retries.py
+++ b/packages/policy/tests/test_retries.py
@@ -69,7 +69,7 @@
 
 
 class TestHedgePolicy:
-    def make(self):
+    def make_policy(self):
         policy = HedgePolicy(DEFAULTS)
         rng = Random(2)
         for _ in range(3000):
@@ -78,10 +78,10 @@
 
     def test_delay_follows_the_quantile(self):
         # The 95th percentile of these answer times is 60 ms.
-        assert 0.045 < self.make().delay(True, 12) < 0.08
+        assert 0.045 < self.make_policy().delay(True, 12) < 0.08
 
     def test_only_repeatable_work_with_another_target(self):
-        policy = self.make()
+        policy = self.make_policy()
         assert policy.delay(False, 12) is None
         assert policy.delay(True, 1) is None
         assert HedgePolicy(DEFAULTS).delay(True, 12) is None
@@ -89,5 +89,5 @@
     def test_budget_bounds_the_extra_load(self):
         # All targets slow down at once, so every request is late. Hedging all of them
         # would double the load that causes the slowdown.
-        policy = self.make()
+        policy = self.make_policy()
         assert sum(policy.may_hedge() for _ in range(1000)) <= DEFAULTS["hedge_reserve"]
--- a/packages/policy/tests/test_thresholds.py
+++ b/packages/policy/tests/test_thresholds.py
@@ -22,7 +22,7 @@
         assert thresholds["queue_limit"] == 64.0
         assert thresholds["balance_high"] == TABLE["balance_high"].default
 
-    def test_all_faults_are_told_at_once_with_remedies(self):
+    def test_all_errors_are_reported_together_with_remedies(self):
         # One name is misspelt, one value is out of range, and one threshold is not
         # overridable. Reporting them one by one would cost three exports of the sheet.
         with pytest.raises(ExceptionGroup) as caught:
