--- a/packages/policy/src/berylstage_policy/placement.py
+++ b/packages/policy/src/berylstage_policy/placement.py
@@ -20,7 +20,7 @@
 # rebalanced.
 MAX_RECENT_MOVES = 2
 
-# Places with the lowest levels that are tried as partners of a repack.
+# Targets with the lowest levels that are tried as partners of a repack.
 MAX_REPACK_PARTNERS = 4
 
 # Relative difference in level up to which a shard stays in place during a repack.
@@ -35,12 +35,12 @@
     shard : str
         Unique name of the shard.
     owner : str or None
-        Place that owns the shard; None before the first assignment.
+        Target that owns the shard; None before the first assignment.
     load : float
         Slot-seconds per second that the shard uses. Any other unit works if all shards
         use the same one.
     pinned : str or None
-        Place to which operators pinned the shard. Ignored while that place is not
+        Target to which operators pinned the shard. Ignored while that target is not
         eligible.
     recent_moves : int
         Moves within the last minutes. From `MAX_RECENT_MOVES` on, the shard is not
@@ -108,7 +108,7 @@
 
 
 class _Bin:
-    """Eligible place and the weight assigned to it while a plan is computed."""
+    """Eligible target and the weight assigned to it while a plan is computed."""
 
     __slots__ = ("name", "capacity", "weight", "movable")
 
@@ -126,24 +126,24 @@
 
 
 def plan(
-    holdings: list[Holding],
-    places: list[Place],
+    placements: list[Holding],
+    targets: list[Place],
     budget: int,
     thresholds: Thresholds = DEFAULTS,
 ) -> list[Move]:
     """Return the shard moves that restore eligibility, pinning and balance.
 
-    A shard without an owner, on an ineligible place, or pinned to another eligible
-    place is always moved. Other shards move only from a place well above the mean level
-    or to one well below it, and only within the budget that the mandatory moves leave.
-    The result depends only on the arguments, so two VMs with the same view compute the
-    same plan.
+    A shard without an owner, on an ineligible target, or pinned to another eligible
+    target is always moved. Other shards move only from a target well above the mean
+    level or to one well below it, and only within the budget that the mandatory moves
+    leave. The result depends only on the arguments, so two VMs with the same view
+    compute the same plan.
 
     Parameters
     ----------
-    holdings : list of Holding
+    placements : list of Holding
         All shards of one service.
-    places : list of Place
+    targets : list of Place
         All targets of that service.
     budget : int
         Maximum number of balancing moves in this plan. Mandatory moves are not limited
@@ -153,55 +153,55 @@
     Returns
     -------
     list of Move
-        Mandatory moves first. Empty if no place is eligible.
+        Mandatory moves first. Empty if no target is eligible.
     """
     bins = {
-        place.name: _Bin(place.name, place.capacity)
-        for place in sorted(places, key=lambda place: place.name)
-        if place.eligible and place.capacity > 0
+        target.name: _Bin(target.name, target.capacity)
+        for target in sorted(targets, key=lambda target: target.name)
+        if target.eligible and target.capacity > 0
     }
     if not bins:
         return []
-    weights = _weights(holdings)
-    moves = _place_mandatory(holdings, weights, bins)
+    weights = _weights(placements)
+    moves = _place_mandatory(placements, weights, bins)
     left = budget - len(moves)
     if left > 0:
         moves.extend(_balance(bins, left, thresholds))
     return moves
 
 
-def _weights(holdings: list[Holding]) -> dict[str, float]:
+def _weights(placements: list[Holding]) -> dict[str, float]:
     """Return the weight of each shard: its load plus a small minimum."""
-    total = sum(holding.load for holding in holdings)
-    floor = IDLE_WEIGHT_SHARE * total / len(holdings) if total > 0 else 1.0
-    return {holding.shard: holding.load + floor for holding in holdings}
+    total = sum(placement.load for placement in placements)
+    floor = IDLE_WEIGHT_SHARE * total / len(placements) if total > 0 else 1.0
+    return {placement.shard: placement.load + floor for placement in placements}
 
 
 def _place_mandatory(
-    holdings: list[Holding],
+    placements: list[Holding],
     weights: dict[str, float],
     bins: dict[str, _Bin],
 ) -> list[Move]:
     """Assign every shard to a bin and return the moves that this requires."""
     moves = []
     unassigned = []
-    for holding in holdings:
-        weight = weights[holding.shard]
-        if holding.pinned in bins:
-            pinned_bin = bins[holding.pinned]
+    for placement in placements:
+        weight = weights[placement.shard]
+        if placement.pinned in bins:
+            pinned_bin = bins[placement.pinned]
             pinned_bin.weight += weight
-            if holding.owner != holding.pinned:
-                moves.append(Move(holding.shard, holding.owner, holding.pinned))
-        elif holding.owner in bins:
-            owner_bin = bins[holding.owner]
+            if placement.owner != placement.pinned:
+                moves.append(Move(placement.shard, placement.owner, placement.pinned))
+        elif placement.owner in bins:
+            owner_bin = bins[placement.owner]
             owner_bin.weight += weight
             # A data centre that closes and reopens moves a key away and back. If load
             # fluctuations moved the same key as well, it would be unavailable a third
             # time within minutes, while other keys never were.
-            if holding.recent_moves < MAX_RECENT_MOVES:
-                owner_bin.movable.append((weight, holding.shard))
+            if placement.recent_moves < MAX_RECENT_MOVES:
+                owner_bin.movable.append((weight, placement.shard))
         else:
-            unassigned.append(holding)
+            unassigned.append(placement)
     moves.extend(_place_unassigned(unassigned, weights, bins))
     return moves
 
@@ -213,15 +213,17 @@
 ) -> list[Move]:
     """Assign shards without an eligible owner, heaviest first, to the lowest level."""
     moves = []
-    by_level = SortedKeyList(bins.values(), key=lambda place: (place.level, place.name))
-    unassigned.sort(key=lambda holding: (-weights[holding.shard], holding.shard))
-    for holding in unassigned:
+    by_level = SortedKeyList(
+        bins.values(), key=lambda target: (target.level, target.name)
+    )
+    unassigned.sort(key=lambda placement: (-weights[placement.shard], placement.shard))
+    for placement in unassigned:
         lowest = by_level.pop(0)
-        weight = weights[holding.shard]
+        weight = weights[placement.shard]
         lowest.weight += weight
-        lowest.movable.append((weight, holding.shard))
+        lowest.movable.append((weight, placement.shard))
         by_level.add(lowest)
-        moves.append(Move(holding.shard, holding.owner, lowest.name))
+        moves.append(Move(placement.shard, placement.owner, lowest.name))
     return moves
 
 
@@ -230,13 +232,15 @@
     budget: int,
     thresholds: Thresholds,
 ) -> list[Move]:
-    """Return moves that bring outlying places back near the mean level."""
+    """Return moves that bring outlying targets back near the mean level."""
     mean = sum(b.weight for b in bins.values()) / sum(b.capacity for b in bins.values())
     high = mean * thresholds["balance_high"]
     low = mean * thresholds["balance_low"]
     settled_high = mean * thresholds["balance_settled_high"]
     settled_low = mean * thresholds["balance_settled_low"]
-    by_level = SortedKeyList(bins.values(), key=lambda place: (place.level, place.name))
+    by_level = SortedKeyList(
+        bins.values(), key=lambda target: (target.level, target.name)
+    )
     outliers = [b for b in bins.values() if b.level > high or b.level < low]
     if not outliers:
         return []
@@ -263,10 +267,10 @@
 def _repack(
     source: _Bin, by_level: SortedKeyList, budget: int, gain: float
 ) -> list[Move]:
-    """Redistribute the shards of two places if no single move helps.
+    """Redistribute the shards of two targets if no single move helps.
 
-    For example, two hot keys on one place are each too heavy for any other place,
-    unless that place gives up some of its light shards in return.
+    For example, two hot keys on one target are each too heavy for any other target,
+    unless that target gives up some of its light shards in return.
     """
     best: list[tuple[float, str, str]] = []
     lowest = source.level - gain
@@ -297,7 +301,7 @@
 def _distribute_evenly(
     first_bin: _Bin, second_bin: _Bin
 ) -> tuple[float, list[tuple[float, str, str]]]:
-    """Distribute the shards of two places evenly, the heaviest first.
+    """Distribute the shards of two targets evenly, the heaviest first.
 
     Returns
     -------
@@ -306,19 +310,19 @@
     changes : list of (weight, shard, owner)
         Shards that would move, with their present owner.
     """
-    places = (first_bin, second_bin)
-    weights = [p.weight - sum(w for w, _ in p.movable) for p in places]
-    entries = [(w, s, i) for i, p in enumerate(places) for w, s in p.movable]
+    bins = (first_bin, second_bin)
+    weights = [b.weight - sum(w for w, _ in b.movable) for b in bins]
+    entries = [(w, s, i) for i, b in enumerate(bins) for w, s in b.movable]
     changes = []
     for weight, shard, owner in sorted(entries, key=lambda e: (-e[0], e[1])):
-        levels = [(weights[i] + weight) / places[i].capacity for i in (0, 1)]
+        levels = [(weights[i] + weight) / bins[i].capacity for i in (0, 1)]
         # A shard stays if moving it makes no difference.
         stays = levels[owner] <= levels[1 - owner] * (1 + STAY_MARGIN)
         end = owner if stays else 1 - owner
         weights[end] += weight
         if end != owner:
-            changes.append((weight, shard, places[owner].name))
-    return max(weights[i] / places[i].capacity for i in (0, 1)), changes
+            changes.append((weight, shard, bins[owner].name))
+    return max(weights[i] / bins[i].capacity for i in (0, 1)), changes
 
 
 def _move_best_shard(
@@ -327,13 +331,13 @@
     by_level: SortedKeyList,
     mean: float,
 ) -> Move | None:
-    """Move the shard that best evens out two places, or return None if none does."""
-    # Weight whose move would bring both places to the same level.
+    """Move the shard that best evens out two targets, or return None if none does."""
+    # Weight whose move would bring both targets to the same level.
     equalizing_weight = (source.level - destination.level) / (
         1 / source.capacity + 1 / destination.capacity
     )
     # A heavy key cannot be split. Moving it would only swap the roles of the two
-    # places, and the next plan would move it back. A shard of twice the equalizing
+    # targets, and the next plan would move it back. A shard of twice the equalizing
     # weight swaps the levels exactly, so only clearly lighter shards are considered.
     ideal_weight = min(equalizing_weight, (source.level - mean) * source.capacity)
     light_enough = [
--- a/packages/policy/tests/test_placement.py
+++ b/packages/policy/tests/test_placement.py
@@ -9,7 +9,7 @@
 DATA_CENTRES = ("almaty-a", "almaty-b", "shymkent-a", "taraz-a")
 
 
-def make_places(closed=()):
+def make_targets(closed=()):
     return [
         Place(
             f"field-log-{i:02}",
@@ -21,34 +21,34 @@
     ]
 
 
-def make_holdings(count=256, seed=1):
+def make_placements(count=256, seed=1):
     rng = random.Random(seed)
     return [
         Holding(f"field-log/{i}", None, rng.uniform(0.5, 1.5)) for i in range(count)
     ]
 
 
-def apply_moves(moves, holdings):
+def apply_moves(moves, placements):
     owners = {move.shard: move.destination for move in moves}
-    for holding in holdings:
-        holding.owner = owners.get(holding.shard, holding.owner)
+    for placement in placements:
+        placement.owner = owners.get(placement.shard, placement.owner)
 
 
-def imbalance(holdings, places):
-    levels = {place.name: 0.0 for place in places if place.eligible}
-    for holding in holdings:
-        levels[holding.owner] += holding.load
+def imbalance(placements, targets):
+    levels = {target.name: 0.0 for target in targets if target.eligible}
+    for placement in placements:
+        levels[placement.owner] += placement.load
     return max(levels.values()) * len(levels) / sum(levels.values())
 
 
-def apply_until_settled(holdings, places, budget=8, rounds=100):
+def apply_until_settled(placements, targets, budget=8, rounds=100):
     """Apply plans until one is empty; return the number of moves of each shard."""
     counts = {}
     for _ in range(rounds):
-        moves = plan(holdings, places, budget)
+        moves = plan(placements, targets, budget)
         if not moves:
             break
-        apply_moves(moves, holdings)
+        apply_moves(moves, placements)
         for move in moves:
             counts[move.shard] = counts.get(move.shard, 0) + 1
     else:
@@ -58,65 +58,69 @@
 
 class TestMandatoryMoves:
     def test_first_assignment_is_whole_and_even(self):
-        holdings, places = make_holdings(), make_places()
-        moves = plan(holdings, places, 0)
-        assert len(moves) == len(holdings)
-        apply_moves(moves, holdings)
-        assert imbalance(holdings, places) < 1.05
+        placements, targets = make_placements(), make_targets()
+        moves = plan(placements, targets, 0)
+        assert len(moves) == len(placements)
+        apply_moves(moves, placements)
+        assert imbalance(placements, targets) < 1.05
 
     def test_shards_without_load_are_spread_by_number(self):
-        holdings = [Holding(f"s/{i}", None) for i in range(24)]
-        apply_moves(plan(holdings, make_places(), 0), holdings)
-        owners = [holding.owner for holding in holdings]
+        placements = [Holding(f"s/{i}", None) for i in range(24)]
+        apply_moves(plan(placements, make_targets(), 0), placements)
+        owners = [placement.owner for placement in placements]
         assert all(owners.count(owner) == 2 for owner in set(owners))
 
     def test_pinned_shard_moves_to_its_place(self):
-        holdings, places = make_holdings(), make_places()
-        apply_until_settled(holdings, places)
-        elsewhere = next(h for h in holdings if h.owner != "field-log-03")
+        placements, targets = make_placements(), make_targets()
+        apply_until_settled(placements, targets)
+        elsewhere = next(h for h in placements if h.owner != "field-log-03")
         elsewhere.pinned = "field-log-03"
-        moves = plan(holdings, places, 0)
+        moves = plan(placements, targets, 0)
         assert [move.shard for move in moves] == [elsewhere.shard]
         assert moves[0].destination == "field-log-03"
 
     def test_pin_to_closed_place_is_served_elsewhere(self):
         # Operators pin a key to a target and then close its data centre. If the pin
         # took precedence, the key's callers would get no answer until it reopens.
-        holdings, places = make_holdings(), make_places(closed=("shymkent-a",))
-        holdings[0].pinned = "field-log-02"
-        apply_moves(plan(holdings, places, 0), holdings)
-        eligible = {place.name for place in places if place.eligible}
-        assert holdings[0].owner in eligible
+        placements, targets = make_placements(), make_targets(closed=("shymkent-a",))
+        placements[0].pinned = "field-log-02"
+        apply_moves(plan(placements, targets, 0), placements)
+        eligible = {target.name for target in targets if target.eligible}
+        assert placements[0].owner in eligible
 
     def test_no_eligible_place_moves_nothing(self):
         # All data centres are closed at once. An exception here would stop the
         # proposer, and with it the reopening.
-        assert plan(make_holdings(), make_places(closed=DATA_CENTRES), 8) == []
+        assert plan(make_placements(), make_targets(closed=DATA_CENTRES), 8) == []
 
 
 class TestBalance:
     def test_settled_placement_stays_under_small_drift(self):
-        holdings, places = make_holdings(), make_places()
-        apply_until_settled(holdings, places)
+        placements, targets = make_placements(), make_targets()
+        apply_until_settled(placements, targets)
         rng = random.Random(2)
-        for holding in holdings:
-            holding.load *= rng.uniform(0.9, 1.1)
-        assert plan(holdings, places, 8) == []
+        for placement in placements:
+            placement.load *= rng.uniform(0.9, 1.1)
+        assert plan(placements, targets, 8) == []
 
     def test_budget_bounds_moves_for_balance(self):
-        holdings, places = make_holdings(), make_places()
-        apply_moves(plan(holdings, make_places(closed=("shymkent-a",)), 0), holdings)
-        assert len(plan(holdings, places, 5)) == 5
+        placements, targets = make_placements(), make_targets()
+        apply_moves(
+            plan(placements, make_targets(closed=("shymkent-a",)), 0), placements
+        )
+        assert len(plan(placements, targets, 5)) == 5
 
     def test_recently_moved_shard_stays(self):
         # A key has moved twice within minutes. Its callers have already waited twice,
         # so other keys have to move instead.
-        holdings = make_holdings()
-        apply_moves(plan(holdings, make_places(closed=("shymkent-a",)), 0), holdings)
-        recently_moved = {holding.shard for holding in holdings[::2]}
-        for holding in holdings[::2]:
-            holding.recent_moves = 2
-        counts = apply_until_settled(holdings, make_places())
+        placements = make_placements()
+        apply_moves(
+            plan(placements, make_targets(closed=("shymkent-a",)), 0), placements
+        )
+        recently_moved = {placement.shard for placement in placements[::2]}
+        for placement in placements[::2]:
+            placement.recent_moves = 2
+        counts = apply_until_settled(placements, make_targets())
         assert counts
         assert not recently_moved & set(counts)
 
@@ -124,42 +128,42 @@
         # A target joins eleven others. None of them is far above the mean, so a rule
         # that considers only the most loaded targets would leave the new one idle
         # forever.
-        holdings, places = make_holdings(), make_places()
-        places[7].eligible = False
-        apply_moves(plan(holdings, places, 0), holdings)
-        places[7].eligible = True
-        apply_until_settled(holdings, places)
-        assert imbalance(holdings, places) < 1.15
+        placements, targets = make_placements(), make_targets()
+        targets[7].eligible = False
+        apply_moves(plan(placements, targets, 0), placements)
+        targets[7].eligible = True
+        apply_until_settled(placements, targets)
+        assert imbalance(placements, targets) < 1.15
 
     def test_key_heavier_than_a_target_does_not_oscillate(self):
         # One key has more load than a target's mean. Moving it cannot help, and each
         # move makes its callers wait, so the other keys on its target have to move.
-        holdings, places = make_holdings(), make_places()
-        apply_until_settled(holdings, places)
-        holdings[9].load = 40.0
-        counts = apply_until_settled(holdings, places)
-        assert holdings[9].shard not in counts
-        neighbours = [h for h in holdings if h.owner == holdings[9].owner]
+        placements, targets = make_placements(), make_targets()
+        apply_until_settled(placements, targets)
+        placements[9].load = 40.0
+        counts = apply_until_settled(placements, targets)
+        assert placements[9].shard not in counts
+        neighbours = [h for h in placements if h.owner == placements[9].owner]
         assert len(neighbours) <= 2
-        assert plan(holdings, places, 8) == []
+        assert plan(placements, targets, 8) == []
 
     def test_two_hot_keys_on_one_target_are_separated(self):
         # Two keys that became hot share a target. Each is too heavy for any other
         # target as it stands, so no single move helps and their callers get slow
         # answers.
-        places = [
+        targets = [
             Place(f"field-log-{i:02}", DATA_CENTRES[i % 4], 2.0) for i in range(4)
         ]
-        holdings = [
+        placements = [
             Holding(f"light/{i}", f"field-log-{1 + i % 3:02}", 0.2) for i in range(12)
         ]
-        holdings += [Holding(f"hot/{i}", "field-log-00", 0.54) for i in range(2)]
-        before = imbalance(holdings, places)
-        counts = apply_until_settled(holdings, places)
-        hot = {holding.owner for holding in holdings if holding.shard[0] == "h"}
+        placements += [Holding(f"hot/{i}", "field-log-00", 0.54) for i in range(2)]
+        before = imbalance(placements, targets)
+        counts = apply_until_settled(placements, targets)
+        hot = {placement.owner for placement in placements if placement.shard[0] == "h"}
         assert before > 1.1
         assert len(hot) == 2
-        assert imbalance(holdings, places) <= 1.1
+        assert imbalance(placements, targets) <= 1.1
         assert sum(counts.values()) <= 4
 
 
@@ -167,16 +171,20 @@
     def test_each_key_moves_at_most_twice(self):
         # Operators close shymkent-a for an hour and reopen it. Every move makes a key
         # unavailable for a moment, so the return must not move unrelated keys.
-        holdings, places = make_holdings(), make_places()
-        apply_until_settled(holdings, places)
-        in_closed = {p.name for p in places if p.data_centre == "shymkent-a"}
-        least = sum(holding.owner in in_closed for holding in holdings)
-        away = apply_until_settled(holdings, make_places(closed=("shymkent-a",)))
-        back = apply_until_settled(holdings, places)
+        placements, targets = make_placements(), make_targets()
+        apply_until_settled(placements, targets)
+        in_closed_data_centre = {
+            p.name for p in targets if p.data_centre == "shymkent-a"
+        }
+        least = sum(
+            placement.owner in in_closed_data_centre for placement in placements
+        )
+        away = apply_until_settled(placements, make_targets(closed=("shymkent-a",)))
+        back = apply_until_settled(placements, targets)
         total = {
             shard: away.get(shard, 0) + back.get(shard, 0) for shard in away | back
         }
         assert max(total.values()) <= 2
         assert sum(away.values()) == least
         assert sum(total.values()) <= 1.2 * 2 * least
-        assert imbalance(holdings, places) <= 1.15
+        assert imbalance(placements, targets) <= 1.15
