--- a/packages/policy/src/berylstage_policy/queue.py
+++ b/packages/policy/src/berylstage_policy/queue.py
@@ -124,7 +124,7 @@
         return self._start_waiting(now)
 
     def seen(self, incarnation: str, now: float) -> list[Ticket]:
-        """Record the incarnation in a lease or probe reply; return what starts now.
+        """Record the incarnation in a grant or probe reply; return what starts now.
 
         Parameters
         ----------
@@ -254,7 +254,7 @@
         return self._start_waiting(now)
 
     def cancelled(self, ticket_id: str, now: float) -> bool:
-        """Remove a request whose caller has disconnected from the queue.
+        """Cancel a request whose caller has disconnected.
 
         Returns
         -------
@@ -323,7 +323,7 @@
         return Entry(ticket, leaf, cost, is_short, latest)
 
     def _may_start(self, entry: Entry, limit: int, now: float) -> bool:
-        """Return whether a request can start now without passing one that could."""
+        """Return whether a new request may start now instead of being queued."""
         if len(self._running) >= limit or self._paused_until is not None:
             return False
         if entry.is_short:
@@ -336,7 +336,8 @@
     def _start_entry(self, entry: Entry, now: float) -> None:
         """Assign a slot to the entry and charge its flow."""
         self._running.add(entry, now)
-        # Slots are free for everybody while nobody waits, so nothing is charged.
+        # While nobody waits, the slot is taken from no other flow, so nothing is
+        # charged.
         if self._waiting:
             self._fair_queue.charge(entry.leaf, entry.cost)
             entry.is_charged = True
