--- a/packages/policy/src/berylstage_policy/fairness.py
+++ b/packages/policy/src/berylstage_policy/fairness.py
@@ -202,7 +202,7 @@
         return self._pop_leaf(flow)
 
     def _pop_leaf(self, leaf: Flow[T]) -> T:
-        """Remove and return the first item of a leaf, out of fair order."""
+        """Remove and return the first item of a leaf."""
         item, _, cost = leaf.items.popleft()
         self._subtract(leaf, cost)
         self._reinsert(leaf)
--- a/packages/policy/src/berylstage_policy/health.py
+++ b/packages/policy/src/berylstage_policy/health.py
@@ -1,7 +1,7 @@
 """Health state of a target: healthy, stalled, slow or down.
 
 Targets stall for moments when other workloads on the host take their CPU, and some fail
-for good. Moving owned keys off a target makes them unavailable until its lease lapses
+for good. Moving owned keys off a target makes them unavailable until its grant expires
 and the new owner has gone through its cold start. Without a lower bound on the silence,
 every stall of half a second would become a longer outage. With too high a bound, the
 keys of a lost target would be unavailable for longer than the promised 2 s.
--- a/packages/policy/src/berylstage_policy/lanes.py
+++ b/packages/policy/src/berylstage_policy/lanes.py
@@ -4,7 +4,7 @@
 requests. On a target with two slots, one long request takes half of the capacity and
 two take all of it, and lookups then wait as long as the reconciliation runs. A queue
 cannot preempt a running request, so some slots stay closed to long requests while short
-ones arrive. All slots are open to them when none do.
+ones arrive. While none arrive, long requests may use all slots.
 """
 
 from __future__ import annotations
