--- a/packages/policy/src/berylstage_policy/hotkeys.py
+++ b/packages/policy/src/berylstage_policy/hotkeys.py
@@ -16,8 +16,8 @@
 if TYPE_CHECKING:
     from berylstage_policy.thresholds import Thresholds
 
-# Scale at which all counters are divided by it to prevent overflow: decay is implemented
-# by growing the weight of new observations instead of shrinking all counters.
+# Scale of new observations at which all counters are rescaled, to prevent overflow.
+# Decay is implemented by growing this scale instead of shrinking all counters.
 MAX_SCALE = 1e100
 
 
