--- a/packages/policy/src/berylstage_policy/health.py
+++ b/packages/policy/src/berylstage_policy/health.py
@@ -16,7 +16,7 @@
     from berylstage_policy.thresholds import Thresholds
 
 
-class Verdict(Enum):
+class HealthState(Enum):
     """Observed health state of a target.
 
     ``STALLED`` withholds requests of services without key ownership and moves nothing.
@@ -94,17 +94,17 @@
             self._is_slow = not self._is_slow
             self._transition_since = None
 
-    def verdict(self, now: float) -> Verdict:
+    def verdict(self, now: float) -> HealthState:
         """Return the health state of the target."""
         refused = self._refused_since
         if refused is not None and now - refused >= self._refused_down_after:
-            return Verdict.DOWN
+            return HealthState.DOWN
         silence = now - self._last_reply
         if silence >= self._down_after:
-            return Verdict.DOWN
+            return HealthState.DOWN
         if silence >= self._stall_after or refused is not None:
-            return Verdict.STALLED
-        return Verdict.SLOW if self._is_slow else Verdict.HEALTHY
+            return HealthState.STALLED
+        return HealthState.SLOW if self._is_slow else HealthState.HEALTHY
 
     def next_change(self, now: float) -> float:
         """Return when the health state changes if no reply arrives until then."""
--- a/packages/policy/src/berylstage_policy/hotkeys.py
+++ b/packages/policy/src/berylstage_policy/hot_keys.py
@@ -127,7 +127,7 @@
         self.give_back = give_back
 
 
-class HotKeys:
+class HotKeyDetector:
     """Detects the hot keys of one service on one VM.
 
     Parameters
--- a/packages/policy/src/berylstage_policy/placement.py
+++ b/packages/policy/src/berylstage_policy/placement.py
@@ -27,7 +27,7 @@
 STAY_MARGIN = 0.02
 
 
-class Holding:
+class ShardPlacement:
     """One shard with its owner and load.
 
     Parameters
@@ -64,7 +64,7 @@
         self.recent_moves = recent_moves
 
 
-class Place:
+class PlacementTarget:
     """Target that may own shards.
 
     Parameters
@@ -93,7 +93,7 @@
         self.eligible = eligible
 
 
-class Move:
+class ShardMove:
     """Change of one shard's owner."""
 
     __slots__ = ("shard", "source", "destination")
@@ -126,11 +126,11 @@
 
 
 def plan(
-    placements: list[Holding],
-    targets: list[Place],
+    placements: list[ShardPlacement],
+    targets: list[PlacementTarget],
     budget: int,
     thresholds: Thresholds = DEFAULTS,
-) -> list[Move]:
+) -> list[ShardMove]:
     """Return the shard moves that restore eligibility, pinning and balance.
 
     A shard without an owner, on an ineligible target, or pinned to another eligible
@@ -170,7 +170,7 @@
     return moves
 
 
-def _weights(placements: list[Holding]) -> dict[str, float]:
+def _weights(placements: list[ShardPlacement]) -> dict[str, float]:
     """Return the weight of each shard: its load plus a small minimum."""
     total = sum(placement.load for placement in placements)
     floor = IDLE_WEIGHT_SHARE * total / len(placements) if total > 0 else 1.0
@@ -178,10 +178,10 @@
 
 
 def _place_mandatory(
-    placements: list[Holding],
+    placements: list[ShardPlacement],
     weights: dict[str, float],
     bins: dict[str, _Bin],
-) -> list[Move]:
+) -> list[ShardMove]:
     """Assign every shard to a bin and return the moves that this requires."""
     moves = []
     unassigned = []
@@ -191,7 +191,9 @@
             pinned_bin = bins[placement.pinned]
             pinned_bin.weight += weight
             if placement.owner != placement.pinned:
-                moves.append(Move(placement.shard, placement.owner, placement.pinned))
+                moves.append(
+                    ShardMove(placement.shard, placement.owner, placement.pinned)
+                )
         elif placement.owner in bins:
             owner_bin = bins[placement.owner]
             owner_bin.weight += weight
@@ -207,10 +209,10 @@
 
 
 def _place_unassigned(
-    unassigned: list[Holding],
+    unassigned: list[ShardPlacement],
     weights: dict[str, float],
     bins: dict[str, _Bin],
-) -> list[Move]:
+) -> list[ShardMove]:
     """Assign shards without an eligible owner, heaviest first, to the lowest level."""
     moves = []
     by_level = SortedKeyList(
@@ -223,7 +225,7 @@
         lowest.weight += weight
         lowest.movable.append((weight, placement.shard))
         by_level.add(lowest)
-        moves.append(Move(placement.shard, placement.owner, lowest.name))
+        moves.append(ShardMove(placement.shard, placement.owner, lowest.name))
     return moves
 
 
@@ -231,7 +233,7 @@
     bins: dict[str, _Bin],
     budget: int,
     thresholds: Thresholds,
-) -> list[Move]:
+) -> list[ShardMove]:
     """Return moves that bring outlying targets back near the mean level."""
     mean = sum(b.weight for b in bins.values()) / sum(b.capacity for b in bins.values())
     high = mean * thresholds["balance_high"]
@@ -244,7 +246,7 @@
     outliers = [b for b in bins.values() if b.level > high or b.level < low]
     if not outliers:
         return []
-    moves: list[Move] = []
+    moves: list[ShardMove] = []
     overloaded = sorted((b for b in outliers if b.level > high), key=lambda b: -b.level)
     for source in overloaded:
         while len(moves) < budget and source.level > settled_high:
@@ -266,7 +268,7 @@
 
 def _repack(
     source: _Bin, by_level: SortedKeyList, budget: int, gain: float
-) -> list[Move]:
+) -> list[ShardMove]:
     """Redistribute the shards of two targets if no single move helps.
 
     For example, two hot keys on one target are each too heavy for any other target,
@@ -292,7 +294,7 @@
         start.weight -= weight
         end.movable.append((weight, shard))
         end.weight += weight
-        moves.append(Move(shard, start.name, end.name))
+        moves.append(ShardMove(shard, start.name, end.name))
     by_level.add(source)
     by_level.add(partner)
     return moves
@@ -330,7 +332,7 @@
     destination: _Bin,
     by_level: SortedKeyList,
     mean: float,
-) -> Move | None:
+) -> ShardMove | None:
     """Move the shard that best evens out two targets, or return None if none does."""
     # Weight whose move would bring both targets to the same level.
     equalizing_weight = (source.level - destination.level) / (
@@ -357,4 +359,4 @@
     destination.weight += entry[0]
     by_level.add(source)
     by_level.add(destination)
-    return Move(entry[1], source.name, destination.name)
+    return ShardMove(entry[1], source.name, destination.name)
--- a/packages/policy/src/berylstage_policy/retries.py
+++ b/packages/policy/src/berylstage_policy/retries.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from berylstage_policy.tickets import Outcome
+from berylstage_policy.tickets import AttemptOutcome
 
 if TYPE_CHECKING:
     from random import Random
@@ -18,7 +18,9 @@
     from berylstage_policy.thresholds import Thresholds
 
 # Outcomes after which the request is known not to have run.
-NOT_RUN_OUTCOMES = frozenset({Outcome.SHED, Outcome.COLD, Outcome.NOT_RUN})
+NOT_RUN_OUTCOMES = frozenset(
+    {AttemptOutcome.SHED, AttemptOutcome.COLD, AttemptOutcome.NOT_RUN}
+)
 
 
 class RetryVerdict(Enum):
@@ -42,7 +44,7 @@
         self.delay = delay
 
 
-class Budget:
+class RetryBudget:
     """Token bucket that successes fill and extra attempts drain.
 
     Parameters
@@ -89,7 +91,9 @@
     __slots__ = ("budget", "_rng", "_max_attempts", "_delay")
 
     def __init__(self, thresholds: Thresholds, rng: Random):
-        self.budget = Budget(thresholds["retry_share"], thresholds["retry_reserve"])
+        self.budget = RetryBudget(
+            thresholds["retry_share"], thresholds["retry_reserve"]
+        )
         self._rng = rng
         self._max_attempts = int(thresholds["retry_attempts"])
         self._delay = thresholds["retry_delay"]
@@ -101,7 +105,7 @@
     def decide(
         self,
         is_repeatable: bool,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         time_left: float,
         attempt: int,
         expected_cost: float,
@@ -125,7 +129,7 @@
         -------
         RetryDecision
         """
-        if outcome in (Outcome.ANSWERED, Outcome.CANCELLED):
+        if outcome in (AttemptOutcome.ANSWERED, AttemptOutcome.CANCELLED):
             return RetryDecision(RetryVerdict.FINAL)
         if not is_repeatable and outcome not in NOT_RUN_OUTCOMES:
             return RetryDecision(RetryVerdict.NOT_REPEATABLE)
@@ -154,7 +158,9 @@
     __slots__ = ("budget", "_quantile", "_step", "_delay", "_least")
 
     def __init__(self, thresholds: Thresholds):
-        self.budget = Budget(thresholds["hedge_share"], thresholds["hedge_reserve"])
+        self.budget = RetryBudget(
+            thresholds["hedge_share"], thresholds["hedge_reserve"]
+        )
         self._quantile = thresholds["hedge_quantile"]
         self._step = thresholds["hedge_step"]
         self._least = thresholds["hedge_least_delay"]
--- a/packages/policy/src/berylstage_policy/queue.py
+++ b/packages/policy/src/berylstage_policy/target_queue.py
@@ -20,9 +20,9 @@
 from berylstage_policy.lanes import SHORT, Lanes
 from berylstage_policy.slots import seconds_to_serve
 from berylstage_policy.tickets import (
+    AttemptOutcome,
     Decision,
     Decline,
-    Outcome,
     Refuse,
     RefuseReason,
     Start,
@@ -217,7 +217,7 @@
         ticket_id: str,
         now: float,
         seconds: float,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         incarnation: str = "",
     ) -> list[Ticket]:
         """Free the slot of a request and return the requests to start now.
@@ -248,7 +248,7 @@
         # The flow was charged the expected cost at the start. Without this correction,
         # a flow whose requests take longer than expected would get more than its share
         # until the cost model has learned their service time.
-        if entry.is_charged and outcome is Outcome.ANSWERED:
+        if entry.is_charged and outcome is AttemptOutcome.ANSWERED:
             self._fair_queue.charge(entry.leaf, seconds - entry.cost)
         self._record_outcome(entry, now, seconds, outcome, incarnation)
         return self._start_waiting(now)
@@ -385,18 +385,18 @@
         entry: Entry,
         now: float,
         seconds: float,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         incarnation: str,
     ) -> None:
         """Update the cost model and the ramp with the outcome of a request."""
         ramp = self.ramp
         if incarnation:
             ramp.seen(now, incarnation)
-        if outcome is Outcome.COLD:
+        if outcome is AttemptOutcome.COLD:
             ramp.reset(now)
-        elif outcome is Outcome.UNKNOWN:
+        elif outcome is AttemptOutcome.UNKNOWN:
             ramp.doubted(now)
-        elif outcome is Outcome.ANSWERED:
+        elif outcome is AttemptOutcome.ANSWERED:
             kind = entry.ticket.kind
             ramp.completed(now, self.costs.warm_ratio(kind, seconds))
             self.costs.observe(kind, seconds, entry.is_short, ramp.warm)
--- a/packages/policy/src/berylstage_policy/tickets.py
+++ b/packages/policy/src/berylstage_policy/tickets.py
@@ -64,7 +64,7 @@
         self.expected_cost = expected_cost
 
 
-class Outcome(Enum):
+class AttemptOutcome(Enum):
     """Outcome of an attempt that was started."""
 
     ANSWERED = "answered"
--- a/packages/policy/src/berylstage_policy/shares.py
+++ b/packages/policy/src/berylstage_policy/weighted_round_robin.py
@@ -16,7 +16,7 @@
 PICKS_PER_ROUND = 100
 
 
-class WeightedTurns:
+class WeightedRoundRobin:
     """Smooth weighted round robin over several alternatives.
 
     Parameters
--- a/packages/policy/tests/test_placement.py
+++ b/packages/policy/tests/test_placement.py
@@ -4,14 +4,14 @@
 
 import random
 
-from berylstage_policy.placement import Holding, Place, plan
+from berylstage_policy.placement import PlacementTarget, ShardPlacement, plan
 
 DATA_CENTRES = ("almaty-a", "almaty-b", "shymkent-a", "taraz-a")
 
 
 def make_targets(closed=()):
     return [
-        Place(
+        PlacementTarget(
             f"field-log-{i:02}",
             DATA_CENTRES[i % 4],
             2.0,
@@ -24,7 +24,8 @@
 def make_placements(count=256, seed=1):
     rng = random.Random(seed)
     return [
-        Holding(f"field-log/{i}", None, rng.uniform(0.5, 1.5)) for i in range(count)
+        ShardPlacement(f"field-log/{i}", None, rng.uniform(0.5, 1.5))
+        for i in range(count)
     ]
 
 
@@ -65,7 +66,7 @@
         assert imbalance(placements, targets) < 1.05
 
     def test_shards_without_load_are_spread_by_number(self):
-        placements = [Holding(f"s/{i}", None) for i in range(24)]
+        placements = [ShardPlacement(f"s/{i}", None) for i in range(24)]
         apply_moves(plan(placements, make_targets(), 0), placements)
         owners = [placement.owner for placement in placements]
         assert all(owners.count(owner) == 2 for owner in set(owners))
@@ -152,12 +153,16 @@
         # target as it stands, so no single move helps and their callers get slow
         # answers.
         targets = [
-            Place(f"field-log-{i:02}", DATA_CENTRES[i % 4], 2.0) for i in range(4)
+            PlacementTarget(f"field-log-{i:02}", DATA_CENTRES[i % 4], 2.0)
+            for i in range(4)
         ]
         placements = [
-            Holding(f"light/{i}", f"field-log-{1 + i % 3:02}", 0.2) for i in range(12)
+            ShardPlacement(f"light/{i}", f"field-log-{1 + i % 3:02}", 0.2)
+            for i in range(12)
+        ]
+        placements += [
+            ShardPlacement(f"hot/{i}", "field-log-00", 0.54) for i in range(2)
         ]
-        placements += [Holding(f"hot/{i}", "field-log-00", 0.54) for i in range(2)]
         before = imbalance(placements, targets)
         counts = apply_until_settled(placements, targets)
         hot = {placement.owner for placement in placements if placement.shard[0] == "h"}
