--- a/packages/policy/src/berylstage_policy/placement.py
+++ b/packages/policy/src/berylstage_policy/placement.py
@@ -104,7 +104,7 @@
         self.destination = destination
 
     def __repr__(self) -> str:
-        return f"Move({self.shard!r}, {self.source!r}, {self.destination!r})"
+        return f"ShardMove({self.shard!r}, {self.source!r}, {self.destination!r})"
 
 
 class _Bin:
