--- a/packages/policy/tests/test_coldstart.py
+++ b/packages/policy/tests/test_coldstart.py
@@ -100,7 +100,7 @@
         ],
         ids=["incarnation", "report", "refusal"],
     )
-    def test_goes_back_to_one(self, warm, sign):
+    def test_resets_the_limit_to_one(self, warm, sign):
         # The target restarts without notice under full load. Whatever reveals it first,
         # the next request must be sent alone.
         sign(warm)
--- a/packages/policy/tests/test_fairness.py
+++ b/packages/policy/tests/test_fairness.py
@@ -89,7 +89,7 @@
 
 
 class TestMemory:
-    def test_callers_that_came_once_are_forgotten(self):
+    def test_idle_callers_are_dropped(self):
         queue = FairQueue(2.5)
         for i in range(20 * MAX_IDLE_FLOWS):
             push(queue, "x", f"caller-{i}")
--- a/packages/policy/tests/test_health.py
+++ b/packages/policy/tests/test_health.py
@@ -13,7 +13,7 @@
 
 
 class TestSilence:
-    def test_stall_shorter_than_a_move_costs_moves_nothing(self, health):
+    def test_stall_shorter_than_a_move_moves_nothing(self, health):
         # Another workload takes the target's CPU for most of a second. Moving the keys
         # would make them unavailable for longer than the stall does.
         for now in (0.3, 0.5, 0.9, 1.2):
--- a/packages/policy/tests/test_hot_keys.py
+++ b/packages/policy/tests/test_hot_keys.py
@@ -71,7 +71,7 @@
         self.add_load(hot, "a", 0.1, 0.0, 60.0)
         assert hot.changes(2.0, 60.0).set_apart == []
 
-    def test_key_that_pauses_is_not_given_back_at_once(self):
+    def test_idle_hot_key_is_not_given_back_at_once(self):
         # A hot key has no requests for half a minute. If it were given back and set
         # apart again, it would move twice and be unavailable each time.
         hot = HotKeyDetector(DEFAULTS)
--- a/packages/policy/tests/test_placement.py
+++ b/packages/policy/tests/test_placement.py
@@ -71,7 +71,7 @@
         owners = [placement.owner for placement in placements]
         assert all(owners.count(owner) == 2 for owner in set(owners))
 
-    def test_pinned_shard_moves_to_its_place(self):
+    def test_pinned_shard_moves_to_its_target(self):
         placements, targets = make_placements(), make_targets()
         apply_until_settled(placements, targets)
         elsewhere = next(h for h in placements if h.owner != "field-log-03")
@@ -80,7 +80,7 @@
         assert [move.shard for move in moves] == [elsewhere.shard]
         assert moves[0].destination == "field-log-03"
 
-    def test_pin_to_closed_place_is_served_elsewhere(self):
+    def test_shard_pinned_to_a_closed_target_is_served_elsewhere(self):
         # Operators pin a key to a target and then close its data centre. If the pin
         # took precedence, the key's callers would get no answer until it reopens.
         placements, targets = make_placements(), make_targets(closed=("shymkent-a",))
@@ -89,7 +89,7 @@
         eligible = {target.name for target in targets if target.eligible}
         assert placements[0].owner in eligible
 
-    def test_no_eligible_place_moves_nothing(self):
+    def test_no_eligible_target_moves_nothing(self):
         # All data centres are closed at once. An exception here would stop the
         # proposer, and with it the reopening.
         assert plan(make_placements(), make_targets(closed=DATA_CENTRES), 8) == []
--- a/packages/policy/tests/test_retries.py
+++ b/packages/policy/tests/test_retries.py
@@ -30,7 +30,7 @@
             (False, AttemptOutcome.FAILED, RetryVerdict.NOT_REPEATABLE),
         ],
     )
-    def test_what_may_have_run_is_repeated_only_if_it_may_be(
+    def test_request_that_may_have_run_is_retried_only_if_idempotent(
         self, policy, is_repeatable, outcome, verdict
     ):
         # An order got no answer. If it were sent again, it could be executed twice.
--- a/packages/policy/tests/test_target_choice.py
+++ b/packages/policy/tests/test_target_choice.py
@@ -37,13 +37,13 @@
 
 
 class TestStragglers:
-    def test_slow_target_gets_nothing_while_others_are_well(self, choice):
+    def test_slow_target_is_avoided_while_others_are_healthy(self, choice):
         # One target out of ten is ten times slower; a tenth of the requests would hit
         # it.
         record_typical_answers(choice, slow=NAMES[:1])
         assert NAMES[0] not in count_choices(choice, 1.2)
 
-    def test_stalled_target_is_seen_before_its_first_late_answer(self, choice):
+    def test_stalled_target_is_detected_before_it_answers(self, choice):
         # The target stalls while it runs a request of this VM. Its load report and its
         # answer both arrive too late to protect the next callers.
         record_typical_answers(choice)
@@ -115,6 +115,6 @@
         record_typical_answers(choice, slow=NAMES[7:8])
         assert choice.choose(NAMES, 1.2, [NAMES[7]]) != NAMES[7]
 
-    def test_single_target_is_chosen_whatever_it_is(self, choice):
+    def test_single_target_is_chosen_even_if_it_is_slow(self, choice):
         record_typical_answers(choice, slow=NAMES[:1])
         assert choice.choose(NAMES[:1], 1.2) == NAMES[0]
