--- a/packages/policy/src/berylstage_policy/health.py
+++ b/packages/policy/src/berylstage_policy/health.py
@@ -1,10 +1,10 @@
-"""Whether a target is well, stalled for moments, slow, or down.
+"""Health state of a target: healthy, stalled, slow or down.
 
-The load it answers: targets that stop for moments because of unseen neighbours, and
-targets that are gone. Moving owned keys off a target costs their unavailability while
-its grant lapses and the new owner starts cold. Without a bound below which nothing
-moves, each stall of half a second would turn into a longer outage by our own doing;
-with too high a bound, the keys of a lost target stay away longer than the promised 2 s.
+Targets stall for moments when other workloads on the host take their CPU, and some fail
+for good. Moving owned keys off a target makes them unavailable until its grant expires
+and the new owner has gone through its cold start. Without a lower bound on the silence,
+every stall of half a second would become a longer outage. With too high a bound, the
+keys of a lost target would be unavailable for longer than the promised 2 s.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 
 
 class HealthState(Enum):
-    """State of a target by what was observed.
+    """Observed health state of a target.
 
-    ``STALLED`` holds requests back from free services and moves nothing; ``SLOW``
-    lowers the share of keys; ``DOWN`` moves the keys.
+    ``STALLED`` withholds requests of services without key ownership and moves nothing.
+    ``SLOW`` lowers the target's share of keys. ``DOWN`` moves its keys.
     """
 
-    WELL = "well"
+    HEALTHY = "well"
     STALLED = "stalled"
     SLOW = "slow"
     DOWN = "down"
 
 
 class TargetHealth:
-    """Judges one target by answers to probes, grants and work.
+    """Derives the health of one target from replies to probes, grants and requests.
 
     Parameters
     ----------
@@ -39,9 +39,9 @@
     """
 
     __slots__ = (
-        "_last_sign",
+        "_last_reply",
         "_refused_since",
-        "_slow_since",
+        "_transition_since",
         "_is_slow",
         "_stall_after",
         "_down_after",
@@ -53,9 +53,9 @@
     )
 
     def __init__(self, thresholds: Thresholds, now: float):
-        self._last_sign = now
+        self._last_reply = now
         self._refused_since: float | None = None
-        self._slow_since: float | None = None
+        self._transition_since: float | None = None
         self._is_slow = False
         self._ratio = 1.0
         self._stall_after = thresholds["stall_after"]
@@ -66,56 +66,56 @@
         self._least_capacity = thresholds["least_capacity"]
 
     def answered(self, now: float) -> None:
-        """Note a sign of life: any answer, also a refusal."""
-        self._last_sign = now
+        """Record any reply of the target, including a refusal."""
+        self._last_reply = now
         self._refused_since = None
 
     def refused_connection(self, now: float) -> None:
-        """Note that nothing listens on the target's address: the process is gone."""
+        """Record that the target's address refuses connections: its process is gone."""
         if self._refused_since is None:
             self._refused_since = now
 
     def latency(self, now: float, ratio: float) -> None:
-        """Note how slow the target is beside the others of its service.
+        """Record the target's service time relative to its peers.
 
         Parameters
         ----------
         now : float
         ratio : float
-            Its smoothed service time over the median of the service's targets.
+            Smoothed service time divided by the median of the service's targets.
         """
         self._ratio = ratio
-        bound = self._slow_ratio / (2.0 if self._is_slow else 1.0)
-        if (ratio >= bound) == self._is_slow:
-            self._slow_since = None
-        elif self._slow_since is None:
-            self._slow_since = now
-        elif now - self._slow_since >= self._slow_after:
+        limit_ratio = self._slow_ratio / (2.0 if self._is_slow else 1.0)
+        if (ratio >= limit_ratio) == self._is_slow:
+            self._transition_since = None
+        elif self._transition_since is None:
+            self._transition_since = now
+        elif now - self._transition_since >= self._slow_after:
             self._is_slow = not self._is_slow
-            self._slow_since = None
+            self._transition_since = None
 
     def verdict(self, now: float) -> HealthState:
-        """Return the state of the target."""
+        """Return the health state of the target."""
         refused = self._refused_since
         if refused is not None and now - refused >= self._refused_down_after:
             return HealthState.DOWN
-        silence = now - self._last_sign
+        silence = now - self._last_reply
         if silence >= self._down_after:
             return HealthState.DOWN
         if silence >= self._stall_after or refused is not None:
             return HealthState.STALLED
-        return HealthState.SLOW if self._is_slow else HealthState.WELL
+        return HealthState.SLOW if self._is_slow else HealthState.HEALTHY
 
     def next_change(self, now: float) -> float:
-        """Return when the verdict changes if nothing is heard until then."""
-        moments = [self._last_sign + self._stall_after]
-        moments.append(self._last_sign + self._down_after)
+        """Return when the health state changes if no reply arrives until then."""
+        times = [self._last_reply + self._stall_after]
+        times.append(self._last_reply + self._down_after)
         if self._refused_since is not None:
-            moments.append(self._refused_since + self._refused_down_after)
-        return min((m for m in moments if m > now), default=float("inf"))
+            times.append(self._refused_since + self._refused_down_after)
+        return min((m for m in times if m > now), default=float("inf"))
 
     def capacity(self, slots: int) -> float:
-        """Return the capacity for placement: its slots, or less while it is slow."""
+        """Return the capacity for placement: the slots, or less for a slow target."""
         if not self._is_slow:
             return float(slots)
         return slots * max(self._least_capacity, 1.0 / self._ratio)
--- a/packages/policy/src/berylstage_policy/placement.py
+++ b/packages/policy/src/berylstage_policy/placement.py
@@ -1,9 +1,9 @@
-"""Where shards go: the moves that must be made and the few that pay.
+"""Shard placement: mandatory moves and a limited number of balancing moves.
 
-The load it answers: targets that come, go and are unevenly loaded. Without the
-hysteresis every fluctuation of load would move keys, and each move makes keys
-unavailable; without the budget a reopened data centre would take all its keys back at
-once, cold.
+Targets join, leave and carry uneven load, and every move makes keys unavailable for a
+moment. Hysteresis prevents load fluctuations from moving keys. The budget prevents a
+reopened data centre from taking all of its keys back at once, while its targets are
+cold.
 """
 
 from __future__ import annotations
@@ -12,36 +12,39 @@
 
 from berylstage_policy.thresholds import DEFAULTS, Thresholds
 
-# Weight of a shard without load, as a share of the mean: idle shards are spread by
-# number, so that no target ends up with all of those that wake up later.
-IDLE_WEIGHT = 0.01
+# Weight of a shard without load, as a share of the mean load. Idle shards are spread by
+# number, so that no target holds all of those that become active later.
+IDLE_WEIGHT_SHARE = 0.01
 
-# Moves of a shard within minutes after which it is left alone: away and back.
-MOST_RECENT_MOVES = 2
+# Moves of a shard within minutes, one away and one back, after which it is no longer
+# rebalanced.
+MAX_RECENT_MOVES = 2
 
-# Places of the lowest levels that are tried as partners of a repack.
-REPACK_PARTNERS = 4
+# Targets with the lowest levels that are tried as partners of a repack.
+MAX_REPACK_PARTNERS = 4
 
-# Difference in level up to which a shard stays where it is in a repack.
+# Relative difference in level up to which a shard stays in place during a repack.
 STAY_MARGIN = 0.02
 
 
 class ShardPlacement:
-    """One shard and where it is.
+    """One shard with its owner and load.
 
     Parameters
     ----------
     shard : str
         Unique name of the shard.
     owner : str or None
-        Place that owns it; None before the first assignment.
+        Target that owns the shard; None before the first assignment.
     load : float
-        Slot-seconds a second that it takes; any unit will do if it is the same.
+        Slot-seconds per second that the shard uses. Any other unit works if all shards
+        use the same one.
     pinned : str or None
-        Place that operators want it on. Ignored while that place isn't eligible.
+        Target to which operators pinned the shard. Ignored while that target is not
+        eligible.
     recent_moves : int
-        Moves within the last minutes. From `MOST_RECENT_MOVES` on it is not moved for
-        balance.
+        Moves within the last minutes. From `MAX_RECENT_MOVES` on, the shard is not
+        moved for balance.
     """
 
     __slots__ = ("shard", "owner", "load", "pinned", "recent_moves")
@@ -62,17 +65,17 @@
 
 
 class PlacementTarget:
-    """One target that may own shards.
+    """Target that may own shards.
 
     Parameters
     ----------
     name : str
     data_centre : str
     capacity : float
-        Share of the work that it should get, relative to the others: its slots, or
-        less while it is slow.
+        Relative share of the load that the target should receive: its number of slots,
+        or less while it is slow.
     eligible : bool
-        False when it is down, leaving, or its data centre is closed.
+        False if the target is down or leaving, or its data centre is closed.
     """
 
     __slots__ = ("name", "data_centre", "capacity", "eligible")
@@ -91,7 +94,7 @@
 
 
 class ShardMove:
-    """One change of owner that the plan asks for."""
+    """Change of one shard's owner."""
 
     __slots__ = ("shard", "source", "destination")
 
@@ -101,11 +104,11 @@
         self.destination = destination
 
     def __repr__(self) -> str:
-        return f"Move({self.shard!r}, {self.source!r}, {self.destination!r})"
+        return f"ShardMove({self.shard!r}, {self.source!r}, {self.destination!r})"
 
 
 class _Bin:
-    """One eligible place with the weight on it while a plan is made."""
+    """Eligible target and the weight assigned to it while a plan is computed."""
 
     __slots__ = ("name", "capacity", "weight", "movable")
 
@@ -113,112 +116,116 @@
         self.name = name
         self.capacity = capacity
         self.weight = 0.0
-        # Unpinned shards on it, as (weight, shard).
+        # Unpinned shards in the bin, as (weight, shard).
         self.movable: list[tuple[float, str]] = []
 
     @property
     def level(self) -> float:
-        """Weight for each unit of capacity."""
+        """Weight per unit of capacity."""
         return self.weight / self.capacity
 
 
 def plan(
-    holdings: list[ShardPlacement],
-    places: list[PlacementTarget],
+    placements: list[ShardPlacement],
+    targets: list[PlacementTarget],
     budget: int,
     thresholds: Thresholds = DEFAULTS,
 ) -> list[ShardMove]:
-    """Decide which shards change their owner.
+    """Return the shard moves that restore eligibility, pinning and balance.
 
-    A shard without an owner, on a place that isn't eligible, or pinned to another
-    eligible place is always moved. Other shards move only from a place well above the
-    mean level, or to one well below it, and only as many as the budget has left after
-    the mandatory moves. The result depends only on the arguments, so that two VMs with
-    the same view plan the same moves.
+    A shard without an owner, on an ineligible target, or pinned to another eligible
+    target is always moved. Other shards move only from a target well above the mean
+    level or to one well below it, and only within the budget that the mandatory moves
+    leave. The result depends only on the arguments, so two VMs with the same view
+    compute the same plan.
 
     Parameters
     ----------
-    holdings : list of Holding
-        The shards of one service.
-    places : list of Place
-        The targets of that service.
+    placements : list of Holding
+        All shards of one service.
+    targets : list of Place
+        All targets of that service.
     budget : int
-        Most moves for balance in this plan; mandatory moves are not limited but use
-        it up, because loads are unsettled while keys move.
+        Maximum number of balancing moves in this plan. Mandatory moves are not limited
+        but count against it, because loads are unreliable while keys move.
     thresholds : Thresholds
 
     Returns
     -------
     list of Move
-        Mandatory moves first. Empty when no place is eligible.
+        Mandatory moves first. Empty if no target is eligible.
     """
     bins = {
-        place.name: _Bin(place.name, place.capacity)
-        for place in sorted(places, key=lambda place: place.name)
-        if place.eligible and place.capacity > 0
+        target.name: _Bin(target.name, target.capacity)
+        for target in sorted(targets, key=lambda target: target.name)
+        if target.eligible and target.capacity > 0
     }
     if not bins:
         return []
-    weights = _weights(holdings)
-    moves = _place_mandatory(holdings, weights, bins)
+    weights = _weights(placements)
+    moves = _place_mandatory(placements, weights, bins)
     left = budget - len(moves)
     if left > 0:
         moves.extend(_balance(bins, left, thresholds))
     return moves
 
 
-def _weights(holdings: list[ShardPlacement]) -> dict[str, float]:
-    """Return the weight of each shard: its load, but never quite nothing."""
-    total = sum(holding.load for holding in holdings)
-    floor = IDLE_WEIGHT * total / len(holdings) if total > 0 else 1.0
-    return {holding.shard: holding.load + floor for holding in holdings}
+def _weights(placements: list[ShardPlacement]) -> dict[str, float]:
+    """Return the weight of each shard: its load plus a small minimum."""
+    total = sum(placement.load for placement in placements)
+    floor = IDLE_WEIGHT_SHARE * total / len(placements) if total > 0 else 1.0
+    return {placement.shard: placement.load + floor for placement in placements}
 
 
 def _place_mandatory(
-    holdings: list[ShardPlacement],
+    placements: list[ShardPlacement],
     weights: dict[str, float],
     bins: dict[str, _Bin],
 ) -> list[ShardMove]:
-    """Put every shard in its bin and return the moves that this takes."""
+    """Assign every shard to a bin and return the moves that this requires."""
     moves = []
-    homeless = []
-    for holding in holdings:
-        weight = weights[holding.shard]
-        if holding.pinned in bins:
-            pinned_bin = bins[holding.pinned]
+    unassigned = []
+    for placement in placements:
+        weight = weights[placement.shard]
+        if placement.pinned in bins:
+            pinned_bin = bins[placement.pinned]
             pinned_bin.weight += weight
-            if holding.owner != holding.pinned:
-                moves.append(ShardMove(holding.shard, holding.owner, holding.pinned))
-        elif holding.owner in bins:
-            owner_bin = bins[holding.owner]
+            if placement.owner != placement.pinned:
+                moves.append(
+                    ShardMove(placement.shard, placement.owner, placement.pinned)
+                )
+        elif placement.owner in bins:
+            owner_bin = bins[placement.owner]
             owner_bin.weight += weight
-            # A data centre that closes and reopens takes a key away and back. Moved
-            # by chance fluctuations of load as well, the same key would be
-            # unavailable a third time within minutes while others never were.
-            if holding.recent_moves < MOST_RECENT_MOVES:
-                owner_bin.movable.append((weight, holding.shard))
+            # A data centre that closes and reopens moves a key away and back. If load
+            # fluctuations moved the same key as well, it would be unavailable a third
+            # time within minutes, while other keys never were.
+            if placement.recent_moves < MAX_RECENT_MOVES:
+                owner_bin.movable.append((weight, placement.shard))
         else:
-            homeless.append(holding)
-    moves.extend(_place_homeless(homeless, weights, bins))
+            unassigned.append(placement)
+    moves.extend(_place_unassigned(unassigned, weights, bins))
     return moves
 
 
-def _place_homeless(
-    homeless: list[ShardPlacement],
+def _place_unassigned(
+    unassigned: list[ShardPlacement],
     weights: dict[str, float],
     bins: dict[str, _Bin],
 ) -> list[ShardMove]:
-    """Place shards without an eligible owner, heaviest first, on the lowest level."""
+    """Assign shards without an eligible owner, heaviest first, to the lowest level."""
     moves = []
-    by_level = SortedKeyList(bins.values(), key=lambda place: (place.level, place.name))
-    homeless.sort(key=lambda holding: (-weights[holding.shard], holding.shard))
-    for holding in homeless:
+    by_level = SortedKeyList(
+        bins.values(), key=lambda target: (target.level, target.name)
+    )
+    unassigned.sort(key=lambda placement: (-weights[placement.shard], placement.shard))
+    for placement in unassigned:
         lowest = by_level.pop(0)
-        weight = weights[holding.shard]
+        weight = weights[placement.shard]
         lowest.weight += weight
-        lowest.movable.append((weight, holding.shard))
+        lowest.movable.append((weight, placement.shard))
         by_level.add(lowest)
-        moves.append(ShardMove(holding.shard, holding.owner, lowest.name))
+        moves.append(ShardMove(placement.shard, placement.owner, lowest.name))
     return moves
 
 
@@ -227,30 +234,32 @@
     budget: int,
     thresholds: Thresholds,
 ) -> list[ShardMove]:
-    """Return moves that bring the outlying places back near the mean level."""
+    """Return moves that bring outlying targets back near the mean level."""
     mean = sum(b.weight for b in bins.values()) / sum(b.capacity for b in bins.values())
     high = mean * thresholds["balance_high"]
     low = mean * thresholds["balance_low"]
     settled_high = mean * thresholds["balance_settled_high"]
     settled_low = mean * thresholds["balance_settled_low"]
-    by_level = SortedKeyList(bins.values(), key=lambda place: (place.level, place.name))
-    outlying = [b for b in bins.values() if b.level > high or b.level < low]
-    if not outlying:
+    by_level = SortedKeyList(
+        bins.values(), key=lambda target: (target.level, target.name)
+    )
+    outliers = [b for b in bins.values() if b.level > high or b.level < low]
+    if not outliers:
         return []
     moves: list[ShardMove] = []
-    over = sorted((b for b in outlying if b.level > high), key=lambda b: -b.level)
-    for source in over:
+    overloaded = sorted((b for b in outliers if b.level > high), key=lambda b: -b.level)
+    for source in overloaded:
         while len(moves) < budget and source.level > settled_high:
-            move = _shift(source, by_level[0], by_level, mean)
+            move = _move_best_shard(source, by_level[0], by_level, mean)
             if move is None:
                 gain = mean * thresholds["balance_repack_gain"]
                 moves.extend(_repack(source, by_level, budget - len(moves), gain))
                 break
             moves.append(move)
-    under = sorted((b for b in outlying if b.level < low), key=lambda b: b.level)
-    for destination in under:
+    underloaded = sorted((b for b in outliers if b.level < low), key=lambda b: b.level)
+    for destination in underloaded:
         while len(moves) < budget and destination.level < settled_low:
-            move = _shift(by_level[-1], destination, by_level, mean)
+            move = _move_best_shard(by_level[-1], destination, by_level, mean)
             if move is None:
                 break
             moves.append(move)
@@ -260,18 +269,18 @@
 def _repack(
     source: _Bin, by_level: SortedKeyList, budget: int, gain: float
 ) -> list[ShardMove]:
-    """Divide the shards of two places anew where no single move helps.
+    """Redistribute the shards of two targets if no single move helps.
 
-    Two hot keys on one place are such a case: each is too heavy for any other place,
-    unless that place gives some of its light shards in return.
+    For example, two hot keys on one target are each too heavy for any other target,
+    unless that target gives up some of its light shards in return.
     """
     best: list[tuple[float, str, str]] = []
     lowest = source.level - gain
     partner = None
-    for candidate in by_level[:REPACK_PARTNERS]:
+    for candidate in by_level[:MAX_REPACK_PARTNERS]:
         if candidate is source:
             continue
-        level, changes = _divide(source, candidate)
+        level, changes = _distribute_evenly(source, candidate)
         if level < lowest and len(changes) <= budget:
             best, lowest, partner = changes, level, candidate
     if partner is None:
@@ -291,51 +300,57 @@
     return moves
 
 
-def _divide(one: _Bin, other: _Bin) -> tuple[float, list[tuple[float, str, str]]]:
-    """Divide the shards of two places evenly, the heaviest first.
+def _distribute_evenly(
+    first_bin: _Bin, second_bin: _Bin
+) -> tuple[float, list[tuple[float, str, str]]]:
+    """Distribute the shards of two targets evenly, the heaviest first.
 
     Returns
     -------
     level : float
-        The higher level of the two places then.
+        Higher of the two resulting levels.
     changes : list of (weight, shard, owner)
-        Shards that would change their place, with the owner they have now.
+        Shards that would move, with their present owner.
     """
-    places = (one, other)
-    weights = [p.weight - sum(w for w, _ in p.movable) for p in places]
-    entries = [(w, s, i) for i, p in enumerate(places) for w, s in p.movable]
+    bins = (first_bin, second_bin)
+    weights = [b.weight - sum(w for w, _ in b.movable) for b in bins]
+    entries = [(w, s, i) for i, b in enumerate(bins) for w, s in b.movable]
     changes = []
     for weight, shard, owner in sorted(entries, key=lambda e: (-e[0], e[1])):
-        levels = [(weights[i] + weight) / places[i].capacity for i in (0, 1)]
-        # Where it makes no difference a shard stays.
+        levels = [(weights[i] + weight) / bins[i].capacity for i in (0, 1)]
+        # A shard stays if moving it makes no difference.
         stays = levels[owner] <= levels[1 - owner] * (1 + STAY_MARGIN)
         end = owner if stays else 1 - owner
         weights[end] += weight
         if end != owner:
-            changes.append((weight, shard, places[owner].name))
-    return max(weights[i] / places[i].capacity for i in (0, 1)), changes
+            changes.append((weight, shard, bins[owner].name))
+    return max(weights[i] / bins[i].capacity for i in (0, 1)), changes
 
 
-def _shift(
+def _move_best_shard(
     source: _Bin,
     destination: _Bin,
     by_level: SortedKeyList,
     mean: float,
 ) -> ShardMove | None:
-    """Move the shard that evens out two places most, or None when none helps."""
-    # The weight that would bring both places to the same level.
-    even = (source.level - destination.level) / (
+    """Move the shard that best evens out two targets, or return None if none does."""
+    # Weight whose move would bring both targets to the same level.
+    equalizing_weight = (source.level - destination.level) / (
         1 / source.capacity + 1 / destination.capacity
     )
-    # One heavy key can't be split: moving it would only swap the places' parts, and
-    # again at the next plan, which shows as a key that moves to and fro. A shard of
-    # twice the even weight swaps them exactly, so only clearly lighter ones count.
-    wanted = min(even, (source.level - mean) * source.capacity)
-    fitting = [entry for entry in source.movable if entry[0] <= 1.5 * even]
-    if not fitting or even <= 0:
+    # A heavy key cannot be split. Moving it would only swap the roles of the two
+    # targets, and the next plan would move it back. A shard of twice the equalizing
+    # weight swaps the levels exactly, so only clearly lighter shards are considered.
+    ideal_weight = min(equalizing_weight, (source.level - mean) * source.capacity)
+    light_enough = [
+        entry for entry in source.movable if entry[0] <= 1.5 * equalizing_weight
+    ]
+    if not light_enough or equalizing_weight <= 0:
         return None
-    wanted = wanted if wanted > 0 else even
-    entry = min(fitting, key=lambda entry: (abs(entry[0] - wanted), entry[1]))
+    ideal_weight = ideal_weight if ideal_weight > 0 else equalizing_weight
+    entry = min(
+        light_enough, key=lambda entry: (abs(entry[0] - ideal_weight), entry[1])
+    )
     by_level.remove(source)
     by_level.remove(destination)
     source.movable.remove(entry)
--- a/packages/policy/tests/test_queue_machine.py
+++ b/packages/policy/tests/test_queue_machine.py
@@ -1,4 +1,4 @@
-"""A state machine over one queue: whatever happens, in whatever order."""
+"""State machine test of one queue under any order of events."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class QueueMachine(RuleBasedStateMachine):
-    """Offers, ends and faults in any order; each ticket has exactly one fate."""
+    """Offers, completions and faults in any order; each request ends exactly once."""
 
     def __init__(self):
         super().__init__()
@@ -27,8 +27,8 @@
         self.running = {}
         self.incarnation = 1
 
-    def start(self, tickets):
-        """Take what the queue starts: never more than its limit at this instant."""
+    def record_started(self, tickets):
+        """Record what the queue starts, which must respect the current limit."""
         for ticket in tickets:
             assert ticket.id in self.waiting
             del self.waiting[ticket.id]
@@ -36,8 +36,8 @@
         if tickets:
             assert len(self.running) <= self.queue.ramp.limit(self.now)
 
-    def settle(self):
-        """Collect refusals as long as the queue says that there are some."""
+    def collect_refusals(self):
+        """Collect the refusals that `next_expiry` announces."""
         due = self.queue.next_expiry()
         if due is None or due > self.now:
             return
@@ -72,7 +72,7 @@
             self.waiting[ticket.id] = ticket
         elif isinstance(decision, Refuse):
             assert decision.retry_after > 0
-        self.settle()
+        self.collect_refusals()
 
     @rule(
         index=st.integers(0, 10),
@@ -85,8 +85,10 @@
         name = sorted(self.running)[index % len(self.running)]
         seconds = self.now - self.running.pop(name)
         incarnation = str(self.incarnation) if named else ""
-        self.start(self.queue.finished(name, self.now, seconds, outcome, incarnation))
-        self.settle()
+        self.record_started(
+            self.queue.finished(name, self.now, seconds, outcome, incarnation)
+        )
+        self.collect_refusals()
 
     @rule(index=st.integers(0, 10))
     def cancel(self, index):
@@ -96,25 +98,25 @@
         name = names[index % len(names)]
         assert self.queue.cancelled(name, self.now) == (name in self.running)
         self.waiting.pop(name, None)
-        self.settle()
+        self.collect_refusals()
 
     @rule(seconds=st.floats(0.001, 1.0))
     def pass_time(self, seconds):
         self.now += seconds
-        self.settle()
+        self.collect_refusals()
 
     @rule(is_restart=st.booleans())
     def heartbeat(self, is_restart):
         self.incarnation += is_restart
-        self.start(self.queue.seen(str(self.incarnation), self.now))
+        self.record_started(self.queue.seen(str(self.incarnation), self.now))
         if is_restart:
             assert self.queue.ramp.limit(self.now) == 1
-        self.settle()
+        self.collect_refusals()
 
     @rule(is_cold=st.booleans(), age=st.floats(0.0, 2.0))
     def report(self, is_cold, age):
         self.queue.reported(is_cold, self.now, age)
-        self.settle()
+        self.collect_refusals()
 
     @rule()
     def pause_and_resume(self):
@@ -122,8 +124,8 @@
         assert (
             self.queue.finished("nobody", self.now, 0.0, AttemptOutcome.ANSWERED) == []
         )
-        self.start(self.queue.resume(self.now))
-        self.settle()
+        self.record_started(self.queue.resume(self.now))
+        self.collect_refusals()
 
     @rule()
     def hand_back(self):
@@ -133,8 +135,8 @@
 
     @rule(slots=st.integers(1, 4))
     def change_slots(self, slots):
-        self.start(self.queue.set_slots(slots, self.now))
-        self.settle()
+        self.record_started(self.queue.set_slots(slots, self.now))
+        self.collect_refusals()
 
     @invariant()
     def queue_and_we_agree(self):
@@ -149,8 +151,8 @@
 
     @invariant()
     def slots_are_not_left_idle(self):
-        # A ticket that waits before an idle target would wait for ever: only an ending
-        # starts it.
+        # Only the end of a request starts a waiting one, so a request that waits at an
+        # idle target would wait forever.
         assert not self.waiting or self.running
 
 
