--- a/packages/entry/src/berylstage_entry/assignment.py
+++ b/packages/entry/src/berylstage_entry/assignment.py
@@ -1,4 +1,4 @@
-"""Which target holds which keys of a service, as the store keeps it."""
+"""The assignment of a service's keys to targets, as stored."""
 
 from __future__ import annotations
 
@@ -17,20 +17,21 @@
 
 
 class KeyRange:
-    """Neighbouring keys with one owner.
+    """Adjacent keys with one owner.
 
     Parameters
     ----------
     first, last : int
-        Both included.
+        Keys, both inclusive.
     owner : str
-        Name of the target; empty when nobody owns them.
+        Name of the target; empty if the keys have no owner.
     life : int
-        Life of the target.
+        Incarnation of the owner.
     fence : int
     former : str
-        Target that may still hold them and must let go first; empty for none.
+        Target that may still hold the keys and must release them first; empty for none.
     former_life : int
+        Incarnation of that target.
     """
 
     __slots__ = (
@@ -65,7 +66,7 @@
 
     @property
     def digest(self) -> int:
-        """Checksum of all that it says; it must not change once this was asked for."""
+        """Checksum of all fields, which must not change after the first access."""
         if not self._digest:
             holding = (self.owner, self.life, self.fence, self.former, self.former_life)
             text = f"{self.first} {self.last} {holding}"
@@ -73,7 +74,7 @@
         return self._digest
 
     def cut(self, first: int, last: int) -> KeyRange:
-        """Return a part of the range."""
+        """Return part of the range."""
         return KeyRange(
             first,
             last,
@@ -85,7 +86,7 @@
         )
 
     def same_holding(self, other: KeyRange) -> bool:
-        """Tell whether two ranges differ only in their keys."""
+        """Tell whether two ranges are equal apart from their keys."""
         return (
             self.owner == other.owner
             and self.life == other.life
@@ -96,19 +97,19 @@
 
 
 class Assignment:
-    """The owners of all keys of one service.
+    """The owners of all keys of a service.
 
     Parameters
     ----------
     ranges : sequence of KeyRange
         In order, without gaps.
     next_fence : int
-        Above all fences that were ever given out.
+        Higher than any fence that was ever used.
     """
 
     __slots__ = ("_firsts", "next_fence", "ranges")
 
-    # Bits of a digest.
+    # Number of different digests.
     DIGEST = 1 << 32
 
     def __init__(self, ranges: Sequence[KeyRange], next_fence: int):
@@ -117,21 +118,21 @@
         self._firsts = [r.first for r in self.ranges]
 
     def find(self, key: int) -> KeyRange:
-        """Return the range of a key."""
+        """Return the range that contains a key."""
         return self.ranges[bisect_right(self._firsts, key) - 1]
 
     def replace(self, new: Iterable[KeyRange], next_fence: int) -> Assignment:
-        """Return an assignment in which some ranges are laid over the old ones."""
+        """Return a copy of the assignment in which ranges replace the old ones."""
         laid = Assignment(self.ranges, next_fence)
         for part in new:
             laid._lay(part)
         return laid
 
     def _lay(self, part: KeyRange) -> None:
-        """Lay one range over those there are, and join it with like neighbours.
+        """Replace the keys of one range, and merge it with equal neighbours.
 
-        Only the ranges around it are touched: every VM does this for each change that
-        it is told of.
+        Only the adjacent ranges are touched, since every VM does this for each change
+        that it receives.
         """
         low = bisect_right(self._firsts, part.first) - 1
         high = bisect_right(self._firsts, part.last) - 1
@@ -149,30 +150,30 @@
         self._firsts[span] = [r.first for r in joined]
 
     def digest(self) -> int:
-        """Return a checksum: two assignments with the same one are the same.
+        """Return a checksum: assignments with equal checksums are equal.
 
-        It is the sum of those of the ranges, which most assignments share with the one
-        before them. Each change is checked by every VM; made from the bytes that the
-        store keeps, that took most of a small VM's time while keys moved.
+        It is the sum of the ranges' checksums, most of which do not change between two
+        assignments. Every VM verifies each change; computed from the stored bytes, the
+        checksum took most of a small VM's time while keys moved.
         """
         total = self.next_fence + sum(r.digest for r in self.ranges)
         return total % self.DIGEST
 
     def differing(self, old: Assignment) -> list[KeyRange]:
-        """Return the ranges, or parts of them, that an older assignment lacks."""
+        """Return the ranges, or parts of them, that differ from an older assignment."""
         return [r for r in self.ranges if not old.has(r)]
 
     def has(self, r: KeyRange) -> bool:
-        """Tell whether all keys of a range are held just as it says."""
+        """Tell whether all keys of a range are assigned exactly as it says."""
         mine = self.find(r.first)
         return mine.last >= r.last and mine.same_holding(r)
 
     def encode(self) -> bytes:
-        """Return the bytes that the store keeps.
+        """Return the value to store.
 
-        They are compressed: each VM that reads the store's changes gets all versions of
-        the last seconds, and a quarter of the bytes fills a small link for a quarter of
-        the time.
+        It is compressed: each VM that reads the store's changes receives all versions
+        of the last seconds, and with a quarter of the bytes a slow link is busy for a
+        quarter of the time.
         """
         rows = [
             [r.first, r.owner, r.life, r.fence, r.former, r.former_life]
@@ -183,12 +184,12 @@
 
     @classmethod
     def decode(cls, value: bytes) -> Assignment:
-        """Read what the store keeps.
+        """Parse a stored value.
 
         Raises
         ------
         UnreadableRecord
-            It is no assignment.
+            The value is not a valid assignment.
         """
         try:
             doc = json.loads(zlib.decompress(value))
@@ -200,7 +201,9 @@
             ]
             return cls(ranges, doc["next_fence"])
         except (zlib.error, ValueError, KeyError, TypeError, IndexError) as exc:
-            raise UnreadableRecord(f"no assignment of keys: {exc}") from exc
+            raise UnreadableRecord(
+                f"stored value is not a valid assignment: {exc}"
+            ) from exc
 
 
 def nobody() -> Assignment:
@@ -209,7 +212,7 @@
 
 
 def _joined(ranges: Sequence[KeyRange]) -> list[KeyRange]:
-    """Return ranges with like neighbours made one."""
+    """Return the ranges with equal neighbours merged."""
     joined: list[KeyRange] = []
     for r in ranges:
         if joined and joined[-1].same_holding(r):
--- a/packages/entry/src/berylstage_entry/assignment_writer.py
+++ b/packages/entry/src/berylstage_entry/assignment_writer.py
@@ -1,4 +1,4 @@
-"""Writes assignments into the store, and settles writes whose end is unknown."""
+"""Writes assignments to the store and resolves writes with unknown outcome."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
     from berylstage_entry.office import Office
     from berylstage_entry.store import Store
 
-# Seconds between two looks for the end of a write, and between two tries: nothing else
-# can be written meanwhile, and each try is a call.
+# Seconds between two checks for the outcome of a write, and between two attempts:
+# nothing else can be written meanwhile, and each attempt is a call to the store.
 PAUSE = 0.05
 TRY_AGAIN = 0.2
 
@@ -30,7 +30,7 @@
 
 
 class AssignmentWriter:
-    """Writes assignments while this VM has the duty of granting.
+    """Writes assignments while this VM is the coordinator.
 
     Parameters
     ----------
@@ -43,18 +43,18 @@
         self._store = store
         self._feed = feed
         self._office = office
-        # Called with each change that has been written.
+        # Called with each change after it was written.
         self.listeners: list[Callable[[AssignmentChange], None]] = []
 
     async def write(self, service: str, assignment: Assignment) -> None:
-        """Write an assignment, and return once it is known to be in force.
+        """Write an assignment and return once it is known to be in force.
 
         Raises
         ------
         Conflict
-            Another one is in force.
+            Another assignment is in force.
         StoreError
-            It is not in force and won't be.
+            The assignment is not in force and will not be.
         """
         key = KEYS_PREFIX + service
         revision = self._feed.revisions.get(service, 0)
@@ -74,13 +74,17 @@
                     await self._catch_up(service, revision)
                 raise
             except StoreSilent as exc:
-                # It may be in force, or come into force seconds later. Until that is
-                # known nothing may be granted by the one before: the two could give the
-                # same keys to two targets.
+                # The assignment may be in force, or come into force seconds later.
+                # Until this is known, nothing may be granted by the previous
+                # assignment: together, the two could give the same keys to two targets.
                 doubtful = True
-                log.info("assignment in doubt", extra={"cause": str(exc)})
+                log.info(
+                    "outcome of assignment write unknown", extra={"cause": str(exc)}
+                )
             if not self._office.holds():
-                raise Conflict(f"{key}: the duty was lost while a write was in doubt")
+                raise Conflict(
+                    f"{key}: not coordinator any more, outcome of the write unknown"
+                )
             await asyncio.sleep(TRY_AGAIN)
         self._feed.take_assignment(service, assignment, new)
         change = AssignmentChange.between(service, revision, old, new, assignment)
@@ -97,7 +101,7 @@
         )
 
     async def _catch_up(self, service: str, revision: int) -> None:
-        """Wait until this VM has heard of a newer assignment than it knew."""
+        """Wait until this VM knows a newer assignment than before."""
         while self._office.holds():
             if self._feed.revisions.get(service, 0) > revision:
                 return
--- a/packages/entry/src/berylstage_entry/balance.py
+++ b/packages/entry/src/berylstage_entry/balance.py
@@ -1,10 +1,10 @@
-"""Which keys go to which target, so that none is busier than it must be.
+"""Moves keys between targets so that none is busier than necessary.
 
-The load it answers: a few neighbouring keys that get a third of all requests, for a
-few seconds, before targets with two or three slots. An even division of the keys puts
-half of the requests on one target of twelve; one sees a queue there and idle slots
-elsewhere. Narrow stretches of busy keys are moved, since a move interrupts just their
-requests.
+The typical load is a few adjacent keys that get a third of all requests for a few
+seconds, at targets with two or three slots. With keys divided evenly, one target of
+twelve gets half of the requests: it has a queue while other targets have free slots.
+Narrow runs of hot keys are moved, because a move interrupts only the requests for its
+own keys.
 """
 
 from __future__ import annotations
@@ -18,35 +18,36 @@
 
     from berylstage_entry.assignment import Assignment, KeyRange
 
-# Share of its capacity above which a target is worth relieving, and by how much a move
-# must lower the busier of its two ends: less is chance among the few dozen requests
-# that a target gets in the time of the half-life.
+# Utilization from which a target may give keys away, and by how much a move must lower
+# the utilization of the busier of its two targets. Smaller differences are noise, given
+# the few dozen requests that a target gets within the half-life.
 RELIEVED_ABOVE = 0.4
 LEAST_GAIN = 0.12
-# Share of its capacity above which a target is relieved at once, and by how much that
-# must lower the busier end: a queue grows before it, and others have room. Otherwise a
-# round waits until this many seconds after the last one that moved something: each
-# costs two writes into the store and interrupts the requests of its keys. A single key
-# that asks for more than any target can do, or targets that are all full, would have
-# rounds all the time: with no such bounds 3 to 5 times the writes bring the same credit
-# (`make bench-owned`).
+# Utilization from which keys are moved at once, and by how much such a move must lower
+# the utilization of the busier target: it has a growing queue while others have free
+# capacity. Otherwise a round waits until this many seconds after the last one that
+# moved keys, because each round costs two writes to the store and interrupts requests.
+# A single key with more requests than any target can serve, or targets that are all
+# overloaded, would otherwise cause rounds all the time: without these bounds, 3 to 5
+# times the writes earn the same credit (`make bench-owned`).
 URGENT_ABOVE = 0.8
 URGENT_GAIN = 0.25
 CALM_PERIOD = 1.0
-# Moves in one round at least, and targets for each of them where there are many. Each
-# interrupts its keys for the time of the work under way there, a tenth of a second.
+# Lower bound of the moves allowed per round, and the number of targets per move if
+# there are many targets. Each move interrupts its keys until the requests in progress
+# there are complete, a tenth of a second.
 LEAST_MOVES = 6
 TARGETS_A_MOVE = 10
-# Takers that are weighed for one move: the idlest, and the fastest for a single key
-# that asks for more than its owner can do.
+# Recipients considered for each move: the least utilized, and the fastest for a single
+# key with more requests than its owner can serve.
 IDLEST = 3
 FASTEST = 2
-# Times the evening-out rate that a stretch of keys may bring.
+# Factor by which a run of keys may exceed the rate that evens out two targets.
 TOLERANCE = 1.05
 
 
 class _Keys:
-    """The busy keys of a range, with the rate of each and of all."""
+    """The hot keys of a range, with their rates and total rate."""
 
     __slots__ = ("keys", "range", "rate")
 
@@ -57,7 +58,7 @@
 
 
 class _Side:
-    """A target in a round of moves."""
+    """A target as donor or recipient in a round of moves."""
 
     __slots__ = ("capacity", "name", "rate")
 
@@ -123,21 +124,21 @@
     ----------
     assignment : Assignment
     rates : sequence of tuple
-        Keys in order, each with its requests a second.
+        Keys in order, each with its requests per second.
     capacities : dict of str to float
-        Requests a second that each target can serve; only these give or take.
+        Requests per second that each target can serve. Other targets are left out.
     urgent : bool
-        Whether only moves count that end a queue which grows.
+        Whether to return only moves that stop a queue from growing.
 
     Returns
     -------
     list of KeyMove
-        At most as many as :func:`most_moves` says.
+        At most :func:`most_moves` of them.
     """
     held = _by_owner(assignment, rates)
     sides = _sides(held, capacities)
     moves: list[KeyMove] = []
-    # Targets for which there is no move; a later move of a round finds none either.
+    # Donors without a useful move, which later moves of the round do not change.
     passed: set[str] = set()
     while len(moves) < most_moves(len(sides)) and len(sides) > 1:
         found = _next_move(sides, held, moves, passed, urgent)
@@ -150,15 +151,15 @@
 
 
 def most_moves(targets: int) -> int:
-    """Return the moves that one round may have.
+    """Return the maximum number of moves in one round.
 
-    A stretch of busy keys wants as many new owners as it has of all requests, and so
-    more of them the more targets there are.
+    Hot keys need a share of the targets that equals their share of all requests, hence
+    more moves if there are more targets.
 
     Parameters
     ----------
     targets : int
-        That may take keys.
+        Number of targets that may own keys.
 
     Returns
     -------
@@ -170,7 +171,7 @@
 def _by_owner(
     assignment: Assignment, rates: Sequence[tuple[int, float]]
 ) -> dict[str, list[_Keys]]:
-    """Return the ranges of each owner that have busy keys."""
+    """Return the ranges with hot keys, by owner."""
     held: dict[str, list[_Keys]] = {}
     for r, keys in rates_by_range(assignment, rates):
         if keys:
@@ -181,7 +182,7 @@
 def _sides(
     held: dict[str, list[_Keys]], capacities: dict[str, float]
 ) -> dict[str, _Side]:
-    """Return the targets that give or take, with what they are asked for."""
+    """Return the targets that may give or receive keys, with their request rates."""
     sides = {name: _Side(name, max(c, 0.1)) for name, c in capacities.items()}
     for name, side in sides.items():
         side.rate = sum(each.rate for each in held.get(name, ()))
@@ -189,7 +190,7 @@
 
 
 class _Found:
-    """A move that would help, and by how much."""
+    """A useful move and its effect."""
 
     __slots__ = ("giver", "level", "move", "rate", "taker")
 
@@ -200,12 +201,12 @@
         self.giver = giver
         self.taker = taker
         self.rate = rate
-        # Of the busier end after the move.
+        # Utilization of the busier target after the move.
         self.level = level
 
     @property
     def is_urgent(self) -> bool:
-        """Whether it ends a queue that grows."""
+        """Whether it stops a queue from growing."""
         before = self.giver.level
         return before >= URGENT_ABOVE and before - self.level >= URGENT_GAIN
 
@@ -219,10 +220,10 @@
 ) -> _Found | None:
     """Return the best move from the busiest target that has one.
 
-    The busiest one of all may have a key that asks for more than any target can do, and
-    no move that helps it much. Those behind it must be relieved all the same: with
-    hundreds of targets there is one such at nearly any time, and queues would grow
-    before all others.
+    The busiest target may have a key with more requests than any target can serve, and
+    no useful move. The next busiest must be relieved nevertheless: with hundreds of
+    targets there is such a key nearly all the time, and queues would grow at all other
+    targets.
     """
     least = URGENT_ABOVE if urgent else RELIEVED_ABOVE
     by_level = sorted(sides.values(), key=lambda side: side.level)
@@ -269,7 +270,7 @@
 def _stretches(
     keys: list[tuple[int, float]], giver: _Side, taker: _Side
 ) -> list[tuple[int, int, float]]:
-    """Return stretches of keys worth weighing: first key, last key and rate."""
+    """Return candidate runs of keys: first key, last key and rate."""
     both = giver.capacity + taker.capacity
     wanted = (giver.rate * taker.capacity - taker.rate * giver.capacity) / both
     found = []
@@ -290,10 +291,10 @@
 def _narrowest(
     keys: list[tuple[int, float]], low: float, high: float
 ) -> tuple[float, int, int, float] | None:
-    """Return cost, first key, last key and rate of the best stretch within bounds.
+    """Return cost, first key, last key and rate of the best run within bounds.
 
-    The cost is the width for the rate that it brings, so that a stretch that brings
-    twice as much may be twice as wide.
+    The cost is the width divided by the rate, so a run with twice the rate may be twice
+    as wide.
     """
     best: tuple[float, int, int, float] | None = None
     start, total = 0, 0.0
--- a/packages/entry/src/berylstage_entry/dealing.py
+++ b/packages/entry/src/berylstage_entry/dealing.py
@@ -1,8 +1,8 @@
-"""Which targets get keys that need another owner, or that lie between those of one.
+"""Assigns keys that need another owner, and merges ranges.
 
-The load it answers: a target that is lost or closed leaves its keys to all others,
-which are to be no less even for it; and busy keys that were spread leave the ranges cut
-up, each of which costs a grant every 0.8 s for as long as it lasts.
+If a target fails or is evacuated, its keys are spread over all others, whose load
+should be no less even afterwards. Moves of hot keys leave many narrow ranges, each of
+which costs a grant every 0.8 s for as long as it exists.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 
     from berylstage_entry.assignment import Assignment, KeyRange
 
-# Share of a target's capacity that keys may ask for which go back to the owner of their
-# neighbours on both sides: less than chance.
+# Share of a target's capacity below which keys return to the owner of the ranges next
+# to them: less than the noise.
 MENDED_BELOW = 0.05
-# Ranges that are mended in one round: as many as urgent moves cut up in a second.
+# Ranges merged per round: as many as urgent moves create per second.
 MENDED = 24
-# Keys that change hands for it in one round at most: a hundredth of all, since each one
-# that does is paid for.
+# Keys that may change owner per round in order to merge ranges: a hundredth of all,
+# since each change has a cost.
 MOST_MENDED = KEYS // 100
-# Keys of such a range at most: keys that change hands are paid for, and what was busy
-# for a moment is seldom wider.
+# Widest range that may change owner in order to be merged: changes have a cost, and
+# keys that were hot for a moment are seldom wider.
 MENDED_KEYS = 1024
 
 
@@ -42,13 +42,14 @@
     Parameters
     ----------
     homeless : sequence of KeyRange
+        Ranges that need another owner.
     assignment : Assignment
     rates : sequence of tuple
-        Keys in order, each with its requests a second.
+        Keys in order, each with its requests per second.
     capacities : dict of str to float
-        Requests a second that each target can serve; only these take.
+        Requests per second that each possible owner can serve.
     pieces : int
-        Into which a range of all keys is cut at most.
+        Maximum number of parts into which the range of all keys is split.
 
     Returns
     -------
@@ -65,7 +66,7 @@
     moves = []
     for r in homeless:
         for first, last, rate in _pieces(r, rates, pieces):
-            # Where nobody asks for keys yet, faster targets get more of them.
+            # Without requests, faster targets get more keys.
             owner = min(
                 levels, key=lambda name: (levels[name], widths[name] / capacities[name])
             )
@@ -78,7 +79,7 @@
 def _pieces(
     r: KeyRange, rates: Sequence[tuple[int, float]], pieces: int
 ) -> list[tuple[int, int, float]]:
-    """Cut a range into parts of like rate, or of like width where nobody asks."""
+    """Split a range into parts of equal rate, or of equal width without requests."""
     keys = [(key, rate) for key, rate in rates if r.first <= key <= r.last]
     total = sum(rate for _, rate in keys)
     width = r.last - r.first + 1
@@ -108,18 +109,18 @@
     rates: Sequence[tuple[int, float]],
     capacities: dict[str, float],
 ) -> list[KeyMove]:
-    """Return moves that make one range of two or three.
+    """Return moves that merge a range with one or both of its neighbours.
 
-    Keys that were busy for a moment have cut the ranges up, and each range costs a
-    grant every 0.8 s for as long as it lasts.
+    Moves of hot keys split ranges, and each range costs a grant every 0.8 s for as long
+    as it exists.
 
     Parameters
     ----------
     assignment : Assignment
     rates : sequence of tuple
-        Keys in order, each with its requests a second.
+        Keys in order, each with its requests per second.
     capacities : dict of str to float
-        Requests a second that each target can serve; only these take.
+        Requests per second that each possible owner can serve.
 
     Returns
     -------
@@ -153,11 +154,11 @@
 def _joined_by(
     r: KeyRange, beside: Sequence[KeyRange], capacities: dict[str, float]
 ) -> str:
-    """Return the owner beside a range that it is to go to; empty for none."""
+    """Return the neighbouring owner that a range should move to, or ""."""
     if any(other.owner == r.owner for other in beside):
-        # Nothing has to change hands here; one fence for both will do.
+        # No key needs to change owner; it suffices to give both ranges one fence.
         return ""
     fit = [b for b in beside if not b.former and b.owner in capacities]
-    # Where both neighbours have one owner, three ranges become one; else two do.
+    # Neighbours with the same owner turn three ranges into one, others two.
     fit.sort(key=lambda b: b.last - b.first)
     return fit[-1].owner if fit else ""
--- a/packages/entry/src/berylstage_entry/duty_watch.py
+++ b/packages/entry/src/berylstage_entry/duty_watch.py
@@ -1,4 +1,4 @@
-"""Watches the key of the duty of granting, so that a vacancy is known at once."""
+"""Watches the coordinator's key so that a vacancy is known at once."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
     from berylstage_entry.feed import Feed
     from berylstage_entry.store import Store
 
-# Seconds that the watch of the duty's key waits for a change. One that has gone silent
-# is noticed after as long; meanwhile the reading of all keys brings the same news.
+# Seconds that the watch waits for a change. A broken watch is detected after this time;
+# until then the periodic read of all keys brings the same changes.
 DUTY_WAIT = 20.0
-# Seconds before a failed watch is tried again, at least. The reading of all keys brings
-# its news as well when the store is back; calls to a store that is away are paid for
-# like others.
+# Lower bound of the delay before a failed watch is retried. The periodic read of all
+# keys brings the changes as well once the store is back, and calls to an unavailable
+# store cost as much as others.
 DUTY_RETRY = 1.0
-# Seconds between two looks whether this VM is one of those that watch.
+# Seconds between two checks whether this VM should watch.
 LOOK = 0.35
 
 log = Logger(__name__)
 
 
 class DutyWatch:
-    """A watch of one key, beside the paced reading of all keys.
+    """A watch of one key, beside the periodic read of all keys.
 
     Parameters
     ----------
@@ -40,13 +40,13 @@
     def __init__(self, store: Store, feed: Feed):
         self._store = store
         self._feed = feed
-        # Up to which the key is known, where that is more than of all keys.
+        # Revision up to which the key is known, if newer than that of all keys.
         self._revision = 0
 
     async def run(self) -> None:
-        """Watch for as long as this VM is one of those that do."""
-        # A duty without a holder is taken over before grants end, for which the paced
-        # reading would be too slow.
+        """Watch whenever this VM is one of those that should."""
+        # Another VM must become coordinator before key leases expire, and the periodic
+        # read alone would be too slow for that.
         while True:
             if not self._is_wanted():
                 await asyncio.sleep(LOOK)
@@ -61,11 +61,13 @@
             except HistoryLost:
                 await self._read()
             except StoreError as exc:
-                log.info("watch of the duty failed", extra={"cause": str(exc)})
+                log.info(
+                    "watch of the coordinator's key failed", extra={"cause": str(exc)}
+                )
                 await asyncio.sleep(max(DUTY_RETRY, self._feed.retry_pause()))
 
     async def _read(self) -> None:
-        """Read the duty's key, whose changes are no longer kept."""
+        """Read the coordinator's key, whose changes the store has compacted."""
         try:
             changes = await self._store.read(DUTY_KEY)
         except StoreError as exc:
@@ -78,9 +80,10 @@
         self._revision = changes.revision
 
     def _is_wanted(self) -> bool:
-        """Tell whether this VM is one of those that watch the duty's key.
+        """Tell whether this VM should watch the coordinator's key.
 
-        While it is vacant all do that might take it: with its taking, the rest stop.
+        While there is no coordinator, all VMs that may become it watch. The rest stop
+        as soon as there is one.
         """
         if not self._feed.complete or self._feed.is_teller():
             return False
--- a/packages/entry/src/berylstage_entry/granting.py
+++ b/packages/entry/src/berylstage_entry/granting.py
@@ -1,4 +1,4 @@
-"""Decides which target owns which keys, and sees to it that they get there."""
+"""Decides which target owns which keys, and moves the keys there."""
 
 from __future__ import annotations
 
@@ -28,31 +28,31 @@
     from berylstage_entry.store import Store
     from berylstage_entry.wire import TargetWire
 
-# Seconds between two looks at what has to be done.
+# Seconds between two reconciliations.
 TICK = 0.05
-# Seconds between two looks whether keys are to be moved for balance. With 0.35 s a
-# queue of half a second grew before the owner of keys that had become busy: the worst
-# seconds of 44 targets earn 0.85 with it, and 0.90 with 0.1 s (`make bench-owned`).
+# Seconds between two checks whether keys should move for balance. With 0.35 s, half a
+# second of requests queued at the owner of keys that had become hot: the worst seconds
+# of 44 targets earn 0.85 of the credit, and 0.90 with 0.1 s (`make bench-owned`).
 BALANCE_PERIOD = 0.1
-# Parts into which all keys are cut for each target at the start. Busy keys are close to
-# one another, and nobody knows which they will be; in one part a target they have one
-# owner for the first second.
+# Initial number of ranges per target. Hot keys are close to each other and not known in
+# advance; with one range per target, a single target would own them all for the first
+# second.
 FIRST_PIECES = 3
-# Seconds for which the end of a move waits for others to be written with it: moves of
-# one round end within 20 ms of each other where no work is under way.
+# Seconds for which the end of a move waits so that others are stored with it: moves of
+# one round end within 20 ms of each other if no requests are in progress.
 SETTLE_DELAY = 0.02
-# Ranges of one target, on average, above which neighbours are granted anew as one, and
-# narrow ranges go back to the owner on both their sides. Each range is a grant every
-# 0.8 s: 46 targets with eight ranges each take 460 a second, a call each.
+# Average number of ranges per target above which adjacent ranges are merged under one
+# fence, and narrow ranges return to the owner of both neighbours. Each range costs a
+# grant every 0.8 s: 46 targets with eight ranges each take 460 calls per second.
 MANY_RANGES = 3
-# Rate of requests, relative to what it bears, that a cold target is given keys for.
+# Share of its sustainable request rate for which a cold target is assigned keys.
 COLD_USE = 0.5
 
 log = Logger(__name__)
 
 
 class _Service:
-    """What the VM with the duty knows of one service with owned keys."""
+    """The coordinator's state of one service with owned keys."""
 
     __slots__ = (
         "balanced_at",
@@ -73,17 +73,17 @@
         self.rounds = Rounds(moment)
         self.balanced_at = self.mended_at = moment
         self.moving: dict[tuple[int, int, int], asyncio.Task] = {}
-        # Moves that have ended and are yet to be written, and who writes them.
+        # Moves that are complete but not stored yet, and the task that stores them.
         self.ended: list[KeyRange] = []
         self.settling: asyncio.Task | None = None
-        # One change of the assignment at a time, each made from the one before, and
-        # the one that is being written.
+        # Serializes changes of the assignment, each of which is based on the previous
+        # one; and the change that is being stored.
         self.lock = asyncio.Lock()
         self.pending: Assignment | None = None
 
 
 class Granting:
-    """Carries out the duty of granting, while this VM has it.
+    """Assigns keys to targets while this VM is the coordinator.
 
     Parameters
     ----------
@@ -113,17 +113,17 @@
         self._term = 0
 
     def start(self) -> None:
-        """Begin to look after grants."""
+        """Start the reconciliation loop."""
         self._task = asyncio.create_task(self._run())
 
     def stop(self) -> None:
-        """Stop all orders."""
+        """Stop granting and moving keys."""
         if self._task is not None:
             self._task.cancel()
         self._drop_tasks()
 
     def counted(self, service: str, counts: dict[int, int]) -> None:
-        """Take in a VM's requests for each key since it told last."""
+        """Add a VM's request counts by key since its last report."""
         state = self._state(service)
         for key, count in counts.items():
             state.loads.add(key, count)
@@ -131,7 +131,7 @@
     def told_speeds(
         self, service: str, mean: float, slowness: dict[str, float]
     ) -> None:
-        """Take in how fast a VM has seen targets to be.
+        """Add a VM's measurements of target speed.
 
         Parameters
         ----------
@@ -149,15 +149,16 @@
                 elif len(self._renewals):
                     self._drop_tasks()
             except StoreError as exc:
-                log.info("assignment not written", extra={"cause": str(exc)})
+                log.info("assignment not stored", extra={"cause": str(exc)})
                 if isinstance(exc, Conflict):
-                    # The VM before may have ended without a word of what it wrote last.
+                    # The previous coordinator may have stopped before it announced its
+                    # last write.
                     self._feed.hurry()
                 await asyncio.sleep(RENEWAL / 4)
             if self._office.holds():
                 await asyncio.sleep(TICK)
             else:
-                # A lease that is renewed late makes it hold the duty again.
+                # The VM becomes coordinator again if it renews its lease late.
                 await asyncio.sleep(LOOK)
                 await self._office.wait_for_lease()
 
@@ -176,11 +177,11 @@
             self._moves.forget()
 
     def handed_on(self) -> bytes:
-        """Return what the next VM with the duty has to know of moves under way."""
+        """Return the state of ongoing moves for the next coordinator."""
         return self._moves.handed_on()
 
     def inherit(self, body: bytes) -> float | None:
-        """Take over what a former holder of the duty knew, as of :class:`Moves`."""
+        """Import the state of a former coordinator, as :meth:`Moves.inherit` does."""
         if self._term != self._office.term:
             self._begin_term()
         return self._moves.inherit(body)
@@ -219,7 +220,7 @@
     def _due_changes(
         self, service: str, state: _Service, assignment: Assignment
     ) -> Assignment | None:
-        """Return the assignment with what must or had better change; None for no."""
+        """Return the assignment with all due changes, or None if there are none."""
         moment = now()
         capacities = self._capacities(service, state)
         homeless = [
@@ -239,8 +240,8 @@
         rates = state.loads.rates()
         many = MANY_RANGES * max(1, len(capacities))
         if len(assignment.ranges) > many and moment - state.mended_at >= CALM_PERIOD:
-            # Before any move for balance: under load there is always one that helps,
-            # and each cuts ranges up further.
+            # This comes before any move for balance: under load there is always a move
+            # that helps, and each of them splits ranges further.
             state.mended_at = moment
             mended = self._mended(assignment, rates, capacities)
             if mended is not None:
@@ -249,7 +250,7 @@
         if not moves:
             return None
         log.info(
-            "keys move for balance",
+            "moving keys for balance",
             extra={"moves": [(m.first, m.last, m.owner) for m in moves]},
         )
         return self._moved(assignment, moves)
@@ -257,13 +258,13 @@
     def _mended(
         self, assignment: Assignment, rates: list, capacities: dict[str, float]
     ) -> Assignment | None:
-        """Return the assignment with fewer ranges to be; None when there is no way."""
+        """Return the assignment with fewer ranges, or None if that is impossible."""
         moves = mend(assignment, rates, capacities)
         mended = self._moved(assignment, moves) if moves else assignment
         return self._consolidated(mended) or (mended if moves else None)
 
     def _is_fit(self, r: KeyRange) -> bool:
-        """Tell whether the owner of a range can go on to be it."""
+        """Tell whether the owner of a range can remain its owner."""
         if not r.owner or not self._directory.may_use(r.owner):
             return False
         if self._directory.known[r.owner].target.life != r.life:
@@ -273,7 +274,7 @@
         return not silent or self._renewals.may_hold(identity)
 
     def _capacities(self, service: str, state: _Service) -> dict[str, float]:
-        """Return the requests a second of each target that may take keys."""
+        """Return the requests per second of each target that may own keys."""
         cfg = self._directory.configuration
         assert cfg is not None
         capacities = {}
@@ -288,7 +289,7 @@
         return capacities
 
     def _moved(self, assignment: Assignment, moves) -> Assignment:
-        """Return the assignment with moves begun."""
+        """Return the assignment with moves started."""
         fence = assignment.next_fence
         new = []
         for move in moves:
@@ -302,7 +303,7 @@
         return assignment.replace(new, fence + 1)
 
     def _consolidated(self, assignment: Assignment) -> Assignment | None:
-        """Return the assignment with like neighbours under one fence, if any."""
+        """Return the assignment with equal neighbours under one fence, or None."""
         fence = assignment.next_fence
         new = []
         ranges = assignment.ranges
@@ -318,7 +319,7 @@
     def _start_moves(
         self, service: str, state: _Service, assignment: Assignment
     ) -> None:
-        """See to it that each move that was begun goes on."""
+        """Start a task for each move of the assignment that has none."""
         for move, task in list(state.moving.items()):
             if task.done():
                 note_fault(task)
@@ -329,7 +330,7 @@
                 state.moving[move] = asyncio.create_task(self._move(service, r))
 
     async def _move(self, service: str, r: KeyRange) -> None:
-        """Take keys from their former owner, give them to the new one, and say so."""
+        """Revoke keys from their previous owner and grant them to the new one."""
         began = now()
         handover = self._moves.handover(r)
         if handover is None:
@@ -359,26 +360,26 @@
         state.ended.append(r)
         if state.settling is None or state.settling.done():
             state.settling = asyncio.create_task(self._settle(service, state))
-        # A move whose end is not written yet is begun again, which renews the new
-        # owner's grant. Without a pause that takes a call a moment for each such move
-        # while the store is slow, and the VM gets to nothing else.
+        # A move is started again until its end is stored, which renews the new owner's
+        # grant. Without a pause each such move would call its target continuously while
+        # the store is slow, and leave this VM no time for anything else.
         await asyncio.sleep(RENEWAL)
 
     def _goes_on(self, service: str, r: KeyRange) -> bool:
-        """Tell whether keys go to the owner that a move was begun for.
+        """Tell whether a move is still to go to the owner that it was started for.
 
-        It may have become unfit meanwhile, and the keys may go to yet another one:
-        granting them would give them two owners (seen for 2.6 s when a data centre was
-        closed in the midst of a move). A write that is under way counts as if it were
-        in force as well; one that leaves these keys alone does not hold them up, though
-        its end may be unknown for as long as the store is away.
+        That owner may have become unusable, and the keys may have been assigned to yet
+        another one. Granting them to the first would give them two owners (for 2.6 s
+        when a data centre was closed during a move). An assignment that is being stored
+        counts as well. If it does not change these keys it does not block them,
+        although its outcome may be unknown for as long as the store is unavailable.
         """
         pending = self._state(service).pending
         known = [self._feed.assignments[service], *([pending] if pending else [])]
         return all(each.has(r) for each in known)
 
     async def _settle(self, service: str, state: _Service) -> None:
-        """Write that moves have ended: those that end together in one write."""
+        """Store the end of moves, in one write for those that end together."""
         while state.ended and self._office.holds():
             await asyncio.sleep(SETTLE_DELAY)
             try:
@@ -387,7 +388,7 @@
                     await self._write_settled(service, ended)
             except StoreError as exc:
                 state.ended += ended
-                log.info("end of moves not written", extra={"cause": str(exc)})
+                log.info("end of moves not stored", extra={"cause": str(exc)})
                 await asyncio.sleep(TICK)
 
     async def _write_settled(self, service: str, ended: list[KeyRange]) -> None:
--- a/packages/entry/src/berylstage_entry/holds.py
+++ b/packages/entry/src/berylstage_entry/holds.py
@@ -1,64 +1,67 @@
-"""Until when a target may hold keys by orders that anybody may have given it."""
+"""Determines until when targets may hold keys by leases that any VM granted them."""
 
 from __future__ import annotations
 
-# Seconds for which a grant holds. A target that falls silent keeps its keys from others
-# for as long; three renewals fit in before it ends, and the duty of granting changes
-# hands within it (a lease of 2 s), so that a lost VM costs no key.
+# Duration of a key lease. The keys of an unresponsive target stay unavailable for this
+# time. It covers three renewals and the election of a new coordinator (store lease of
+# 2 s), so that no key loses its owner when a VM fails.
 HOLD = 3.0
-# Share of the longest hold that targets take which is used in an outage of the store.
+# Share of the longest key lease that targets accept, which is used during an outage of
+# the store.
 LONGEST_SHARE = 0.98
 # Seconds between two renewals.
 RENEWAL = 0.8
-# How much slower a target's clock may run.
+# Relative amount by which a target's clock may run slow.
 CLOCK_DRIFT = 0.02
-# Seconds that an order may take on its way to a target, beyond which it is broken off.
+# Timeout in seconds of a grant call.
 ORDER_TIMEOUT = 0.4
-# Seconds that are kept for orders under way and the clock of this VM.
+# Seconds added for grants in transit and the clock of this VM.
 MARGIN = 0.2
 
 
-# Seconds between two refused connections that show that a target's process is gone.
+# Seconds for which connections must be refused before a target's process counts as
+# terminated.
 REFUSED_FOR = 0.1
 
 
 def longest_hold(bound: float) -> float:
-    """Return the seconds of a hold that is to outlast an outage of the store.
+    """Return the duration of a key lease that is to outlast an outage of the store.
 
     Parameters
     ----------
     bound : float
-        Seconds for which targets take a grant at most.
+        Longest lease in seconds that targets accept.
     """
     return max(HOLD, LONGEST_SHARE * bound)
 
 
 def lapse_of(ordered: float, hold: float) -> float:
-    """Return when a hold is over that an order sent at a moment may have begun.
+    """Return the time by which a lease from a grant has expired.
 
     Parameters
     ----------
     ordered : float
-        Monotonic seconds.
+        Monotonic time in seconds at which the grant is sent.
     hold : float
-        Seconds.
+        Duration of the lease in seconds.
 
     Returns
     -------
     float
+        Monotonic time in seconds.
     """
     return ordered + ORDER_TIMEOUT + hold * (1 + CLOCK_DRIFT) + MARGIN
 
 
 class Order:
-    """An order to hold some keys that may reach a target.
+    """A grant that may reach a target.
 
     Parameters
     ----------
     first, last : int
-        Keys, both included.
+        Keys, both inclusive.
     lapse : float
-        When nothing holds any more that it brought about.
+        Time by which the lease has expired.
     """
 
     __slots__ = ("first", "lapse", "last")
@@ -70,59 +73,59 @@
 
 
 class TargetHold:
-    """What this VM knows of the holds of one life of a target."""
+    """Key leases of one incarnation of a target, as known to this VM."""
 
     __slots__ = ("_orders", "_refused_at", "has_ended", "probed_at", "silent_since")
 
     def __init__(self) -> None:
-        # Those that may hold.
+        # Grants whose leases may still be valid.
         self._orders: list[Order] = []
-        # Since when it has not answered; 0 while it answers.
+        # Time since which it has not answered; 0 if it answers.
         self.silent_since = 0.0
-        # Since when connections to it have been refused; 0 while they are not.
+        # Time since which it has refused connections; 0 if it does not.
         self._refused_at = 0.0
-        # When it was asked last whether it is back.
+        # Time of the last probe.
         self.probed_at = float("-inf")
-        # Whether its life is over for certain, so that it holds nothing.
+        # Whether its process has certainly terminated, so that it holds no keys.
         self.has_ended = False
 
     @property
     def lapse(self) -> float:
-        """When nothing holds any more that this VM ordered."""
+        """Time by which all leases that this VM granted have expired."""
         return max((order.lapse for order in self._orders), default=float("-inf"))
 
     def ordered(self, now: float, hold: float, first: int, last: int) -> Order:
-        """Note that an order for some keys is about to be sent."""
+        """Record that a grant is about to be sent."""
         order = Order(first, last, lapse_of(now, hold))
         self._orders = [known for known in self._orders if known.lapse > now]
         self._orders.append(order)
         return order
 
     def unsent(self, order: Order) -> None:
-        """Note that an order never left, so that nothing holds by it.
+        """Record that a grant was never sent, so that there is no lease from it.
 
-        No connection to a target that is cut off comes about. Counted all the same,
-        each further order would put off the moment at which its keys can go to another.
+        No connection to an unreachable target can be established. If such grants
+        counted, each of them would delay the move of the target's keys.
         """
         self._orders = [known for known in self._orders if known is not order]
 
     def lapse_on(self, first: int, last: int) -> float:
-        """Return when nothing holds any of some keys that this VM ordered.
+        """Return when all leases that this VM granted on some keys have expired.
 
-        A target's other keys are renewed while some of its keys move, so the end of all
-        its holds never comes. What was known when the move was decided is not enough
-        either: renewals go on until the move is written, which takes as long as the
-        store is slow, and a silent target would keep what they brought it.
+        A target's other keys are renewed while some of its keys move, so its leases as
+        a whole never expire. The expiry known when the move was decided would be too
+        early: renewals continue until the move is stored, which takes long if the store
+        is slow, and an unresponsive target would still hold keys by the last of them.
 
         Parameters
         ----------
         first, last : int
-            Keys, both included.
+            Keys, both inclusive.
 
         Returns
         -------
         float
-            Monotonic seconds; minus infinity when nothing was ordered.
+            Monotonic time in seconds; minus infinity if there are no such leases.
         """
         ends = [
             order.lapse
@@ -132,17 +135,17 @@
         return max(ends, default=float("-inf"))
 
     def answered(self) -> None:
-        """Note an answer."""
+        """Record an answer."""
         self.silent_since = 0.0
         self._refused_at = 0.0
 
     def refused(self, now: float) -> None:
-        """Note that nothing listened at its address.
+        """Record that the target's port refused a connection.
 
-        The process is gone, and what starts there holds nothing: its keys need not wait
-        for holds to end. It is asked twice, so that nothing hangs on one packet that
-        was answered by mistake. A target that is full accepts connections before it
-        resets them, which is not this.
+        The process has terminated, and one started in its place holds no keys, so its
+        keys can move before its leases expire. Two refusals are required so that one
+        stray packet does not decide. A target at its connection limit does not count:
+        it accepts connections before it resets them.
         """
         self.failed(now)
         if not self._refused_at:
@@ -151,16 +154,16 @@
             self.ended(now)
 
     def ended(self, now: float) -> None:
-        """Note that its life is over."""
+        """Record that the target's process has terminated."""
         self.has_ended = True
         self.probed_at = now
         self.silent_since = self.silent_since or now
 
     def came_back(self) -> None:
-        """Note that a life goes on that was taken for over."""
+        """Record that a process is alive that was considered terminated."""
         self.has_ended = False
         self.answered()
 
     def failed(self, now: float) -> None:
-        """Note that an order brought no answer: it may be carried out later."""
+        """Record that a grant was not answered; the target may still apply it later."""
         self.silent_since = self.silent_since or now
--- a/packages/entry/src/berylstage_entry/key_loads.py
+++ b/packages/entry/src/berylstage_entry/key_loads.py
@@ -1,4 +1,4 @@
-"""How often each key is asked for, fading, and keys that go to another owner."""
+"""Request rates of keys, with exponential decay, and moves of keys."""
 
 from __future__ import annotations
 
@@ -10,35 +10,35 @@
 
     from berylstage_entry.assignment import Assignment, KeyRange
 
-# Seconds after which half of a key's counted requests are forgotten: long enough to
-# tell a busy key by a handful of requests, short enough for keys that are busy for 4 s.
-# With 1.5 s the worst seconds of 44 targets earn 0.87, with 0.7 s 0.90 of the credit
-# (`make bench-owned`).
+# Seconds after which a key's request count is halved: long enough to recognize a hot
+# key by a handful of requests, short enough for keys that are hot for 4 s. With 1.5 s
+# the worst seconds of 44 targets earn 0.87 of the credit, with 0.7 s 0.90 (`make
+# bench-owned`).
 HALF_LIFE = 0.7
-# Seconds for which requests are taken to have come, at least. Counts of a shorter time
-# tell little: one request of 0.2 s would count as five a second.
+# Lower bound of the seconds over which a rate is computed. Shorter periods say little:
+# one request within 0.2 s would count as five per second.
 LEAST_AGE = 0.7
-# Counts below which a key is forgotten.
+# Counts below which a key is dropped.
 LEAST_WEIGHT = 0.05
 
 
 class KeyLoads:
-    """Requests for each key, fading."""
+    """Request counts of keys with exponential decay."""
 
     __slots__ = ("_at", "_since", "weights")
 
     def __init__(self, now: float):
         self.weights: dict[int, float] = {}
         self._at = now
-        # Since when requests have been counted.
+        # Start of the counting.
         self._since = now
 
     def add(self, key: int, count: float) -> None:
-        """Count requests for a key."""
+        """Add requests for a key."""
         self.weights[key] = self.weights.get(key, 0.0) + count
 
     def fade(self, now: float) -> None:
-        """Forget what is old."""
+        """Apply the decay up to a time."""
         if not self.weights:
             self._since = now
         factor = 0.5 ** ((now - self._at) / HALF_LIFE)
@@ -47,10 +47,11 @@
         self.weights = {k: w for k, w in faded.items() if w >= LEAST_WEIGHT}
 
     def rates(self) -> list[tuple[int, float]]:
-        """Return all keys with their requests a second, in the order of the keys."""
-        # Counts have not yet grown to their full weight when they began a moment ago.
-        # Taken as if they had, targets with long queues seemed idle for a second after
-        # the first request, and after each change of the VM that deals out keys.
+        """Return all keys in order, each with its requests per second."""
+        # Shortly after counting has started, the decayed counts are still far below
+        # their steady state. Without this correction, targets with long queues seemed
+        # idle for a second after the first request and after each change of the
+        # coordinator.
         age = max(LEAST_AGE, self._at - self._since)
         counted = 1 - 0.5 ** (age / HALF_LIFE)
         scale = log(2) / HALF_LIFE / counted
@@ -58,7 +59,7 @@
 
 
 class KeyMove:
-    """Keys that go to another owner.
+    """Keys that move to another owner.
 
     Parameters
     ----------
--- a/packages/entry/src/berylstage_entry/keys.py
+++ b/packages/entry/src/berylstage_entry/keys.py
@@ -1,10 +1,10 @@
-"""Keys of the store that the VMs keep for themselves."""
+"""Keys of the store that the VMs use internally."""
 
 from __future__ import annotations
 
-# Prefix of the keys that the VMs keep for themselves.
+# Prefix of all keys that the VMs use internally.
 OWN_PREFIX = "berylstage/"
-# Prefix of the assignments; the name of the service follows.
+# Prefix of the assignments, followed by the name of the service.
 KEYS_PREFIX = OWN_PREFIX + "keys/"
-# Key that names the VM with the duty of granting; it goes with that VM's lease.
+# Key that names the coordinator and is bound to the coordinator's lease.
 DUTY_KEY = OWN_PREFIX + "duty"
--- a/packages/entry/src/berylstage_entry/moves.py
+++ b/packages/entry/src/berylstage_entry/moves.py
@@ -1,4 +1,4 @@
-"""What is known of the moves of keys under way, and the taking back of keys."""
+"""Tracks ongoing moves of keys, and revokes keys from their previous owners."""
 
 from __future__ import annotations
 
@@ -23,20 +23,21 @@
     from berylstage_entry.targets import Target
     from berylstage_entry.wire import TargetWire
 
-# Seconds between two tries to take keys back.
+# Seconds between two attempts to revoke keys.
 TICK = 0.05
-# Fences of one move: the highest gives the keys out, each of the others serves one try
-# to take them back. A try without an answer may be carried out later, and only a higher
-# fence than its own keeps it from bringing the keys back.
+# Fences of one move: the highest is for the grant to the new owner, each of the others
+# for one attempt to revoke the keys. An attempt without an answer may be applied later,
+# and only a higher fence prevents it from returning the keys to the previous owner.
 FENCES = 8
-# Seconds that a release may take: it is answered when the work on the keys has ended.
+# Timeout in seconds of a release, which is answered once requests for the keys are
+# complete.
 RELEASE_TIMEOUT = 2.0
 
 log = Logger(__name__)
 
 
 class Moves:
-    """Takes keys back from their former owners while this VM has the duty.
+    """Revokes keys from their previous owners while this VM is the coordinator.
 
     Parameters
     ----------
@@ -57,29 +58,29 @@
         self._office = office
         self._wire = wire
         self._renewals = renewals
-        # Moves whose former owner holds nothing any more, with what it handed over.
+        # Moves whose previous owner no longer holds the keys, with its handover.
         self._let_go: dict[tuple[int, int, int], str] = {}
-        # Fence of the last try to take keys back, by move.
+        # Fence of the last attempt to revoke keys, by move.
         self._tries: dict[tuple[int, int, int], int] = {}
-        # Fences of the moves that were begun in this term.
+        # Fences of the moves that were started in this term.
         self._own_fences: set[int] = set()
 
     def forget(self) -> None:
-        """Forget everything: another VM may have gone on with these moves."""
+        """Discard all state, since another VM may have continued the moves."""
         self._let_go.clear()
         self._tries.clear()
         self._own_fences.clear()
 
     def handover(self, r: KeyRange) -> str | None:
-        """Return what the former owner handed over; None while it may hold keys."""
+        """Return the previous owner's handover; None while it may hold keys."""
         return self._let_go.get((r.first, r.last, r.fence))
 
     def let_go(self, r: KeyRange, handover: str) -> None:
-        """Note that the former owner holds nothing of a moving range any more."""
+        """Record that the previous owner no longer holds a moving range."""
         self._let_go[r.first, r.last, r.fence] = handover
 
     def handed_on(self) -> bytes:
-        """Return what the next VM with the duty has to know of moves under way."""
+        """Return the state of ongoing moves for the next coordinator."""
         doc = {
             "lapse_in": self._renewals.lapse_in(),
             "own": sorted(self._own_fences),
@@ -89,7 +90,7 @@
         return json.dumps(doc).encode()
 
     def inherit(self, body: bytes) -> float | None:
-        """Take over what a former holder of the duty knew of moves under way.
+        """Import a former coordinator's state of ongoing moves.
 
         Parameters
         ----------
@@ -98,7 +99,8 @@
         Returns
         -------
         float or None
-            Seconds after which nothing holds that it ordered; None when unreadable.
+            Seconds until all leases that it granted have expired; None if the
+            state cannot be parsed.
         """
         try:
             doc = json.loads(body)
@@ -107,28 +109,31 @@
             self._let_go |= {(r[0], r[1], r[2]): r[3] for r in doc["let_go"]}
             self._tries |= {(r[0], r[1], r[2]): r[3] for r in doc["tries"]}
         except (ValueError, KeyError, TypeError, IndexError) as exc:
-            # Without it the moves wait until all holds have lapsed.
-            log.warning("nothing inherited", extra={"cause": str(exc)})
+            # Without the state, moves wait until all leases have expired.
+            log.warning(
+                "state of the former coordinator not imported",
+                extra={"cause": str(exc)},
+            )
             return None
         return lapse_in
 
     def may_move_on(self, r: KeyRange) -> bool:
-        """Tell whether it is known who may still hold keys that were on the move."""
-        # Of a move that another VM began, nobody here knows whether the new owner has
-        # been granted the keys. The former owner is settled first; then the new one
-        # is the only one left that may hold them.
+        """Tell whether it is known which targets may hold keys that are being moved."""
+        # This VM cannot know whether a move that another VM started has granted the
+        # keys to the new owner. It deals with the previous owner first; then the new
+        # owner is the only one that may hold them.
         begun_here = r.fence in self._own_fences
         return not r.former or begun_here or (r.first, r.last, r.fence) in self._let_go
 
     def begun(
         self, r: KeyRange, first: int, last: int, owner: str, life: int, fence: int
     ) -> KeyRange:
-        """Return keys of a range as they are while they move to a new owner.
+        """Return part of a range as it is while it moves to a new owner.
 
         Parameters
         ----------
         r : KeyRange
-            That they are a part of.
+            The range before the move.
         first, last : int
         owner : str
         life : int
@@ -146,7 +151,7 @@
         return KeyRange(first, last, owner, life, fence, former, former_life)
 
     async def take_back(self, r: KeyRange) -> str | None:
-        """Return the handover once the former owner holds nothing; None if not yet."""
+        """Return the handover once the previous owner holds no keys, else None."""
         identity = (r.former, r.former_life)
         hold = self._renewals.hold(identity)
         if r.fence not in self._own_fences:
@@ -167,17 +172,18 @@
         return None
 
     def _lapsed(self, r: KeyRange) -> bool:
-        """Tell whether nothing ordered by anybody can still hold moving keys."""
+        """Tell whether all leases that any VM granted on moving keys have expired."""
         hold = self._renewals.hold((r.former, r.former_life))
         ordered = hold.lapse_on(r.first, r.last)
         return now() >= max(ordered, self._office.others_lapse)
 
     async def _waited_for(self, r: KeyRange) -> str | None:
-        """Settle a move that another VM began and said nothing of.
+        """Wait out a move that another VM started, and whose state is unknown.
 
-        Its new owner may have been granted the keys already. A grant to the former one,
-        which would fence it, could then give the keys to both; so nothing is granted
-        until all that the other VM may have ordered has lapsed.
+        Its new owner may already have been granted the keys. Granting them to the
+        previous owner in order to set a fence there could then give the keys to both,
+        so nothing is granted until all leases that the other VM may have granted have
+        expired.
         """
         if self._lapsed(r):
             return ""
@@ -187,15 +193,15 @@
     async def _release(
         self, target: Target, hold: TargetHold, r: KeyRange
     ) -> str | None:
-        """Take keys back from a target that may answer; None when it does not."""
+        """Release keys from a target that may answer; None if it does not."""
         fence = self._next_try(r)
         if not fence or not self._office.holds():
             return None
         try:
-            # A renewal may still be on its way, from this VM or a former holder of the
-            # duty, and be carried out after the release: two targets would then hold
-            # the keys (seen for 2.5 s). A release leaves no fence behind, a grant does,
-            # and a target that has seen it refuses the renewal.
+            # A renewal from this VM or a former coordinator may still be in transit and
+            # be applied after the release; two targets would then hold the keys (for
+            # 2.5 s in one case). Unlike a release, a grant sets a fence, so the target
+            # then rejects the renewal.
             order = GrantOrder(r.first, r.last, fence, self._office.hold())
             noted = hold.ordered(now(), order.hold, r.first, r.last)
             try:
@@ -217,15 +223,15 @@
             hold.failed(now())
             return None
         except TargetEnded:
-            # Another target has the address, so this one has ended with all its holds.
-            # Its keys need not wait for them: 3.3 s for a data centre's targets that
-            # came back under other names.
+            # Another target has the address, so this one has terminated and holds no
+            # keys. Waiting for its leases to expire would cost 3.3 s for a data
+            # centre's targets that restart under other names.
             hold.ended(now())
             return ""
         return handover if target.life == r.former_life else ""
 
     def _next_try(self, r: KeyRange) -> int:
-        """Return the fence for one more try to take keys back; 0 for no more tries."""
+        """Return the fence for the next attempt to revoke keys; 0 if none is left."""
         move = (r.first, r.last, r.fence)
         first = r.fence - FENCES + 1
         fence = self._tries.get(move, first - 1) + 1
--- a/packages/entry/src/berylstage_entry/office.py
+++ b/packages/entry/src/berylstage_entry/office.py
@@ -1,11 +1,13 @@
-"""The duty of granting keys: which VM has it, and for how long it may act on it.
-
-A VM gives orders only while its lease in the store certainly runs. What keeps the keys
-with their targets through an outage of the store are the holds that it gave before:
-when it loses the store and most other VMs say that they have lost it too, it lets all
-holds run for as long as targets take them. A VM that takes the duty over has to know
-whether that may have been done, since it must wait for these holds to end before it
-moves keys from a target that doesn't answer.
+"""Elects the coordinator, the one VM that grants keys to targets.
+
+A VM acts as the coordinator only while its lease in the store is certain to be valid.
+During an outage of the store, targets keep their keys by the leases on them that the
+coordinator granted before: if it and most other VMs have lost the store, it extends all
+key leases to the longest duration that targets accept. A new coordinator must find out
+whether that may have happened, because it must let such leases expire before it moves
+keys away from an unresponsive target.
+
+The store, the logs and the paths call the coordinator's role the duty.
 """
 
 from __future__ import annotations
@@ -32,36 +34,37 @@
     from berylstage_entry.settings import EntrySettings
     from berylstage_entry.store import Store
 
-# Key that counts the terms and names the last VM that had the duty. It stays.
+# Key with the number of the current term and the last coordinator. It has no lease.
 TERM_KEY = OWN_PREFIX + "term"
-# Path at which a VM is asked to hand on what it knows of the duty.
+# Path at which a former coordinator returns its state to its successor.
 HAND_ON_PATH = "/duty/hand-on"
-# Path at which a VM is asked whether it reaches the store, and for how long it has.
+# Path at which a VM tells for how long it has been in contact with the store.
 CONTACT_PATH = "/store/contact"
-# Seconds of the lease. A duty that is lost with its VM is taken over within them, which
-# is less than the time for which keys stay held without a renewal.
+# Lease of the coordinator in the store. If its VM fails, another takes over within this
+# time, which is shorter than a key lease that is not renewed.
 LEASE = 2.0
-# Seconds between two looks whether the duty is vacant.
+# Seconds between two checks whether there is a coordinator.
 LOOK = 0.1
 # Seconds between two renewals of the lease.
 KEEP = 0.4
-# Seconds for one renewal: ten times what the store takes when it is slow by a factor of
-# ten; after a lost one there is time to ask the others and to prolong holds.
+# Timeout of one renewal: ten times what the store takes when it is slow by a factor of
+# ten. After a failed renewal there is time to query the other VMs and to extend key
+# leases.
 KEEP_TIMEOUT = 0.45
-# Seconds of unbroken contact with the store that tell a VM that the store was well
-# while the last lease ran out: the lease (2 s), up to 1.2 s until a VM that does not
-# watch the duty's key reads that it is vacant, 0.1 s of scatter, 0.6 s in which a small
-# VM leaves it to others, two calls to a store that is 60 times slower than usual
-# (0.5 s), and the question itself (0.5 s). A VM that had lost the store when holds were
-# prolonged must not count as steady by then.
+# Seconds of unbroken contact with the store that prove that the store was available
+# while the last coordinator's lease expired: the lease (2 s), up to 1.2 s until a VM
+# that does not watch the coordinator's key reads that it is gone, 0.1 s of jitter,
+# 0.6 s in which a small VM defers to others, two calls to a store that is 60 times
+# slower than usual (0.5 s), and the query itself (0.5 s). A VM that had lost the store
+# when key leases were extended must not qualify by then.
 STEADY = 5.5
-# Seconds that VMs wait at random before they try to take the duty, so that they don't
-# all try at once.
+# Upper bound of the random delay before a VM tries to become coordinator, so that they
+# do not all try at once.
 SCATTER = 0.1
-# Seconds of a term before the duty is left to a better VM: those that are starting are
-# known by then, and what the former holder ordered has lapsed.
+# Seconds that a coordinator stays before it yields to a better VM. By then the VMs that
+# are starting are known, and the previous coordinator's key leases have expired.
 SHORTEST_TERM = 5.0
-# Seconds between two questions to a former holder, and how often it is asked.
+# Seconds between two queries to the previous coordinator, and their number.
 ASK_AGAIN = 0.3
 ASKED = 3
 
@@ -69,17 +72,18 @@
 
 
 class _Term:
-    """A term of the duty, as the store keeps it.
+    """A coordinator's term, as stored.
 
     Parameters
     ----------
     number : int
-        Grows with each term.
+        Increases with each term.
     vm : str
+        The coordinator.
     control : str
-        Where the VM listens for others.
+        Address at which it listens for other VMs.
     settled : bool
-        Whether nothing holds any more that was ordered in the terms before.
+        Whether all key leases granted in earlier terms have expired.
     """
 
     __slots__ = ("control", "number", "settled", "vm")
@@ -91,7 +95,7 @@
         self.settled = settled
 
     def encode(self) -> bytes:
-        """Return the bytes that the store keeps."""
+        """Return the value to store."""
         doc = {
             "term": self.number,
             "vm": self.vm,
@@ -102,7 +106,7 @@
 
     @classmethod
     def decode(cls, value: bytes | None) -> _Term:
-        """Read what the store keeps; None is the time before the first term."""
+        """Parse the stored value; None if there has not been any term yet."""
         if value is None:
             return cls(0, "", "", True)
         doc = json.loads(value)
@@ -110,7 +114,7 @@
 
 
 class Office:
-    """Takes, keeps and gives up the duty of granting.
+    """Acquires, renews and gives up the coordinator's lease.
 
     Parameters
     ----------
@@ -135,8 +139,9 @@
         self._peers = peers
         self._rng = rng
         self._lease = 0
-        # The one that was taken last and not ended: the store may have bound the duty
-        # to it without this VM's knowing.
+        # The lease acquired last, until it is revoked. The store may have bound the
+        # coordinator's key to it although this VM does not know that the write
+        # succeeded.
         self._taken_lease = 0
         self._confirmed = float("-inf")
         self._duty_revision = 0
@@ -144,56 +149,60 @@
         self._asking: asyncio.Task | None = None
         self._prolonging: asyncio.Task | None = None
         self._stopping = False
-        # Set when the duty's key has changed, and while this VM has a lease on it.
+        # Set when the coordinator's key has changed, and while this VM has the lease.
         self._key_changed = asyncio.Event()
         self._leased = asyncio.Event()
         feed.listeners.append(self._heard)
         self.term = 0
-        # Whether the term before was this very process's own.
+        # Whether this very process was also the coordinator of the previous term.
         self.follows_itself = False
-        # Called with what a former holder of the duty hands on; returns the seconds
-        # after which nothing holds that it ordered, or None when it can't be read.
+        # Called with the state of the previous coordinator. Returns the seconds until
+        # all key leases that it granted have expired, or None if the state cannot be
+        # parsed.
         self.inherit: Callable[[bytes], float | None] = lambda body: None
-        # When nothing holds any more that other VMs ordered, as far as is known.
+        # Time by which all key leases granted by other VMs have expired, as far as
+        # known.
         self.others_lapse = float("inf")
-        # When the term began.
+        # Start of the term.
         self._taken = float("-inf")
-        # Returns where a VM listens that had better have the duty; empty for none.
+        # Returns the address of a VM that should be coordinator instead, or "".
         self.better: Callable[[], str] = lambda: ""
-        # Whether holds are to outlast an outage of the store.
+        # Whether key leases are granted for long enough to outlast an outage of the
+        # store.
         self.prolongs = False
 
     def start(self) -> None:
-        """Begin to look after the duty."""
+        """Start to take part in the election."""
         self._task = asyncio.create_task(self._run())
 
     def holds(self) -> bool:
-        """Tell whether this VM has the duty and may still give orders.
+        """Tell whether this VM is the coordinator and may still grant keys.
 
-        To be asked right before each order, since this VM may have stood still since
-        the last look at the clock.
+        Callers must check this right before each grant, because the process may have
+        been suspended since the clock was read last.
         """
         return bool(self._lease) and now() < self._confirmed + LEASE
 
     async def wait_for_lease(self) -> None:
-        """Return when this VM has a lease on the duty, whether or not it may order."""
+        """Wait until this VM has the coordinator lease, even if it may not grant."""
         await self._leased.wait()
 
     def hold(self) -> float:
-        """Return the seconds for which a grant given now is to hold."""
+        """Return the duration in seconds of a key lease granted now."""
         return longest_hold(self._cfg.bounds.longest_hold) if self.prolongs else HOLD
 
     def may_hand_on(self, body: bytes) -> bool:
-        """Tell whether this very process had the duty in a term, and has it no more.
+        """Tell whether this process was the coordinator of a term and no longer is.
 
-        A process that started anew under the address of the former holder knows nothing
-        of its orders. An answer of it would say that nothing holds any more, and the
-        keys of a silent target would get a second owner.
+        A process that was restarted at the address of the former coordinator knows
+        nothing of the key leases granted before. If it answered, its successor would
+        conclude that none are left, and the keys of an unresponsive target would get a
+        second owner.
 
         Parameters
         ----------
         body : bytes
-            Number of the term that is asked about.
+            Number of the term.
         """
         return body == str(self.term).encode() and not self.holds()
 
@@ -202,14 +211,14 @@
         return Condition(DUTY_KEY, self._duty_revision)
 
     def holder_address(self) -> str:
-        """Return where the VM with the duty listens for others; empty when unknown."""
+        """Return the coordinator's address for other VMs, or "" if it is unknown."""
         item = self._feed.own.get(DUTY_KEY)
         if item is None or item.value is None:
             return ""
         return json.loads(item.value)["control"]
 
     async def resign(self) -> None:
-        """Give the duty up so that another VM takes it at once."""
+        """Step down so that another VM can become coordinator at once."""
         self._stopping = True
         if self._task is not None:
             self._task.cancel()
@@ -226,10 +235,11 @@
                 await self._store.write(conditions, [], [DUTY_KEY])
             await self._store.end_lease(self._taken_lease)
         except LeaseEnded:
-            log.debug("the lease of the duty has ended already")
+            log.debug("the coordinator's lease has already expired")
         except StoreError as exc:
             log.warning(
-                "duty not given back; its lease ends", extra={"cause": str(exc)}
+                "coordinator's lease not revoked; waiting for it to expire",
+                extra={"cause": str(exc)},
             )
             return
         self._taken_lease = 0
@@ -247,20 +257,22 @@
                 else:
                     await self._wait_for_vacancy()
             except StoreError as exc:
-                log.info("duty: the store did not answer", extra={"cause": str(exc)})
+                log.info(
+                    "election: no answer from the store", extra={"cause": str(exc)}
+                )
                 await asyncio.sleep(0.2)
 
     async def _wait_for_vacancy(self) -> None:
-        """Return when another look at the duty is worth while.
+        """Wait until it is worthwhile to check again whether there is a coordinator.
 
-        Hundreds of VMs look after a duty that one of them has. As long as its key says
-        so, only a change of the key wakes them.
+        Hundreds of VMs take part in the election. As long as the key names a
+        coordinator, only a change of the key wakes them.
         """
         if self.holder_address():
             self._key_changed.clear()
             await self._key_changed.wait()
         else:
-            # Vacant, and the store does not answer this VM.
+            # There is no coordinator, and this VM cannot reach the store.
             await asyncio.sleep(LOOK)
 
     def _heard(self, what: str) -> None:
@@ -270,8 +282,8 @@
     def _is_vacant(self) -> bool:
         item = self._feed.own.get(DUTY_KEY)
         vacant = item is None or item.value is None
-        # No longer than until the store answers again: prolonged holds may end 1.3 s
-        # after its return, and with 3 s more no key had an owner in between.
+        # Only wait until the store answers again: extended key leases may expire 1.3 s
+        # after the store is back, and 3 s more left all keys without an owner.
         return vacant and self._feed.is_in_touch()
 
     async def _keep(self) -> None:
@@ -291,19 +303,19 @@
         except (StoreError, TimeoutError) as exc:
             if self._prolonging is None or self._prolonging.done():
                 self._prolonging = asyncio.create_task(self._prolong())
-            raise StoreSilent(f"lease not renewed: {exc}") from exc
+            raise StoreSilent(f"coordinator's lease not renewed: {exc}") from exc
 
     async def _leave_to_better(self) -> None:
-        """Give the duty up when a VM with much more room for it lives.
+        """Step down if a VM with much more capacity is alive.
 
-        A small VM may have taken it while the larger ones were away or starting. Its
-        orders come late when requests crowd it, targets count as silent for that, and
-        moving their keys is more work still.
+        A small VM may have become coordinator while larger ones were absent or
+        starting. Under load it grants keys late, targets then count as unresponsive,
+        and moving their keys adds to the load.
         """
         address = self.better()
         if not address or now() - self._taken < SHORTEST_TERM:
             return
-        # Its record outlives it by the length of its lease.
+        # A VM's record remains for the duration of its lease after the VM has failed.
         answer = await self._peers.ask(address, CONTACT_PATH)
         if answer is None or float(answer) <= 0:
             return
@@ -311,14 +323,14 @@
         await asyncio.sleep(LEASE)
 
     async def _prolong(self) -> None:
-        """Let holds outlast the store's outage, if it is one and not just this VM's."""
+        """Extend key leases if other VMs have lost the store as well."""
         if self.prolongs or not self.holds():
             return
         answers = await self._peers.ask_all(CONTACT_PATH)
         told = [answer for answer in answers if answer is not None]
         lost = [answer for answer in told if float(answer) <= 0]
-        # Half of all VMs must have lost the store, and nobody may reach it: then no VM
-        # that takes the duty over finds half of them with unbroken contact.
+        # At least half of all VMs must have lost the store, and none may reach it. No
+        # VM that becomes coordinator then finds that half of them had unbroken contact.
         if 2 * len(lost) >= len(answers) and len(lost) == len(told) and self.holds():
             self.prolongs = True
         log.info(
@@ -377,7 +389,7 @@
         return longest_hold(self._cfg.bounds.longest_hold)
 
     async def _learn_of(self, before: _Term, mine: _Term) -> None:
-        """Find out how long to wait for what was ordered before, and write it down."""
+        """Determine when leases of earlier terms expire, and store that they have."""
         began = now()
         if before.control and not self.follows_itself:
             steady, told = await asyncio.gather(
@@ -401,12 +413,12 @@
         await self._write_settled(mine)
 
     async def _was_steady(self, former: str) -> bool:
-        """Tell whether half of all VMs had unbroken contact with the store of late."""
+        """Tell whether most VMs had unbroken contact with the store."""
         if self._feed.steady() < STEADY:
             return False
-        # The former holder prolonged holds only if half of the VMs beside it had lost
-        # the store. More than half of them with unbroken contact, this one included,
-        # rule that out.
+        # The former coordinator extended key leases only if half of the other VMs had
+        # lost the store. More than half of them with unbroken contact, this one
+        # included, rule that out.
         addresses = [a for a in self._peers.others() if a != former]
         answers = await asyncio.gather(
             *(self._peers.ask(a, CONTACT_PATH) for a in addresses)
@@ -415,7 +427,7 @@
         return 2 * (len(steady) + 1) > len(answers) + 1
 
     async def _hand_on(self, before: _Term) -> float | None:
-        """Return the seconds until nothing holds that the former holder ordered."""
+        """Return the seconds until the former coordinator's leases on keys expire."""
         for _ in range(ASKED):
             term = str(before.number).encode()
             answer = await self._peers.ask(before.control, HAND_ON_PATH, term)
@@ -425,7 +437,7 @@
         return None
 
     async def _write_settled(self, mine: _Term) -> None:
-        """Write that nothing holds any more that was ordered in the terms before."""
+        """Store that all key leases granted in earlier terms have expired."""
         mine.settled = True
         while self._lease and self.term == mine.number:
             try:
@@ -434,10 +446,11 @@
                 await self._store.write(conditions, [Write(TERM_KEY, mine.encode())])
                 return
             except Conflict:
-                # Its answer may have been lost, or this VM has the duty no more.
+                # The answer to an earlier attempt was lost, or another VM is
+                # coordinator now.
                 return
             except StoreError as exc:
-                log.info("term not written", extra={"cause": str(exc)})
+                log.info("term not stored", extra={"cause": str(exc)})
                 await asyncio.sleep(ASK_AGAIN)
 
     def _step_down(self, why: str) -> None:
--- a/packages/entry/src/berylstage_entry/renewals.py
+++ b/packages/entry/src/berylstage_entry/renewals.py
@@ -1,4 +1,4 @@
-"""Grants keys to their owners and renews the grants: one task for each target."""
+"""Grants keys to their owners and renews the leases, with one task per target."""
 
 from __future__ import annotations
 
@@ -21,19 +21,20 @@
     from berylstage_entry.targets import Target
     from berylstage_entry.wire import TargetWire
 
-# Seconds between two looks whether an owner has new keys to be granted.
+# Seconds between two checks whether an owner was assigned new keys.
 TICK = 0.05
-# Seconds between two questions to a target that has fallen silent.
+# Seconds between two probes of an unresponsive target.
 PROBE_PERIOD = 0.3
-# The same to one that was taken for ended and goes on reporting. The record of one that
-# has ended is gone after three reports, so that it is asked once.
+# Seconds between two probes of a target that is considered terminated but still
+# reports. The record of a target that has really terminated is removed after three
+# reports, so it is probed once.
 ENDED_PROBE_PERIOD = 2.0
 
 log = Logger(__name__)
 
 
 def note_fault(task: asyncio.Task) -> None:
-    """Log what ended a task that should not have failed."""
+    """Log the exception of a task that should not have failed."""
     if not task.cancelled() and task.exception() is not None:
         exc = task.exception()
         log.error("a task failed", extra={"fault": f"{type(exc).__name__}: {exc}"})
@@ -44,7 +45,7 @@
 
 
 class Renewals:
-    """Keeps the grants of all owners alive while this VM has the duty.
+    """Renews the key leases of all owners while this VM is the coordinator.
 
     Parameters
     ----------
@@ -63,37 +64,38 @@
         self._wire = wire
         self._holds: dict[tuple[str, int], TargetHold] = {}
         self._keepers: dict[tuple[str, int], asyncio.Task] = {}
-        # Ranges that are not on the move by owner, of each service's last assignment.
+        # Ranges that are not being moved, by owner, of the last assignment of each
+        # service.
         self._settled: dict[
             str, tuple[Assignment, dict[tuple[str, int], list[KeyRange]]]
         ] = {}
-        # Questions to targets that were taken for ended.
+        # Probes of targets that are considered terminated.
         self._questions: dict[tuple[str, int], asyncio.Task] = {}
-        # Targets that were granted something, for the time after their records go.
+        # Targets that were granted keys, kept for when their records are removed.
         self._targets_seen: dict[tuple[str, int], Target] = {}
 
     def __len__(self) -> int:
-        """Return the number of targets whose grants are renewed."""
+        """Return the number of targets whose leases are renewed."""
         return len(self._keepers)
 
     def drop(self) -> None:
-        """Stop renewing."""
+        """Stop renewing leases."""
         for task in [*self._keepers.values(), *self._questions.values()]:
             task.cancel()
         self._keepers.clear()
         self._questions.clear()
 
     def lapse_in(self) -> float:
-        """Return the seconds after which nothing holds that this VM ordered."""
+        """Return the seconds until all leases that this VM granted have expired."""
         return max([0.0, *(hold.lapse - now() for hold in self._holds.values())])
 
     def is_silent(self, identity: tuple[str, int]) -> bool:
-        """Tell whether a target has not answered the last order."""
+        """Tell whether a target did not answer the last call."""
         hold = self._holds.get(identity)
         return hold is not None and bool(hold.silent_since)
 
     def may_hold(self, identity: tuple[str, int]) -> bool:
-        """Tell whether a silent target may still hold keys by anybody's order."""
+        """Tell whether an unresponsive target may still hold keys by any VM's grant."""
         hold = self._holds.get(identity)
         if hold is not None and hold.has_ended:
             return False
@@ -101,7 +103,7 @@
         return now() < max(lapse, self._office.others_lapse)
 
     async def grant(self, target: Target, r: KeyRange, handover: str = "") -> bool:
-        """Grant one range; tell whether the target has it now."""
+        """Grant one range and tell whether the target accepted it."""
         hold = self.hold(target.identity)
         order = GrantOrder(r.first, r.last, r.fence, self._office.hold(), handover)
         if not self._office.holds():
@@ -116,7 +118,7 @@
                 self._refused(target)
             if not hold.silent_since:
                 log.info(
-                    "grant without an answer",
+                    "grant not answered",
                     extra={"target": target.name, "first": r.first, "cause": str(exc)},
                 )
             hold.failed(now())
@@ -124,19 +126,20 @@
         except TargetEnded as exc:
             hold.ended(now())
             log.info(
-                "target has ended", extra={"target": target.name, "cause": str(exc)}
+                "target has terminated",
+                extra={"target": target.name, "cause": str(exc)},
             )
             return False
         hold.answered()
         if not taken:
             log.warning(
-                "grant refused: the target has seen a higher fence",
+                "grant rejected: the target has seen a higher fence",
                 extra={"target": target.name, "first": r.first, "fence": r.fence},
             )
         return taken
 
     def keep(self, assignment: Assignment) -> None:
-        """See to it that each owner has a task that renews its grants."""
+        """Start a renewal task for each owner that has none."""
         for identity, task in list(self._keepers.items()):
             if task.done():
                 note_fault(task)
@@ -153,11 +156,11 @@
                 self._keepers[identity] = task
 
     def ask_ended(self) -> None:
-        """Ask targets that were taken for ended and go on reporting under their lives.
+        """Probe targets that are considered terminated but still report.
 
-        A port may refuse connections for a moment although its process lives. Taken for
-        ended for good, such a target would get no key for as long as it lives; once
-        this has befallen all targets of a service, none of its keys has an owner.
+        A port may refuse connections for a moment although its process is alive.
+        Without this, such a target would never be assigned keys again; if this happened
+        to all targets of a service, none of its keys would have an owner.
         """
         for identity, hold in self._holds.items():
             if not hold.has_ended or now() - hold.probed_at < ENDED_PROBE_PERIOD:
@@ -173,10 +176,13 @@
     async def _ask_whether_back(self, target: Target, hold: TargetHold) -> None:
         if await self._answers(target):
             hold.came_back()
-            log.info("target is back under its life", extra={"target": target.name})
+            log.info(
+                "target is alive after it was considered terminated",
+                extra={"target": target.name},
+            )
 
     async def _renew(self, target: Target) -> None:
-        """Renew what a target owns until it owns nothing."""
+        """Renew a target's leases until it owns no keys."""
         hold = self.hold(target.identity)
         self._targets_seen[target.identity] = target
         granted: set[tuple[int, int, int]] = set()
@@ -192,8 +198,8 @@
             is_due = (
                 moment - renewed_at >= RENEWAL or prolonged != self._office.prolongs
             )
-            # What has just come is granted at once, and alone: with a few moves a
-            # second three in four of all grants renewed what had just been renewed.
+            # New ranges are granted at once and alone: with a few moves per second,
+            # three in four of all grants renewed ranges that had just been renewed.
             due = mine if is_due else [r for r in mine if _mark(r) not in granted]
             if is_due:
                 renewed_at, prolonged = moment, self._office.prolongs
@@ -202,21 +208,21 @@
             await asyncio.sleep(TICK)
 
     async def _grant_owned(self, target: Target, r: KeyRange) -> None:
-        """Renew one range, unless it has begun to move since it was found due.
+        """Renew one range unless it has started to move since it became due.
 
-        A move of keys whose owner was silent ends at once, with a grant to the new
-        owner. A renewal that was worked out before would then bring the keys back to
-        the former one, which has seen no fence that forbids it. So the assignment is
-        looked at with nothing awaited between this look and the order.
+        If the owner was unresponsive, a move of its keys completes at once with a grant
+        to the new owner. A renewal prepared before would then return the keys to the
+        previous owner, which has not seen a fence that rejects it. Therefore the
+        assignment is checked here, with no await between the check and the call.
         """
         if any(mine is r for mine in self._owned(target)):
             await self.grant(target, r)
 
     async def is_back(self, target: Target) -> bool:
-        """Tell whether a target answers, as far as is known or a question shows.
+        """Tell whether a target answers, as known or by a probe.
 
-        Orders to a silent target wait for their timeouts and for connections, of which
-        there are few; one question now and then tells as much.
+        Calls to an unresponsive target wait for their timeouts and occupy its
+        connections, of which there are few; an occasional probe is sufficient.
         """
         hold = self.hold(target.identity)
         if not hold.silent_since:
@@ -229,7 +235,7 @@
         return answers
 
     async def _answers(self, target: Target) -> bool:
-        """Tell whether a target answers a question."""
+        """Probe a target and tell whether it answered."""
         cfg = self._directory.configuration
         service = cfg.services.get(target.service) if cfg is not None else None
         if service is None:
@@ -239,7 +245,7 @@
         except (CallFailed, TargetEnded) as exc:
             if isinstance(exc, NothingListens):
                 self._refused(target)
-            log.debug("target still silent", extra={"cause": str(exc)})
+            log.debug("target still unresponsive", extra={"cause": str(exc)})
             return False
         return True
 
@@ -248,10 +254,13 @@
         was_over = hold.has_ended
         hold.refused(now())
         if hold.has_ended and not was_over:
-            log.info("target has ended: nothing listens", extra={"target": target.name})
+            log.info(
+                "target has terminated: connection refused",
+                extra={"target": target.name},
+            )
 
     def _owned(self, target: Target) -> list[KeyRange]:
-        """Return the ranges of a target that are not on the move."""
+        """Return the ranges of a target that are not being moved."""
         assignment = self._feed.assignments.get(target.service)
         if assignment is None:
             return []
@@ -265,12 +274,12 @@
         return known[1].get(target.identity, [])
 
     def hold(self, identity: tuple[str, int]) -> TargetHold:
-        """Return what is known of the holds of one life of a target."""
+        """Return what is known of the leases of one incarnation of a target."""
         hold = self._holds.get(identity)
         if hold is None:
             hold = self._holds[identity] = TargetHold()
         return hold
 
     def past(self, identity: tuple[str, int]) -> Target | None:
-        """Return a target that was granted something, also when its record is gone."""
+        """Return a target that was granted keys, even if its record was removed."""
         return self._targets_seen.get(identity)
--- a/packages/entry/tests/granting_world.py
+++ b/packages/entry/tests/granting_world.py
@@ -1,4 +1,4 @@
-"""VMs, targets and a store in virtual time, and everything that may befall them."""
+"""VMs, targets and a store in virtual time, with fault injection."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 
 VMS = ("vm-1", "vm-2", "vm-3")
 TARGETS = ("a", "b", "c", "d")
-# Keys that are looked at for an owner in the end.
+# Keys whose owners are checked.
 SAMPLES = (0, 20, 40, 60, 77, 9000, 20000, 40000, 65535)
-# Seconds after which everything must be well again: the longest hold, the lease, and
-# the time in which lapsed records may come back.
+# Seconds after which everything must have recovered: the longest key lease, the store
+# lease, and the time in which missing records may return.
 HEALING = 20.0
 
 
 class _Peers:
-    """Other VMs, asked without a network."""
+    """Other VMs, called without a network."""
 
     def __init__(self, world, own):
         self._world = world
@@ -54,14 +54,14 @@
 
 
 class WorldVm:
-    """The parts of one VM that have to do with grants."""
+    """The parts of a VM that grant keys."""
 
     def __init__(self, name, world):
         self.view = StoreView(world.store)
         directory = Directory()
         self.feed = Feed(self.view, JsonRecords({1: configuration()}), directory)
         cfg = settings(name, 1)
-        # The address by which peers ask it.
+        # The address at which other VMs call it.
         cfg.control = name
         peers = _Peers(world, name)
         self.office = Office(cfg, self.view, self.feed, peers, Random(name))
@@ -87,7 +87,7 @@
 
 
 class World:
-    """Everything, in one event loop of virtual time.
+    """VMs, targets and a store in one event loop of virtual time.
 
     Parameters
     ----------
@@ -102,18 +102,19 @@
         self.lives = dict.fromkeys(TARGETS, 1)
         self.records: dict[str, dict] = {}
         self.vms: dict[str, WorldVm] = {}
-        # Targets that have ended; what they held serves nobody.
+        # Targets that have failed; no key counts as served by them.
         self.dead: set[str] = set()
         self.store.put("cfg", b"1")
         for name in TARGETS[:3]:
             self.put(name)
         for name in VMS:
             self.start(name)
-        # Long enough for VMs to count as steady when the lease of a lost one ends.
+        # Long enough for VMs to have had unbroken contact with the store when the lease
+        # of a failed one expires.
         self.run(4.0)
 
     def run(self, seconds):
-        """Let time pass, with the reports of targets that go on."""
+        """Advance the time; live targets report."""
 
         async def pass_time():
             end = now() + seconds
@@ -126,7 +127,7 @@
         self._loop.run_until_complete(pass_time())
 
     def watch(self, seconds):
-        """Let time pass and return the longest time that a key had no live holder."""
+        """Advance the time and return the longest time that a key had no live owner."""
         worst, since = 0.0, {}
         end = now() + seconds
         while now() < end:
@@ -152,12 +153,12 @@
         return newest.owner in holders and not newest.former
 
     def crash(self, name):
-        """Have a target end without a word; its record goes three reports later."""
+        """Have a target fail silently; its record is removed three reports later."""
         self.dead.add(name)
         self.wire.silent.add(name)
 
     def put(self, name, **fields):
-        """Have a target's record say something."""
+        """Set fields of a target's record."""
         self.records[name] = fields | {"life": self.lives[name]}
         self._write(name, self.records[name])
 
@@ -165,12 +166,12 @@
         self.store.put(f"t/{name}", json.dumps(fields).encode())
 
     def drop(self, name):
-        """Have a target's record go, though it may go on to serve."""
+        """Remove a target's record, although the target may continue to serve."""
         if self.records.pop(name, None) is not None:
             self.store.put(f"t/{name}", None)
 
     def start(self, name):
-        """Start a VM that does not run."""
+        """Start a VM that is not running."""
         if name not in self.vms:
             self._loop.run_until_complete(self._start(name))
 
@@ -178,24 +179,24 @@
         self.vms[name] = WorldVm(name, self)
 
     def kill(self, name):
-        """Kill a VM that runs."""
+        """Kill a running VM."""
         vm = self.vms.pop(name, None)
         if vm is not None:
             vm.kill()
 
     def stop(self, name):
-        """Stop a VM that runs in an orderly way."""
+        """Stop a running VM gracefully."""
         vm = self.vms.get(name)
         if vm is not None:
             self._loop.run_until_complete(vm.office.resign())
             self.kill(name)
 
     def stop_process(self, name):
-        """Have a target's process end: it holds nothing, and nothing listens."""
+        """End a target's process: it holds no keys, and its port is closed."""
         self.wire.process_ends(name)
 
     def reborn(self, name):
-        """Have a target start again under its name: it holds and knows nothing."""
+        """Restart a target under its name, without any state."""
         self.stop_process(name)
         self.wire.down.discard(name)
         self.lives[name] += 1
@@ -203,13 +204,13 @@
             self.put(name)
 
     def busy(self, first, count):
-        """Tell all VMs of busy neighbouring keys."""
+        """Report requests for adjacent hot keys to all VMs."""
         for vm in self.vms.values():
             counts = dict.fromkeys(range(first, first + 20 * count, 20), 30)
             vm.granting.counted("s", counts)
 
     def heal(self):
-        """End all troubles."""
+        """Remove all injected faults."""
         self.store.away = False
         self.store.late_writes = 0.0
         self.wire.silent.clear()
@@ -225,9 +226,9 @@
         self.run(HEALING)
 
     def faults(self):
-        """Return what must never be: two holders, or fences that do not grow."""
+        """Return violations: keys with two holders, and fences that do not increase."""
         return [*self.wire.doubly_held(), *self.wire.low_fences]
 
     def ownerless(self):
-        """Return the sampled keys that nobody holds."""
+        """Return the checked keys that do not have exactly one holder."""
         return [key for key in SAMPLES if len(self.wire.holder(key)) != 1]
--- a/packages/entry/tests/test_assignment.py
+++ b/packages/entry/tests/test_assignment.py
@@ -1,4 +1,4 @@
-"""Tests of which target holds which keys."""
+"""Tests of assignments of keys to targets."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-# Few owners, so that many neighbours are alike.
+# Few owners, so that many neighbours are equal.
 PARTS = st.lists(
     st.tuples(
         st.integers(0, LAST_KEY), st.integers(0, LAST_KEY), st.sampled_from("abc")
@@ -27,7 +27,7 @@
 
 
 def laid(parts):
-    """Return an assignment, and who owns a key by the list of what was laid over."""
+    """Return an assignment, and a function that finds a key's owner in the list."""
     ranges = [
         KeyRange(min(one, other), max(one, other), owner, 1, 5)
         for one, other, owner in parts
@@ -85,9 +85,9 @@
 class TestCost:
     @pytest.mark.parametrize("count", [40, 400, 4000])
     def test_change_costs_what_it_changes(self, count, monkeypatch):
-        # Busy keys move ten times a second, and each of 195 VMs checks each change.
-        # With all ranges encoded and compressed for it a small VM did little else:
-        # answers came late all over while keys moved.
+        # Hot keys move ten times a second, and each of 195 VMs verifies each change.
+        # When that encoded and compressed all ranges, a small VM did little else, and
+        # answers were late while keys moved.
         feed = Feed(None, JsonRecords(), Directory())
         tellings = Announcements(feed, None, "127.0.0.1:1")
         old = cut_up(count)
--- a/packages/entry/tests/test_availability.py
+++ b/packages/entry/tests/test_availability.py
@@ -1,4 +1,4 @@
-"""How long a key is without an owner after each kind of loss, in virtual time."""
+"""How long a key is without an owner after each kind of failure, in virtual time."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 
 
 def target_cut_off(world):
-    # No connection to it comes about. Its record goes three reports later, and its keys
-    # are to move; each order that could not be sent put their move off.
+    # No connection can be established. The record is removed three reports later, and
+    # the keys have to move. Each grant that could not be sent used to delay the move.
     world.dead.add("a")
     world.wire.unreachable.add("a")
     lost = world.watch(2.6)
@@ -32,7 +32,8 @@
 
 
 def target_without_a_process(world):
-    # It has crashed, and its host refuses connections. Nothing has to be waited for.
+    # The target has crashed, and its host refuses connections. Its keys need not wait
+    # for any lease.
     world.stop_process("a")
     return world.watch(8.0)
 
@@ -50,8 +51,8 @@
 
 
 def lost_holder_with_keys_on_the_move(world):
-    # Work on the keys keeps their former owner from letting go when the VM is lost, and
-    # nobody knows whether their new owner has been granted them.
+    # Requests in progress delay the release when the coordinator fails, and it is
+    # unknown whether the new owner has been granted the keys.
     world.wire.release_delay = 1.0
     world.busy(0, 4)
     for _ in range(100):
@@ -99,7 +100,7 @@
     return max(during, world.watch(15.0))
 
 
-# Bounds in seconds, as the design note tells them.
+# Bounds in seconds, as in the design documentation.
 ROWS = [
     pytest.param(lost_holder, 0.0, id="VM with the duty"),
     pytest.param(silent_target, 4.5, id="silent target"),
--- a/packages/entry/tests/test_balance.py
+++ b/packages/entry/tests/test_balance.py
@@ -1,4 +1,4 @@
-"""Tests of which keys go to which target."""
+"""Tests of moving keys for balance."""
 
 from __future__ import annotations
 
@@ -59,8 +59,8 @@
 
 class TestRebalance:
     def test_busy_neighbours_are_spread_within_rounds(self):
-        # Half of all requests are for neighbouring keys of one target of twelve. It has
-        # two slots: callers wait in its queue while eleven targets are idle.
+        # Half of all requests are for adjacent keys of one target of twelve with two
+        # slots: callers wait in its queue while eleven targets are idle.
         capacities = dict.fromkeys(NAMES, 20.0)
         rates = skewed(100)
         assignment = rounds(even(NAMES), rates, capacities, 8)
@@ -69,9 +69,9 @@
         assert max(found.values()) < 1.6 * mean
 
     def test_one_hot_key_does_not_keep_others_from_moving(self):
-        # One key asks for more than any target can do and cannot be divided. The other
-        # targets must still be evened out; they stayed full beside idle ones when the
-        # search ended at the hopeless one.
+        # One key has more requests than any target can serve and cannot be split. The
+        # other targets must be balanced nevertheless; they stayed overloaded next to
+        # idle ones when the search stopped at the hot key's target.
         capacities = dict.fromkeys(NAMES, 18.0)
         rates = sorted([*skewed(120), (40000, 45.0)])
         assignment = rounds(even(NAMES), rates, capacities, 6)
@@ -95,8 +95,8 @@
 
 class TestRounds:
     def test_target_with_a_growing_queue_is_relieved_at_once(self):
-        # Keys became busy a moment after a round. Half of all requests wait for one
-        # target until the next one.
+        # Keys became hot just after a round. Without an urgent round, half of all
+        # requests would wait for one target until the next regular one.
         capacities = dict.fromkeys(NAMES, 20.0)
         rounds = Rounds(100.0)
         assert rounds.moves(100.0, even(NAMES), skewed(100), capacities)
@@ -104,7 +104,7 @@
 
     def test_mild_differences_wait_for_a_calm_round(self):
         # Each round costs two calls to the store and interrupts the moving keys.
-        # Differences that make nobody wait are evened out once a second.
+        # Differences that do not cause queues are evened out once a second.
         capacities = dict.fromkeys(NAMES, 40.0)
         rates = [(key, rate / 3) for key, rate in skewed(100)]
         found = levels(even(NAMES), rates, capacities)
@@ -117,8 +117,8 @@
         assert rounds.moves(100.0 + CALM_PERIOD, even(NAMES), rates, capacities)
 
     def test_targets_that_are_all_full_wait_for_a_calm_round(self):
-        # More is asked for than all targets can do. Moves from one full target to
-        # another serve nobody; they interrupt requests and cost calls to the store.
+        # There are more requests than all targets can serve. Moves between overloaded
+        # targets do not help; they interrupt requests and cost calls to the store.
         capacities = dict.fromkeys(NAMES, 8.0)
         rates = [(i * 500, 1.0 + 0.3 * (i < 11)) for i in range(131)]
         found = levels(even(NAMES), rates, capacities)
@@ -128,10 +128,10 @@
         assert not rounds.moves(100.5, even(NAMES), rates, capacities)
 
     def test_hopeless_key_does_not_hold_up_the_relief_of_others(self):
-        # One key asks for more than any target can do; another target, a little faster,
-        # would be nearly as full with it. Beside it neighbouring keys become busy. As
-        # long as the hopeless target was the busiest, those queues grew for a second at
-        # a time, and a fifth of all lookups were refused.
+        # One key has more requests than any target can serve; a slightly faster target
+        # would be almost as overloaded with it. Other adjacent keys become hot as well.
+        # As long as only the busiest target was considered, their queues grew for a
+        # second at a time, and a fifth of all lookups were rejected.
         capacities = dict.fromkeys(NAMES, 20.0) | {"t7": 23.0}
         busy = [(10000 + n, 0.26) for n in range(100)]
         rates = [*busy, (60000, 30.0)]
@@ -144,7 +144,7 @@
         assert found["t1"] < 1.0
 
     def test_round_of_many_targets_has_more_moves(self):
-        # A stretch of busy keys wants a fifth of all targets for owners, whether there
-        # are twelve of them or a hundred and twenty.
+        # A run of hot keys needs a fifth of all targets as owners, both for twelve
+        # targets and for a hundred and twenty.
         assert most_moves(12) == most_moves(44) == LEAST_MOVES
         assert most_moves(120) == 12
--- a/packages/entry/tests/test_dealing.py
+++ b/packages/entry/tests/test_dealing.py
@@ -1,4 +1,4 @@
-"""Tests of which targets get keys that need another owner."""
+"""Tests of assigning keys that need another owner, and of merging ranges."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 class TestMend:
     def cut(self):
-        """Return an assignment of three targets, of which two pieces were cut out."""
+        """Return an assignment to three targets with two small ranges split off."""
         pieces = [KeyRange(100, 120, "t1", 1, 11), KeyRange(30000, 30400, "t0", 1, 12)]
         return even(NAMES[:3]).replace(pieces, 13)
 
     def test_narrow_ranges_go_back_to_the_owner_around_them(self):
-        # Busy keys were spread, and are quiet again. Each of the ranges that are left
-        # costs a grant every 0.8 s until the end of days.
+        # Hot keys were spread and are no longer hot. Each of the remaining ranges costs
+        # a grant every 0.8 s for as long as it exists.
         assignment = self.cut()
         moves = mend(assignment, [(40000, 9.0)], dict.fromkeys(NAMES[:3], 20.0))
         assert [(m.first, m.last, m.owner) for m in moves] == [
@@ -43,8 +43,8 @@
         assert not any(m.first <= 110 <= m.last for m in moves)
 
     def test_narrow_range_between_two_owners_goes_to_one_of_them(self):
-        # Twenty targets take busy keys from each other, and hardly a range lies between
-        # two of one owner. 600 ranges were left of 22 targets.
+        # With twenty targets that take over each other's hot keys, hardly any range
+        # lies between two of one owner. 600 ranges were left for 22 targets.
         pieces = [KeyRange(100, 120, "t1", 1, 11), KeyRange(121, 140, "t2", 1, 12)]
         assignment = even(NAMES[:3]).replace(pieces, 13)
         moves = mend(assignment, [(110, 5.0)], dict.fromkeys(NAMES[:3], 20.0))
@@ -62,9 +62,9 @@
         assert {m.owner for m in moves} == {"t1"}
 
     def test_ranges_of_one_owner_do_not_move_to_it(self):
-        # Three ranges of one target have three fences. Moved to the target that has
-        # them, they were taken from it and given back once a second, and callers were
-        # turned away each time.
+        # Three adjacent ranges of one target have three fences. When they were moved to
+        # the target that owned them already, they were revoked and granted again once a
+        # second, and requests were rejected each time.
         piece = KeyRange(100, 120, "t0", 1, 11)
         assignment = even(NAMES[:3]).replace([piece], 12)
         assert len(assignment.ranges) == 5
--- a/packages/entry/tests/test_granting.py
+++ b/packages/entry/tests/test_granting.py
@@ -26,7 +26,7 @@
 
 
 class KnownPeers:
-    """Other VMs that are asked without a network, by their address."""
+    """Other VMs by address, called without a network."""
 
     def __init__(self):
         self.vms = {}
@@ -53,7 +53,7 @@
 
 
 class Vm:
-    """The parts of one VM that have to do with grants."""
+    """The parts of a VM that grant keys."""
 
     def __init__(self, name, store, wire):
         records = JsonRecords({1: configuration()})
@@ -85,7 +85,7 @@
 async def until(condition, seconds=8.0):
     end = now() + seconds
     while not condition():
-        assert now() < end, "it did not come about in time"
+        assert now() < end, "condition not met in time"
         await asyncio.sleep(0.02)
 
 
@@ -122,9 +122,9 @@
         asyncio.run(play())
 
     def test_renewal_on_its_way_does_not_bring_moved_keys_back(self, store):
-        # Busy keys move while a renewal of their whole range is on its way to the
-        # former owner. The renewal arrives after the release; a former owner that took
-        # it would serve the same keys as the new one, and two callers would book one
+        # Hot keys move while a renewal of their whole range is in transit to the
+        # previous owner and arrives after the release. If the previous owner accepted
+        # it, two targets would serve the same keys, and two callers would book one
         # seat.
         async def play():
             wire = FencedTargets()
@@ -142,9 +142,9 @@
         asyncio.run(play())
 
     def test_new_owner_that_leaves_in_the_midst_of_a_move_gets_nothing(self, store):
-        # Keys are on the move while work on them ends at their former owner. Their new
-        # owner is told to leave at this moment, so they go to a third one. The first
-        # move must not end with a grant of its own: two targets would hold the keys.
+        # A move waits for requests at the previous owner to complete. Its new owner
+        # starts to drain, so the keys go to a third target. If the first move still
+        # ended with a grant, two targets would hold the keys.
         async def play():
             wire = FencedTargets()
             vm = Vm("vm-1", store, wire)
@@ -167,10 +167,9 @@
 
     @pytest.mark.parametrize("offset", [0.0, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6])
     def test_silent_target_that_answers_as_its_keys_move_gets_none(self, offset):
-        # A target has not answered for so long that its keys go to another one without
-        # its word. In this moment it answers the question whether it is back. What was
-        # to be renewed was worked out before the question; renewed now, the keys would
-        # have two owners, and each of them would book the same seat.
+        # An unresponsive target answers a probe at the moment when its keys are moved
+        # without a release. A renewal prepared before the probe and sent after it would
+        # give the keys two owners, each of which would book the same seat.
         with virtual_loop() as loop:
             world = World(loop)
             world.run(offset)
@@ -195,10 +194,10 @@
             assert not world.faults()
 
     def test_renewal_while_a_move_is_being_written_is_waited_for(self, store):
-        # A move is being written for longer than a hold lasts, and the former owner is
-        # renewed meanwhile, since the move may yet fail. Then the owner falls silent.
-        # Its keys must wait for the last of these renewals, not for those that were
-        # known when the move was decided.
+        # Storing a move takes longer than a key lease, and the previous owner is
+        # renewed meanwhile, since the write may fail. Then that owner becomes
+        # unresponsive. Its keys must wait for the last of these renewals, not only for
+        # those known when the move was decided.
         async def play():
             wire = FencedTargets()
             vm = Vm("vm-1", store, wire)
@@ -219,9 +218,9 @@
         asyncio.run(play())
 
     def test_move_that_has_ended_is_not_made_again(self, store):
-        # The end of a move is not written yet, since the store is slow. Begun again in
-        # this time, each move takes more grants, and where many keys move the VM with
-        # the duty gets to nothing else.
+        # The end of a move is not stored yet because the store is slow. If the move
+        # were started again, it would cost more grants, and with many moves the
+        # coordinator would have no time for anything else.
         async def play():
             wire = FencedTargets()
             vm = Vm("vm-1", store, wire)
@@ -248,9 +247,9 @@
             loop.run_until_complete(play())
 
     def test_write_in_doubt_is_settled_before_anything_is_granted(self, store):
-        # The answer to a write of the assignment is lost, and the write is carried out
-        # a second later. A VM that went on from the assignment before would grant by
-        # one while the store holds the other.
+        # The answer to a write of the assignment is lost, and the write is applied a
+        # second later. A VM that went on from the previous assignment would grant by
+        # one assignment while the store has another.
         async def play():
             wire = FencedTargets()
             vm = Vm("vm-1", store, wire)
@@ -287,9 +286,9 @@
         asyncio.run(play())
 
     def test_keys_of_a_silent_target_wait_for_its_hold_to_end(self, store):
-        # A target falls silent and may still be serving others. Its keys must not go to
-        # another target while its own grant can still hold, and must not wait for long
-        # after that: callers of these keys get no answer all the while.
+        # An unresponsive target may still be serving. Its keys must not move while its
+        # lease may be valid, and must move soon after that, because callers of these
+        # keys get no answer until then.
         async def play():
             wire = FencedTargets()
             vm = Vm("vm-1", store, wire)
@@ -307,9 +306,9 @@
         asyncio.run(play())
 
     def test_keys_of_an_ended_target_do_not_wait_for_its_holds(self, store):
-        # A data centre lost power, and its targets came back under other names at the
-        # same addresses before their records had gone. The old ones hold nothing any
-        # more; callers of their keys need not wait for holds that nobody has.
+        # A data centre lost power, and its targets restarted under other names at the
+        # same addresses before their records were removed. The old targets hold no keys
+        # any more, so their keys need not wait for leases to expire.
         async def play():
             wire = FencedTargets()
             vm = Vm("vm-1", store, wire)
@@ -328,8 +327,8 @@
         asyncio.run(play())
 
     def test_orders_carried_out_late_leave_one_holder(self, store):
-        # A target leaves orders unanswered and carries them out seconds later. A grant
-        # that comes into force after the keys have moved on would give them two owners.
+        # A target does not answer grants and applies them seconds later. A grant that
+        # takes effect after the keys have moved would give them two owners.
         async def play():
             wire = FencedTargets()
             vm = Vm("vm-1", store, wire)
@@ -349,9 +348,8 @@
         asyncio.run(play())
 
     def test_lost_holder_of_the_duty_costs_no_key(self, store):
-        # The VM with the duty of granting is lost. Another one takes the duty over
-        # within its lease and renews the grants before they end, so that no key goes
-        # without an owner.
+        # The coordinator fails. Another VM becomes coordinator within the store lease
+        # and renews the key leases before they expire, so no key loses its owner.
         async def play():
             wire = FencedTargets()
             first, second = Vm("vm-1", store, wire), Vm("vm-2", store, wire)
@@ -374,10 +372,10 @@
 
     @pytest.mark.parametrize("answers", [True, False])
     def test_move_whose_end_was_not_written_is_not_undone(self, store, answers):
-        # A VM moves keys and is cut off from the store before it can write that they
-        # have moved. The VM that takes the duty over finds the move half done. If it
-        # took the keys back from their former owner by a grant, it would give them to
-        # that one while the new owner serves them.
+        # A coordinator moves keys and loses the store before it can store the end of
+        # the move. Its successor finds the move incomplete. If it revoked the keys from
+        # their previous owner by a grant, that target would get the keys while the new
+        # owner serves them.
         async def play():
             wire = FencedTargets()
             near = StoreView(store)
@@ -410,8 +408,8 @@
         asyncio.run(play())
 
     def test_new_range_of_an_owner_does_not_renew_its_others(self, store):
-        # A few keys move each tenth of a second. When each move renews all ranges of
-        # the owner, the VM with the duty does little else (590 grants a second).
+        # A few keys move every tenth of a second. If each move renewed all ranges of
+        # the owner, the coordinator would do little else (590 grants per second).
         async def play():
             wire = FencedTargets()
             vm = Vm("vm-1", store, wire)
@@ -424,16 +422,16 @@
             grants = len(wire.ordered) - before
             ranges = len(vm.feed.assignments["s"].ranges)
             vm.kill()
-            # Three rounds of renewals, and what the moves themselves take.
+            # Three rounds of renewals, and the grants of the moves themselves.
             assert grants < 3.5 * ranges + 20
 
         asyncio.run(play())
 
     def test_ranges_are_mended_while_keys_are_busy_all_the_time(self):
-        # Keys are busy for three seconds here, for three seconds there, for half a
-        # minute, and each round of moves cuts ranges up. Left until no key is busy any
-        # more, they were 600 for 22 targets: 750 grants a second, which kept the VM
-        # with the duty from all else.
+        # Different keys are hot for three seconds each, for half a minute, and each
+        # round of moves splits ranges. When ranges were only merged once no key was
+        # hot, there were 600 of them for 22 targets: 750 grants per second, which left
+        # the coordinator no time for anything else.
         with virtual_loop() as loop:
             world = World(loop)
             counts = []
@@ -446,15 +444,16 @@
             for name in VMS:
                 world.kill(name)
             assert not world.faults()
-            # As many as two places leave, beside what is left alone at any time.
+            # As many ranges as two groups of hot keys leave, besides those that are
+            # never merged.
             assert max(counts) <= MANY_RANGES * 3 + 2 * 4 * 9
             assert max(counts[6:]) <= 1.5 * max(counts[:6])
 
     def test_write_in_doubt_does_not_hold_up_a_move_of_other_keys(self, store):
-        # Keys are on the move when the store goes away, and the next round of moves is
-        # being written: its end is unknown for as long. The keys on the move must get
-        # to their new owner all the same, or nobody serves them until the store is
-        # back (1.5 s were seen, until another VM took the duty over).
+        # The store fails while keys are moving and the next round of moves is being
+        # written, so the outcome of that write is unknown during the outage. The moving
+        # keys must reach their new owner nevertheless, or they have no owner until the
+        # store is back (for 1.5 s, until another VM became coordinator).
         async def play():
             wire = FencedTargets()
             vm = Vm("vm-1", store, wire)
@@ -499,10 +498,10 @@
         asyncio.run(play())
 
     def test_keys_stay_held_after_the_return_of_the_store(self, store):
-        # The store is away for nine seconds. All holds were prolonged when it went and
-        # end within a second and a half of its return, and the lease of the duty has
-        # ended with it. If the duty is taken again later than that, every key is
-        # without an owner for as long, and callers are refused all over the service.
+        # The store is unavailable for nine seconds. All key leases were extended at the
+        # start and expire within 1.5 s of its return, and the coordinator's lease has
+        # expired too. If there is no coordinator by then, no key has an owner, and
+        # requests to the whole service are rejected.
         async def play():
             wire = FencedTargets()
             vm = Vm("vm-1", store, wire)
@@ -522,9 +521,9 @@
         asyncio.run(play())
 
     def test_silent_target_beside_a_lost_holder_of_the_duty(self, store):
-        # The VM with the duty and a target are lost at once. The VM that takes over has
-        # had the store all the while, so the lost one has not prolonged any hold: the
-        # target's keys go to others as soon as its short hold is over.
+        # The coordinator and a target fail at once. The new coordinator has had contact
+        # with the store all the time, so no key leases were extended, and the target's
+        # keys move as soon as its short lease has expired.
         async def play():
             wire = FencedTargets()
             first, second = Vm("vm-1", store, wire), Vm("vm-2", store, wire)
@@ -547,9 +546,9 @@
         asyncio.run(play())
 
     def test_process_that_started_anew_hands_nothing_on(self, store):
-        # The VM with the duty is killed while a target is silent, and starts again
-        # under its address before another VM has taken over. It knows nothing of the
-        # grants that it gave, which the silent target still goes by.
+        # The coordinator is killed while a target is unresponsive, and restarts at its
+        # address before another VM takes over. It knows nothing of its earlier grants,
+        # by which the target may still hold keys.
         async def play():
             wire = FencedTargets()
             first, second = Vm("vm-1", store, wire), Vm("vm-2", store, wire)
@@ -562,8 +561,8 @@
             second.peers.vms[first.cfg.control] = anew
             second.start()
             await until(second.office.holds)
-            # The target's grant is prolonged by nobody; until it has ended, its keys
-            # must not move.
+            # Nobody renews the target's lease; until it has expired, its keys must not
+            # move.
             wire.holds["a"][0].end = now() + 2.0
             while now() < wire.holds["a"][0].end:
                 assert "a" in owners(second)
@@ -574,8 +573,8 @@
         asyncio.run(play())
 
     def test_holder_that_alone_loses_the_store_prolongs_nothing(self, store):
-        # Only the VM with the duty loses the store. Holds that it prolonged would keep
-        # the next holder from moving the keys of a lost target for ten seconds.
+        # Only the coordinator loses the store. If it extended key leases, the next
+        # coordinator could not move the keys of a failed target for ten seconds.
         async def play():
             wire = FencedTargets()
             near = StoreView(store)
@@ -601,12 +600,12 @@
 
 
 class TestStop:
-    """The VM with the duty stops while its orders are under way."""
+    """The coordinator stops while its calls are in progress."""
 
     @pytest.mark.parametrize("offset", [0.0, 0.4, 0.6, 0.8, 1.0])
     def test_assignment_whose_writing_was_not_heard_of_is_read_at_once(self, offset):
-        # Guards against a VM that takes the duty over and goes on from an assignment
-        # that is no more in force until its next reading, while keys have no owner.
+        # Guards against a new coordinator that uses an outdated assignment until its
+        # next read, while keys have no owner.
         with virtual_loop() as loop:
             world = World(loop)
             world.run(offset)
--- a/packages/entry/tests/test_holds.py
+++ b/packages/entry/tests/test_holds.py
@@ -1,4 +1,4 @@
-"""Tests of what is known of the holds of a target."""
+"""Tests of the bookkeeping of key leases."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
         assert hold.probed_at == 11.0
 
     def test_life_that_goes_on_is_no_more_silent(self):
-        # Guards against a target that gets no key for as long as it lives, since its
-        # port once refused connections.
+        # Guards against a target that is never assigned keys again because its port
+        # once refused connections.
         hold = TargetHold()
         hold.refused(10.0)
         hold.refused(11.0)
--- a/packages/entry/tests/test_key_loads.py
+++ b/packages/entry/tests/test_key_loads.py
@@ -1,4 +1,4 @@
-"""Tests of how often each key is asked for."""
+"""Tests of the request rates of keys."""
 
 from __future__ import annotations
 
@@ -15,8 +15,9 @@
         return dict(loads.rates())[7]
 
     def test_rate_is_known_within_a_second_of_the_first_request(self):
-        # Thirty requests a second come for one key from the first moment on. Taken for
-        # a quarter of that, its owner seems idle while a queue grows before it.
+        # A key gets thirty requests per second from the start. If its rate were
+        # estimated at a quarter of that, its owner would seem idle while its queue
+        # grows.
         for seconds in (0.7, 1.0, 3.0, 20.0):
             assert 25 < self.rate_after(seconds) < 36
 
--- a/packages/entry/tests/test_office.py
+++ b/packages/entry/tests/test_office.py
@@ -1,4 +1,4 @@
-"""Tests of taking, leaving and giving up the duty of granting."""
+"""Tests of becoming coordinator and of stepping down."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 
 class TestRoom:
     def test_duty_is_left_to_a_vm_with_room_and_costs_no_key(self, world):
-        # A small VM took the duty while the larger ones were starting. Its orders come
-        # late under load; when it gives the duty up, no key goes without an owner.
+        # A small VM became coordinator while the larger ones were starting. Under load
+        # it grants keys late; when it steps down, no key loses its owner.
         (small,) = holders(world)
         large = next(name for name in VMS if name != small)
         world.vms[small].office.better = lambda: large
@@ -39,8 +39,8 @@
         assert not world.faults()
 
     def test_duty_is_kept_while_the_vm_with_room_is_lost(self, world):
-        # Its record outlives it by the length of its lease. A holder that gave up for
-        # it would do so again and again.
+        # A VM's record remains for the duration of its lease. A coordinator that
+        # stepped down for a VM that has failed would do so again and again.
         (small,) = holders(world)
         large = next(name for name in VMS if name != small)
         world.vms[small].office.better = lambda: large
@@ -59,8 +59,8 @@
 
 class TestIdleVm:
     def test_vm_without_the_duty_sleeps_while_nothing_happens(self, world):
-        # Hundreds of VMs serve beside the one with the duty. Each that looked at it and
-        # at its grants ten times a second took more time for that than for requests.
+        # Hundreds of VMs serve besides the coordinator. Each that checked the election
+        # and the grants ten times a second spent more time on that than on requests.
         (holder,) = holders(world)
         idle = world.vms[next(name for name in VMS if name != holder)]
         looks = []
@@ -71,12 +71,12 @@
         idle.office.holds = lambda: looks.append(1) or real_holds()
         seconds = 20.0
         world.run(seconds)
-        # What is left goes with the readings of the store.
+        # The remaining checks come with the reads of the store.
         assert len(looks) / seconds < 5
 
     def test_idle_vm_takes_the_duty_over_as_soon_as_it_is_vacant(self, world):
-        # A VM that sleeps until the duty's key changes must not miss the change: grants
-        # would end, and no key would have an owner.
+        # A VM that sleeps until the coordinator's key changes must not miss the change:
+        # leases would expire, and no key would have an owner.
         (holder,) = holders(world)
         world.kill(holder)
         world.run(LEASE + 1.0)
@@ -87,7 +87,7 @@
 
 
 class SlowWrites(StoreView):
-    """A store that carries writes out late, and not those that are broken off."""
+    """A store that applies writes late, except those that are cancelled."""
 
     async def write(self, conditions, writes, removals=()):
         await asyncio.sleep(0.2)
@@ -95,22 +95,22 @@
 
 
 def taken_by(world, name):
-    """Tell whether the store says that a VM has the duty."""
+    """Tell whether the store names a VM as the coordinator."""
     item = world.store.items.get(DUTY_KEY)
     return item is not None and json.loads(item.value)["vm"] == name
 
 
 def run_until(world, condition):
-    """Let time pass until something has come about."""
+    """Advance the time until a condition holds."""
     for _ in range(500):
         if condition():
             return
         world.run(0.02)
-    raise AssertionError("it did not come about in time")
+    raise AssertionError("condition not met in time")
 
 
 def stop(world, name):
-    """Stop a VM in an orderly way; return the seconds until another has the duty."""
+    """Stop a VM gracefully; return the seconds until another is coordinator."""
     began = now()
     world._loop.run_until_complete(world.vms[name].office.resign())
     world.kill(name)
@@ -119,16 +119,16 @@
 
 
 class TestStop:
-    """A VM stops while its calls to the store are under way."""
+    """A VM stops while its calls to the store are in progress."""
 
     def test_duty_that_is_being_taken_is_given_back(self, world):
-        # Guards against a duty that stays with a VM that has ended, until its lease
-        # ends, because it stopped before it knew that it had the duty.
+        # Guards against a coordinator's lease that stays with a stopped VM until it
+        # expires, because the VM stopped before it knew that it had become coordinator.
         (former,) = holders(world)
         name, other = [each for each in VMS if each != former]
         vm = world.vms[name]
         vm.office._store = LateAnswers(world.store)
-        # This one takes the duty; the other comes later.
+        # This VM becomes coordinator; the other follows later.
         world.vms[other].view.away = True
         world._loop.run_until_complete(world.vms[former].office.resign())
         world.kill(former)
@@ -138,8 +138,8 @@
         assert stop(world, name) < LEASE / 2
 
     def test_duty_that_is_being_left_is_given_back(self, world):
-        # Guards against a duty that nobody has until its lease ends, because its holder
-        # stopped while it left the duty to another VM.
+        # Guards against having no coordinator until the lease expires, because the
+        # coordinator stopped while it was stepping down for another VM.
         (name,) = holders(world)
         vm = world.vms[name]
         vm.office._store = SlowWrites(world.store)
--- a/packages/entry/tests/test_ownership_machine.py
+++ b/packages/entry/tests/test_ownership_machine.py
@@ -1,4 +1,4 @@
-"""Several VMs, targets and a store through troubles in any order, in virtual time."""
+"""VMs, targets and a store under any sequence of faults, in virtual time."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, rule
 from virtual_time import virtual_loop
 
-# Plays of one run of the tests, always the same ones. More, at random, when asked for.
+# Examples per test run, always the same ones. BERYLSTAGE_EXPLORE asks for more, chosen
+# at random.
 EXAMPLES = 12
 EXPLORED = int(os.environ.get("BERYLSTAGE_EXPLORE", "0"))
 
@@ -21,7 +22,7 @@
 
 
 class OwnershipMachine(RuleBasedStateMachine):
-    """Checks after each step that no key has two holders and that fences grow."""
+    """Checks after each step that no key has two holders and that fences increase."""
 
     def __init__(self):
         super().__init__()
@@ -137,7 +138,7 @@
 
 
 class TestFixedSteps:
-    """Steps at which the machine has failed once."""
+    """Sequences of steps that violated an invariant."""
 
     @pytest.fixture
     def world(self):
@@ -148,8 +149,9 @@
                 world.kill(vm)
 
     def test_targets_whose_ports_refuse_for_a_while_get_keys_again(self, world):
-        # Guards against keys without an owner for as long as targets live: connections
-        # to them were refused for seconds, and they go on reporting under their lives.
+        # Guards against keys that stay without an owner although their targets live:
+        # connections to the targets were refused for seconds, and they still report
+        # under the same incarnation.
         for name in TARGETS[:3]:
             world.stop_process(name)
         world.run(3.0)
@@ -158,7 +160,7 @@
         assert not world.ownerless()
 
     def test_grant_on_its_way_to_a_process_that_ends(self, world):
-        # Guards against two holders of keys, of which one is a process that is gone.
+        # Guards against keys with two holders, one of which is a terminated process.
         for moment in (0.1, 0.4, 0.1):
             world.stop_process("a")
             world.run(moment)
--- a/packages/entry/tests/test_ownership_mutations.py
+++ b/packages/entry/tests/test_ownership_mutations.py
@@ -1,7 +1,7 @@
-"""Broken variants of granting: each must break what the sound one keeps.
+"""Mutation tests: without any one of its rules, granting must violate an invariant.
 
-A test that cannot find a fault proves nothing. Every scenario here is played twice in
-virtual time, once with granting as it is and once with one rule taken out.
+Every scenario runs twice in virtual time, once with the original code and once with a
+rule removed. This proves that the scenario can detect the fault.
 """
 
 from __future__ import annotations
@@ -23,7 +23,8 @@
 
 
 def leaving_target_falls_silent(world):
-    # Its keys are to go to others, but it serves them on, and nobody hears of it.
+    # Its keys should move to other targets, but it still serves them and does not
+    # answer.
     world.wire.silent.add("a")
     world.put("a", leaving=True)
     world.run(8.0)
@@ -35,8 +36,8 @@
 
 
 def holder_lost_in_an_outage_beside_a_silent_target(world):
-    # The store is away, so the holder of the duty has prolonged all holds. It is lost
-    # with a target falling silent, and the store returns.
+    # The store is unavailable, so the coordinator has extended all key leases. It
+    # fails, a target becomes unresponsive, and the store returns.
     world.store.away = True
     world.run(1.5)
     world.kill(holder(world))
@@ -47,8 +48,9 @@
 
 
 def holder_starts_anew_in_an_outage(world):
-    # The process that prolonged all holds is killed and is back at once under its
-    # address. It knows nothing of its orders before, and a target falls silent.
+    # The process that extended all key leases is killed and restarts at once at its
+    # address. It knows nothing of its earlier grants, and a target becomes
+    # unresponsive.
     world.store.away = True
     world.run(1.5)
     name = holder(world)
@@ -68,7 +70,7 @@
 
 
 def silent_target_answers_as_its_keys_move(world):
-    # It answers the question whether it is back while its keys go to another one.
+    # The target answers a probe while its keys move to another one.
     world.wire.probe_delay = 0.35
     world.wire.silent.add("a")
     end = now() + 8.0
@@ -83,7 +85,7 @@
 
 
 async def renew_what_was_due_before(self, target):
-    """Renew what a target owned before it was asked whether it is back."""
+    """Renew what a target owned before it was probed."""
     hold = self.hold(target.identity)
     while self._office.holds() and not hold.has_ended:
         due = self._owned(target)
@@ -95,7 +97,7 @@
 
 
 async def release_alone(self, target, hold, r):
-    """Take keys back without a fence that would keep renewals on their way out."""
+    """Release keys without a fence that rejects renewals in transit."""
     fence = self._next_try(r)
     if not fence or not self._office.holds():
         return None
--- a/packages/policy/src/berylstage_policy/candidates.py
+++ b/packages/policy/src/berylstage_policy/candidates.py
@@ -1,8 +1,8 @@
-"""Which VMs do best what one VM does for all.
+"""Ranks VMs for tasks that one VM does for all.
 
-The load it answers: VMs of uneven size, of which the smallest has a fifth of the cores
-and a twentieth of the link of the largest. What one VM does for all others is more than
-a small one can do beside its requests.
+VMs differ in size: the smallest has a fifth of the cores and a twentieth of the
+bandwidth of the largest. Work for all other VMs is more than a small VM can do besides
+its requests.
 """
 
 from __future__ import annotations
@@ -13,21 +13,22 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Cores and Mbit/s of a VM that can do any duty well, beside its requests: 170 targets
-# take 210 grants a second of 1 ms each, and a round of moves is told to 60 VMs in 4 kB.
+# Cores and Mbit/s with which a VM can do any such task besides its requests: 170
+# targets need 210 grants per second of 1 ms each, and a round of moves is sent to 60
+# VMs in 4 kB.
 AMPLE_CORES = 0.8
 AMPLE_LINK = 100.0
 
 
 def power_of(cores: float, link: float) -> float:
-    """Return how much of what duties need a VM has: 1 for all of it.
+    """Return the share of the resources needed for such tasks that a VM has.
 
     Parameters
     ----------
     cores : float
-        Cores of the usual speed.
+        Number of cores of standard speed.
     link : float
-        Mbit/s.
+        Bandwidth in Mbit/s.
 
     Returns
     -------
@@ -38,14 +39,14 @@
 
 
 class Candidate:
-    """A VM that may take a duty.
+    """A VM that may do a task for all others.
 
     Parameters
     ----------
     name : str
         Unique.
     power : float
-        As :func:`power_of` returns it.
+        Result of :func:`power_of`.
     """
 
     __slots__ = ("name", "power")
@@ -56,7 +57,7 @@
 
 
 def ranked(candidates: Iterable[Candidate]) -> list[Candidate]:
-    """Return VMs in the order in which they are to take a duty.
+    """Return VMs in the order of preference for a task.
 
     Parameters
     ----------
@@ -65,7 +66,7 @@
     Returns
     -------
     list of Candidate
-        The same order on all VMs that know the same ones.
+        All VMs that know the same candidates compute the same order.
     """
     return sorted(candidates, key=_rank)
 
--- a/packages/policy/src/berylstage_policy/standby.py
+++ b/packages/policy/src/berylstage_policy/standby.py
@@ -1,14 +1,15 @@
-"""Which VMs stand by to take a duty over as soon as it becomes vacant.
-
-The load it answers: a watch of one key by every VM costs a call of each of them
-whenever it changes or has waited its time, and a duty that becomes vacant brings all of
-them to the store in the same moment. So one VM in each data centre watches; the rest
-find a vacancy by their paced reading, which is soon enough for the case that those that
-stand by are lost along with the holder.
-
-The duty is more work than a small VM can do beside its requests: its orders are
-answered late, targets count as silent, and their keys move for nothing. So the VMs that
-have what it takes come first, and others wait a moment for them.
+"""Selects the standby VMs, which take over at once if the coordinator fails.
+
+If every VM watched the coordinator's key, each of them would make a call whenever the
+key changes or the watch times out, and all would call the store at the same moment if
+there is no coordinator. Therefore one VM per data centre watches the key. The others
+notice a vacancy by their periodic read, which is soon enough for the case that the
+standby VMs fail together with the coordinator.
+
+The coordinator has more work than a small VM can do besides its requests: its grants
+would be late, targets would count as unresponsive, and keys would move without need.
+Therefore VMs with sufficient resources have precedence, and others wait a moment for
+them.
 """
 
 from __future__ import annotations
@@ -22,48 +23,50 @@
 
     from berylstage_policy.candidates import Candidate
 
-# Seconds that a VM with nothing of what the duty takes waits before it tries to take
-# it: in this time one that has it all reads that it is vacant and writes its name, and
-# with the lease (2 s) it is over before holds of 3 s end.
+# Longest delay before a VM tries to become coordinator, for one with no resources to
+# spare. Within it, a VM with sufficient resources reads that there is no coordinator
+# and writes its name; together with the lease (2 s) it is shorter than key leases of
+# 3 s.
 LONGEST_WAIT = 0.6
-# Power of the best VM, over the holder's, from which the holder gives the duty up.
+# Ratio between the capacities of the best VM and the coordinator from which the
+# coordinator steps down.
 MUCH_BETTER = 2.0
 
 
 def wait_of(power: float) -> float:
-    """Return the seconds that a VM leaves a vacant duty to better ones.
+    """Return the seconds for which a VM defers to better ones before it takes over.
 
     Parameters
     ----------
     power : float
-        As of :class:`Candidate`.
+        Relative capacity, as for :class:`Candidate`.
     """
     return LONGEST_WAIT * (1 - power)
 
 
 def should_give_up(power: float, best: float) -> bool:
-    """Tell whether the holder of a duty had better leave it to the best VM.
+    """Tell whether the coordinator should step down in favour of the best VM.
 
     Parameters
     ----------
     power, best : float
-        Of the holder and of the best known VM.
+        Relative capacities of the coordinator and of the best known VM.
     """
     return best >= MUCH_BETTER * power
 
 
 def stands_by(vm: str, neighbours: Iterable[Candidate]) -> bool:
-    """Tell whether a VM is the one of its data centre that stands by.
+    """Tell whether a VM is the standby VM of its data centre.
 
-    All VMs that know the same neighbours name the same one. When one goes, another
-    takes its place only if it was the one.
+    All VMs that know the same neighbours select the same one. If a VM disappears, the
+    selection changes only if it was the selected one.
 
     Parameters
     ----------
     vm : str
     neighbours : iterable of Candidate
-        Known VMs of the same data centre, the asking one included once it is known. A
-        VM that is not among them yet stands by: it may be the first.
+        Known VMs of the same data centre, including `vm` once it is known. A VM that is
+        not among them yet counts as standby, since it may be the first.
 
     Returns
     -------
--- a/packages/policy/tests/test_standby.py
+++ b/packages/policy/tests/test_standby.py
@@ -1,4 +1,4 @@
-"""Tests of which VMs stand by for a duty."""
+"""Tests of the selection of standby VMs."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
         assert sum(stands_by(vm, equals(VMS)) for vm in VMS) == 1
 
     def test_vm_that_is_not_known_yet(self):
-        # All VMs start at once, and none has heard of another. Somebody has to take the
-        # duty, or no key gets an owner.
+        # All VMs start at once and do not know each other yet. One of them has to
+        # become coordinator, or no key gets an owner.
         assert stands_by("vm-1", [])
         assert stands_by("new", equals(VMS))
 
@@ -31,9 +31,9 @@
             assert sum(stands_by(vm, equals(left)) for vm in left) == 1
 
     def test_vm_with_room_comes_before_small_ones(self):
-        # A VM of half a core with a link of 10 Mbit/s took the duty for 165 targets.
-        # Its grants were answered late, so targets counted as silent, their keys moved,
-        # and telling 62 VMs of that filled its link.
+        # A VM with half a core and 10 Mbit/s became coordinator for 165 targets. Its
+        # grants were late, so targets counted as unresponsive and their keys moved, and
+        # sending that to 62 VMs saturated its link.
         mixed = [*(Candidate(vm, 0.1) for vm in VMS[:-1]), Candidate(VMS[-1], 1.0)]
         assert [vm for vm in VMS if stands_by(vm, mixed)] == [VMS[-1]]
 
