--- a/packages/entry/src/berylstage_entry/duty_watch.py
+++ b/packages/entry/src/berylstage_entry/duty_watch.py
@@ -45,7 +45,7 @@
 
     async def run(self) -> None:
         """Watch whenever this VM is one of those that should."""
-        # Another VM must become coordinator before key leases expire, and the periodic
+        # Another VM must become coordinator before grants expire, and the periodic
         # read alone would be too slow for that.
         while True:
             if not self._is_wanted():
--- a/packages/entry/src/berylstage_entry/holds.py
+++ b/packages/entry/src/berylstage_entry/holds.py
@@ -1,13 +1,13 @@
-"""Determines until when targets may hold keys by leases that any VM granted them."""
+"""Determines until when targets may hold keys by grants of any VM."""
 
 from __future__ import annotations
 
-# Duration of a key lease. The keys of an unresponsive target stay unavailable for this
+# Duration of a grant. The keys of an unresponsive target stay unavailable for this
 # time. It covers three renewals and the election of a new coordinator (store lease of
 # 2 s), so that no key loses its owner when a VM fails.
 HOLD = 3.0
-# Share of the longest key lease that targets accept, which is used during an outage of
-# the store.
+# Share of the longest grant that targets accept, which is used during an outage of the
+# store.
 LONGEST_SHARE = 0.98
 # Seconds between two renewals.
 RENEWAL = 0.8
@@ -25,25 +25,25 @@
 
 
 def longest_hold(bound: float) -> float:
-    """Return the duration of a key lease that is to outlast an outage of the store.
+    """Return the duration of a grant that is to outlast an outage of the store.
 
     Parameters
     ----------
     bound : float
-        Longest lease in seconds that targets accept.
+        Longest grant in seconds that targets accept.
     """
     return max(HOLD, LONGEST_SHARE * bound)
 
 
 def lapse_of(ordered: float, hold: float) -> float:
-    """Return the time by which a lease from a grant has expired.
+    """Return the time by which a grant has expired.
 
     Parameters
     ----------
     ordered : float
         Monotonic time in seconds at which the grant is sent.
     hold : float
-        Duration of the lease in seconds.
+        Duration of the grant in seconds.
 
     Returns
     -------
@@ -61,7 +61,7 @@
     first, last : int
         Keys, both inclusive.
     lapse : float
-        Time by which the lease has expired.
+        Time by which the grant has expired.
     """
 
     __slots__ = ("first", "lapse", "last")
@@ -73,12 +73,12 @@
 
 
 class TargetHold:
-    """Key leases of one incarnation of a target, as known to this VM."""
+    """Grants to one incarnation of a target, as known to this VM."""
 
     __slots__ = ("_orders", "_refused_at", "has_ended", "probed_at", "silent_since")
 
     def __init__(self) -> None:
-        # Grants whose leases may still be valid.
+        # Grants that may still be valid.
         self._orders: list[Order] = []
         # Time since which it has not answered; 0 if it answers.
         self.silent_since = 0.0
@@ -91,7 +91,7 @@
 
     @property
     def lapse(self) -> float:
-        """Time by which all leases that this VM granted have expired."""
+        """Time by which all grants of this VM have expired."""
         return max((order.lapse for order in self._orders), default=float("-inf"))
 
     def ordered(self, now: float, hold: float, first: int, last: int) -> Order:
@@ -102,7 +102,7 @@
         return order
 
     def unsent(self, order: Order) -> None:
-        """Record that a grant was never sent, so that there is no lease from it.
+        """Record that a grant was never sent, so that it has no effect.
 
         No connection to an unreachable target can be established. If such grants
         counted, each of them would delay the move of the target's keys.
@@ -110,12 +110,13 @@
         self._orders = [known for known in self._orders if known is not order]
 
     def lapse_on(self, first: int, last: int) -> float:
-        """Return when all leases that this VM granted on some keys have expired.
+        """Return when all grants of some keys by this VM have expired.
 
-        A target's other keys are renewed while some of its keys move, so its leases as
-        a whole never expire. The expiry known when the move was decided would be too
-        early: renewals continue until the move is stored, which takes long if the store
-        is slow, and an unresponsive target would still hold keys by the last of them.
+        A target's other keys are renewed while some of its keys move, so there is no
+        time when all its grants have expired. The expiry known when the move was
+        decided would be too early: renewals continue until the move is stored, which
+        takes long if the store is slow, and an unresponsive target would still hold
+        keys by the last of them.
 
         Parameters
         ----------
@@ -125,7 +126,7 @@
         Returns
         -------
         float
-            Monotonic time in seconds; minus infinity if there are no such leases.
+            Monotonic time in seconds; minus infinity if there are no such grants.
         """
         ends = [
             order.lapse
@@ -143,7 +144,7 @@
         """Record that the target's port refused a connection.
 
         The process has terminated, and one started in its place holds no keys, so its
-        keys can move before its leases expire. Two refusals are required so that one
+        keys can move before its grants expire. Two refusals are required so that one
         stray packet does not decide. A target at its connection limit does not count:
         it accepts connections before it resets them.
         """
--- a/packages/entry/src/berylstage_entry/moves.py
+++ b/packages/entry/src/berylstage_entry/moves.py
@@ -99,8 +99,8 @@
         Returns
         -------
         float or None
-            Seconds until all leases that it granted have expired; None if the
-            state cannot be parsed.
+            Seconds until all its grants have expired; None if the state cannot be
+            parsed.
         """
         try:
             doc = json.loads(body)
@@ -109,7 +109,7 @@
             self._let_go |= {(r[0], r[1], r[2]): r[3] for r in doc["let_go"]}
             self._tries |= {(r[0], r[1], r[2]): r[3] for r in doc["tries"]}
         except (ValueError, KeyError, TypeError, IndexError) as exc:
-            # Without the state, moves wait until all leases have expired.
+            # Without the state, moves wait until all grants have expired.
             log.warning(
                 "state of the former coordinator not imported",
                 extra={"cause": str(exc)},
@@ -172,7 +172,7 @@
         return None
 
     def _lapsed(self, r: KeyRange) -> bool:
-        """Tell whether all leases that any VM granted on moving keys have expired."""
+        """Tell whether all grants of moving keys by any VM have expired."""
         hold = self._renewals.hold((r.former, r.former_life))
         ordered = hold.lapse_on(r.first, r.last)
         return now() >= max(ordered, self._office.others_lapse)
@@ -182,7 +182,7 @@
 
         Its new owner may already have been granted the keys. Granting them to the
         previous owner in order to set a fence there could then give the keys to both,
-        so nothing is granted until all leases that the other VM may have granted have
+        so nothing is granted until all grants that the other VM may have made have
         expired.
         """
         if self._lapsed(r):
@@ -224,7 +224,7 @@
             return None
         except TargetEnded:
             # Another target has the address, so this one has terminated and holds no
-            # keys. Waiting for its leases to expire would cost 3.3 s for a data
+            # keys. Waiting for its grants to expire would cost 3.3 s for a data
             # centre's targets that restart under other names.
             hold.ended(now())
             return ""
--- a/packages/entry/src/berylstage_entry/office.py
+++ b/packages/entry/src/berylstage_entry/office.py
@@ -1,10 +1,10 @@
 """Elects the coordinator, the one VM that grants keys to targets.
 
 A VM acts as the coordinator only while its lease in the store is certain to be valid.
-During an outage of the store, targets keep their keys by the leases on them that the
-coordinator granted before: if it and most other VMs have lost the store, it extends all
-key leases to the longest duration that targets accept. A new coordinator must find out
-whether that may have happened, because it must let such leases expire before it moves
+During an outage of the store, targets keep their keys by the grants that the
+coordinator gave before: if it and most other VMs have lost the store, it extends all
+grants to the longest duration that targets accept. A new coordinator must find out
+whether that may have happened, because it must let such grants expire before it moves
 keys away from an unresponsive target.
 
 The store, the logs and the paths call the coordinator's role the duty.
@@ -41,28 +41,27 @@
 # Path at which a VM tells for how long it has been in contact with the store.
 CONTACT_PATH = "/store/contact"
 # Lease of the coordinator in the store. If its VM fails, another takes over within this
-# time, which is shorter than a key lease that is not renewed.
+# time, which is shorter than the duration of a grant.
 LEASE = 2.0
 # Seconds between two checks whether there is a coordinator.
 LOOK = 0.1
 # Seconds between two renewals of the lease.
 KEEP = 0.4
 # Timeout of one renewal: ten times what the store takes when it is slow by a factor of
-# ten. After a failed renewal there is time to query the other VMs and to extend key
-# leases.
+# ten. After a failed renewal there is time to query the other VMs and to extend grants.
 KEEP_TIMEOUT = 0.45
 # Seconds of unbroken contact with the store that prove that the store was available
 # while the last coordinator's lease expired: the lease (2 s), up to 1.2 s until a VM
 # that does not watch the coordinator's key reads that it is gone, 0.1 s of jitter,
 # 0.6 s in which a small VM defers to others, two calls to a store that is 60 times
 # slower than usual (0.5 s), and the query itself (0.5 s). A VM that had lost the store
-# when key leases were extended must not qualify by then.
+# when grants were extended must not qualify by then.
 STEADY = 5.5
 # Upper bound of the random delay before a VM tries to become coordinator, so that they
 # do not all try at once.
 SCATTER = 0.1
 # Seconds that a coordinator stays before it yields to a better VM. By then the VMs that
-# are starting are known, and the previous coordinator's key leases have expired.
+# are starting are known, and the previous coordinator's grants have expired.
 SHORTEST_TERM = 5.0
 # Seconds between two queries to the previous coordinator, and their number.
 ASK_AGAIN = 0.3
@@ -83,7 +82,7 @@
     control : str
         Address at which it listens for other VMs.
     settled : bool
-        Whether all key leases granted in earlier terms have expired.
+        Whether all grants of earlier terms have expired.
     """
 
     __slots__ = ("control", "number", "settled", "vm")
@@ -157,18 +156,15 @@
         # Whether this very process was also the coordinator of the previous term.
         self.follows_itself = False
         # Called with the state of the previous coordinator. Returns the seconds until
-        # all key leases that it granted have expired, or None if the state cannot be
-        # parsed.
+        # all its grants have expired, or None if the state cannot be parsed.
         self.inherit: Callable[[bytes], float | None] = lambda body: None
-        # Time by which all key leases granted by other VMs have expired, as far as
-        # known.
+        # Time by which all grants of other VMs have expired, as far as known.
         self.others_lapse = float("inf")
         # Start of the term.
         self._taken = float("-inf")
         # Returns the address of a VM that should be coordinator instead, or "".
         self.better: Callable[[], str] = lambda: ""
-        # Whether key leases are granted for long enough to outlast an outage of the
-        # store.
+        # Whether grants last long enough to outlast an outage of the store.
         self.prolongs = False
 
     def start(self) -> None:
@@ -188,16 +184,16 @@
         await self._leased.wait()
 
     def hold(self) -> float:
-        """Return the duration in seconds of a key lease granted now."""
+        """Return the duration in seconds of a grant made now."""
         return longest_hold(self._cfg.bounds.longest_hold) if self.prolongs else HOLD
 
     def may_hand_on(self, body: bytes) -> bool:
         """Tell whether this process was the coordinator of a term and no longer is.
 
         A process that was restarted at the address of the former coordinator knows
-        nothing of the key leases granted before. If it answered, its successor would
-        conclude that none are left, and the keys of an unresponsive target would get a
-        second owner.
+        nothing of the grants made before. If it answered, its successor would conclude
+        that all have expired, and the keys of an unresponsive target would get a second
+        owner.
 
         Parameters
         ----------
@@ -282,7 +278,7 @@
     def _is_vacant(self) -> bool:
         item = self._feed.own.get(DUTY_KEY)
         vacant = item is None or item.value is None
-        # Only wait until the store answers again: extended key leases may expire 1.3 s
+        # Only wait until the store answers again: extended grants may expire 1.3 s
         # after the store is back, and 3 s more left all keys without an owner.
         return vacant and self._feed.is_in_touch()
 
@@ -323,7 +319,7 @@
         await asyncio.sleep(LEASE)
 
     async def _prolong(self) -> None:
-        """Extend key leases if other VMs have lost the store as well."""
+        """Extend grants if other VMs have lost the store as well."""
         if self.prolongs or not self.holds():
             return
         answers = await self._peers.ask_all(CONTACT_PATH)
@@ -389,7 +385,7 @@
         return longest_hold(self._cfg.bounds.longest_hold)
 
     async def _learn_of(self, before: _Term, mine: _Term) -> None:
-        """Determine when leases of earlier terms expire, and store that they have."""
+        """Determine when the grants of earlier terms expire, then store that fact."""
         began = now()
         if before.control and not self.follows_itself:
             steady, told = await asyncio.gather(
@@ -416,9 +412,9 @@
         """Tell whether most VMs had unbroken contact with the store."""
         if self._feed.steady() < STEADY:
             return False
-        # The former coordinator extended key leases only if half of the other VMs had
-        # lost the store. More than half of them with unbroken contact, this one
-        # included, rule that out.
+        # The former coordinator extended grants only if half of the other VMs had lost
+        # the store. More than half of them with unbroken contact, this one included,
+        # rule that out.
         addresses = [a for a in self._peers.others() if a != former]
         answers = await asyncio.gather(
             *(self._peers.ask(a, CONTACT_PATH) for a in addresses)
@@ -427,7 +423,7 @@
         return 2 * (len(steady) + 1) > len(answers) + 1
 
     async def _hand_on(self, before: _Term) -> float | None:
-        """Return the seconds until the former coordinator's leases on keys expire."""
+        """Return the seconds until the former coordinator's grants expire."""
         for _ in range(ASKED):
             term = str(before.number).encode()
             answer = await self._peers.ask(before.control, HAND_ON_PATH, term)
@@ -437,7 +433,7 @@
         return None
 
     async def _write_settled(self, mine: _Term) -> None:
-        """Store that all key leases granted in earlier terms have expired."""
+        """Store that all grants of earlier terms have expired."""
         mine.settled = True
         while self._lease and self.term == mine.number:
             try:
--- a/packages/entry/src/berylstage_entry/renewals.py
+++ b/packages/entry/src/berylstage_entry/renewals.py
@@ -1,4 +1,4 @@
-"""Grants keys to their owners and renews the leases, with one task per target."""
+"""Grants keys to their owners and renews the grants, with one task per target."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class Renewals:
-    """Renews the key leases of all owners while this VM is the coordinator.
+    """Renews the grants of all owners while this VM is the coordinator.
 
     Parameters
     ----------
@@ -75,18 +75,18 @@
         self._targets_seen: dict[tuple[str, int], Target] = {}
 
     def __len__(self) -> int:
-        """Return the number of targets whose leases are renewed."""
+        """Return the number of targets whose grants are renewed."""
         return len(self._keepers)
 
     def drop(self) -> None:
-        """Stop renewing leases."""
+        """Stop renewing grants."""
         for task in [*self._keepers.values(), *self._questions.values()]:
             task.cancel()
         self._keepers.clear()
         self._questions.clear()
 
     def lapse_in(self) -> float:
-        """Return the seconds until all leases that this VM granted have expired."""
+        """Return the seconds until all grants of this VM have expired."""
         return max([0.0, *(hold.lapse - now() for hold in self._holds.values())])
 
     def is_silent(self, identity: tuple[str, int]) -> bool:
@@ -182,7 +182,7 @@
             )
 
     async def _renew(self, target: Target) -> None:
-        """Renew a target's leases until it owns no keys."""
+        """Renew a target's grants until it owns no keys."""
         hold = self.hold(target.identity)
         self._targets_seen[target.identity] = target
         granted: set[tuple[int, int, int]] = set()
@@ -274,7 +274,7 @@
         return known[1].get(target.identity, [])
 
     def hold(self, identity: tuple[str, int]) -> TargetHold:
-        """Return what is known of the leases of one incarnation of a target."""
+        """Return what is known of the grants of one incarnation of a target."""
         hold = self._holds.get(identity)
         if hold is None:
             hold = self._holds[identity] = TargetHold()
--- a/packages/entry/tests/granting_world.py
+++ b/packages/entry/tests/granting_world.py
@@ -26,7 +26,7 @@
 TARGETS = ("a", "b", "c", "d")
 # Keys whose owners are checked.
 SAMPLES = (0, 20, 40, 60, 77, 9000, 20000, 40000, 65535)
-# Seconds after which everything must have recovered: the longest key lease, the store
+# Seconds after which everything must have recovered: the longest grant, the store
 # lease, and the time in which missing records may return.
 HEALING = 20.0
 
--- a/packages/entry/tests/test_availability.py
+++ b/packages/entry/tests/test_availability.py
@@ -33,7 +33,7 @@
 
 def target_without_a_process(world):
     # The target has crashed, and its host refuses connections. Its keys need not wait
-    # for any lease.
+    # for any grant.
     world.stop_process("a")
     return world.watch(8.0)
 
--- a/packages/entry/tests/test_granting.py
+++ b/packages/entry/tests/test_granting.py
@@ -194,7 +194,7 @@
             assert not world.faults()
 
     def test_renewal_while_a_move_is_being_written_is_waited_for(self, store):
-        # Storing a move takes longer than a key lease, and the previous owner is
+        # Storing a move takes longer than a grant, and the previous owner is
         # renewed meanwhile, since the write may fail. Then that owner becomes
         # unresponsive. Its keys must wait for the last of these renewals, not only for
         # those known when the move was decided.
@@ -287,7 +287,7 @@
 
     def test_keys_of_a_silent_target_wait_for_its_hold_to_end(self, store):
         # An unresponsive target may still be serving. Its keys must not move while its
-        # lease may be valid, and must move soon after that, because callers of these
+        # grant may be valid, and must move soon after that, because callers of these
         # keys get no answer until then.
         async def play():
             wire = FencedTargets()
@@ -308,7 +308,7 @@
     def test_keys_of_an_ended_target_do_not_wait_for_its_holds(self, store):
         # A data centre lost power, and its targets restarted under other names at the
         # same addresses before their records were removed. The old targets hold no keys
-        # any more, so their keys need not wait for leases to expire.
+        # any more, so their keys need not wait for grants to expire.
         async def play():
             wire = FencedTargets()
             vm = Vm("vm-1", store, wire)
@@ -349,7 +349,7 @@
 
     def test_lost_holder_of_the_duty_costs_no_key(self, store):
         # The coordinator fails. Another VM becomes coordinator within the store lease
-        # and renews the key leases before they expire, so no key loses its owner.
+        # and renews the grants before they expire, so no key loses its owner.
         async def play():
             wire = FencedTargets()
             first, second = Vm("vm-1", store, wire), Vm("vm-2", store, wire)
@@ -498,7 +498,7 @@
         asyncio.run(play())
 
     def test_keys_stay_held_after_the_return_of_the_store(self, store):
-        # The store is unavailable for nine seconds. All key leases were extended at the
+        # The store is unavailable for nine seconds. All grants were extended at the
         # start and expire within 1.5 s of its return, and the coordinator's lease has
         # expired too. If there is no coordinator by then, no key has an owner, and
         # requests to the whole service are rejected.
@@ -522,8 +522,8 @@
 
     def test_silent_target_beside_a_lost_holder_of_the_duty(self, store):
         # The coordinator and a target fail at once. The new coordinator has had contact
-        # with the store all the time, so no key leases were extended, and the target's
-        # keys move as soon as its short lease has expired.
+        # with the store all the time, so no grants were extended, and the target's
+        # keys move as soon as its short grant has expired.
         async def play():
             wire = FencedTargets()
             first, second = Vm("vm-1", store, wire), Vm("vm-2", store, wire)
@@ -561,7 +561,7 @@
             second.peers.vms[first.cfg.control] = anew
             second.start()
             await until(second.office.holds)
-            # Nobody renews the target's lease; until it has expired, its keys must not
+            # Nobody renews the target's grant; until it has expired, its keys must not
             # move.
             wire.holds["a"][0].end = now() + 2.0
             while now() < wire.holds["a"][0].end:
@@ -573,7 +573,7 @@
         asyncio.run(play())
 
     def test_holder_that_alone_loses_the_store_prolongs_nothing(self, store):
-        # Only the coordinator loses the store. If it extended key leases, the next
+        # Only the coordinator loses the store. If it extended grants, the next
         # coordinator could not move the keys of a failed target for ten seconds.
         async def play():
             wire = FencedTargets()
--- a/packages/entry/tests/test_holds.py
+++ b/packages/entry/tests/test_holds.py
@@ -1,4 +1,4 @@
-"""Tests of the bookkeeping of key leases."""
+"""Tests of the bookkeeping of grants."""
 
 from __future__ import annotations
 
--- a/packages/entry/tests/test_office.py
+++ b/packages/entry/tests/test_office.py
@@ -76,7 +76,7 @@
 
     def test_idle_vm_takes_the_duty_over_as_soon_as_it_is_vacant(self, world):
         # A VM that sleeps until the coordinator's key changes must not miss the change:
-        # leases would expire, and no key would have an owner.
+        # grants would expire, and no key would have an owner.
         (holder,) = holders(world)
         world.kill(holder)
         world.run(LEASE + 1.0)
--- a/packages/entry/tests/test_ownership_mutations.py
+++ b/packages/entry/tests/test_ownership_mutations.py
@@ -36,7 +36,7 @@
 
 
 def holder_lost_in_an_outage_beside_a_silent_target(world):
-    # The store is unavailable, so the coordinator has extended all key leases. It
+    # The store is unavailable, so the coordinator has extended all grants. It
     # fails, a target becomes unresponsive, and the store returns.
     world.store.away = True
     world.run(1.5)
@@ -48,7 +48,7 @@
 
 
 def holder_starts_anew_in_an_outage(world):
-    # The process that extended all key leases is killed and restarts at once at its
+    # The process that extended all grants is killed and restarts at once at its
     # address. It knows nothing of its earlier grants, and a target becomes
     # unresponsive.
     world.store.away = True
--- a/packages/policy/src/berylstage_policy/candidates.py
+++ b/packages/policy/src/berylstage_policy/candidates.py
@@ -33,7 +33,7 @@
     Returns
     -------
     float
-        From 0 to 1.
+        From 0 to 1; 1 suffices for any such task.
     """
     return round(min(1.0, cores / AMPLE_CORES, link / AMPLE_LINK), 2)
 
--- a/packages/policy/src/berylstage_policy/standby.py
+++ b/packages/policy/src/berylstage_policy/standby.py
@@ -25,7 +25,7 @@
 
 # Longest delay before a VM tries to become coordinator, for one with no resources to
 # spare. Within it, a VM with sufficient resources reads that there is no coordinator
-# and writes its name; together with the lease (2 s) it is shorter than key leases of
+# and writes its name; together with the lease (2 s) it is shorter than grants of
 # 3 s.
 LONGEST_WAIT = 0.6
 # Ratio between the capacities of the best VM and the coordinator from which the
