--- a/packages/entry/src/berylstage_entry/assignment_writer.py
+++ b/packages/entry/src/berylstage_entry/assignment_writer.py
@@ -58,7 +58,7 @@
         """
         key = KEYS_PREFIX + service
         revision = self._feed.revisions.get(service, 0)
-        conditions = [self._office.condition(), Condition(key, revision)]
+        conditions = [self._office.write_condition(), Condition(key, revision)]
         old = self._feed.assignments.get(service) or nobody()
         value = assignment.encode()
         doubtful = False
--- a/packages/entry/src/berylstage_entry/dealing.py
+++ b/packages/entry/src/berylstage_entry/dealing.py
@@ -31,24 +31,24 @@
 
 
 def deal(
-    homeless: Sequence[KeyRange],
+    displaced: Sequence[KeyRange],
     assignment: Assignment,
     rates: Sequence[tuple[int, float]],
     capacities: dict[str, float],
-    pieces: int,
+    max_parts: int,
 ) -> list[KeyMove]:
     """Return owners for keys that need another one.
 
     Parameters
     ----------
-    homeless : sequence of KeyRange
+    displaced : sequence of KeyRange
         Ranges that need another owner.
     assignment : Assignment
     rates : sequence of tuple
         Keys in order, each with its requests per second.
     capacities : dict of str to float
         Requests per second that each possible owner can serve.
-    pieces : int
+    max_parts : int
         Maximum number of parts into which the range of all keys is split.
 
     Returns
@@ -64,8 +64,8 @@
             levels[r.owner] += sum(rate for _, rate in keys) / capacities[r.owner]
             widths[r.owner] += r.last - r.first + 1
     moves = []
-    for r in homeless:
-        for first, last, rate in _pieces(r, rates, pieces):
+    for r in displaced:
+        for first, last, rate in _pieces(r, rates, max_parts):
             # Without requests, faster targets get more keys.
             owner = min(
                 levels, key=lambda name: (levels[name], widths[name] / capacities[name])
@@ -77,13 +77,15 @@
 
 
 def _pieces(
-    r: KeyRange, rates: Sequence[tuple[int, float]], pieces: int
+    r: KeyRange, rates: Sequence[tuple[int, float]], max_parts: int
 ) -> list[tuple[int, int, float]]:
     """Split a range into parts of equal rate, or of equal width without requests."""
     keys = [(key, rate) for key, rate in rates if r.first <= key <= r.last]
     total = sum(rate for _, rate in keys)
     width = r.last - r.first + 1
-    count = max(1, min(pieces, width, round(pieces * width / (LAST_KEY + 1) + 0.49)))
+    count = max(
+        1, min(max_parts, width, round(max_parts * width / (LAST_KEY + 1) + 0.49))
+    )
     if total and len(keys) > 1:
         return _cut_by_rate(r, keys, total / max(2, min(4, len(keys), count + 1)))
     cuts = [r.first + width * i // count for i in range(count + 1)]
--- a/packages/entry/src/berylstage_entry/duty_watch.py
+++ b/packages/entry/src/berylstage_entry/duty_watch.py
@@ -17,13 +17,13 @@
 
 # Seconds that the watch waits for a change. A broken watch is detected after this time;
 # until then the periodic read of all keys brings the same changes.
-DUTY_WAIT = 20.0
+WATCH_TIMEOUT_SECONDS = 20.0
 # Lower bound of the delay before a failed watch is retried. The periodic read of all
 # keys brings the changes as well once the store is back, and calls to an unavailable
 # store cost as much as others.
-DUTY_RETRY = 1.0
+MIN_RETRY_SECONDS = 1.0
 # Seconds between two checks whether this VM should watch.
-LOOK = 0.35
+CHECK_INTERVAL_SECONDS = 0.35
 
 log = Logger(__name__)
 
@@ -48,13 +48,15 @@
         # Another VM must become coordinator before grants expire, and the periodic
         # read alone would be too slow for that.
         while True:
-            if not self._is_wanted():
-                await asyncio.sleep(LOOK)
+            if not self._should_watch():
+                await asyncio.sleep(CHECK_INTERVAL_SECONDS)
                 continue
             revision = max(self._feed.revision, self._revision)
             try:
-                while self._is_wanted():
-                    changes = await self._store.watch(DUTY_KEY, revision, DUTY_WAIT)
+                while self._should_watch():
+                    changes = await self._store.watch(
+                        DUTY_KEY, revision, WATCH_TIMEOUT_SECONDS
+                    )
                     for item in changes.items:
                         self._feed.take_own(item)
                     revision = max(revision, changes.revision)
@@ -64,7 +66,7 @@
                 log.info(
                     "watch of the coordinator's key failed", extra={"cause": str(exc)}
                 )
-                await asyncio.sleep(max(DUTY_RETRY, self._feed.retry_pause()))
+                await asyncio.sleep(max(MIN_RETRY_SECONDS, self._feed.retry_pause()))
 
     async def _read(self) -> None:
         """Read the coordinator's key, whose changes the store has compacted."""
@@ -75,11 +77,11 @@
             await asyncio.sleep(self._feed.retry_pause())
             return
         found = [item for item in changes.items if item.key == DUTY_KEY]
-        gone = Item(DUTY_KEY, None, changes.revision)
-        self._feed.take_own(found[0] if found else gone)
+        removed = Item(DUTY_KEY, None, changes.revision)
+        self._feed.take_own(found[0] if found else removed)
         self._revision = changes.revision
 
-    def _is_wanted(self) -> bool:
+    def _should_watch(self) -> bool:
         """Tell whether this VM should watch the coordinator's key.
 
         While there is no coordinator, all VMs that may become it watch. The rest stop
@@ -88,5 +90,7 @@
         if not self._feed.complete or self._feed.is_teller():
             return False
         item = self._feed.own.get(DUTY_KEY)
-        vacant = item is None or item.value is None
-        return self._feed.is_standby() or (vacant and not self._feed.leaves_duty())
+        no_coordinator = item is None or item.value is None
+        return self._feed.is_standby() or (
+            no_coordinator and not self._feed.leaves_duty()
+        )
--- a/packages/entry/src/berylstage_entry/granting.py
+++ b/packages/entry/src/berylstage_entry/granting.py
@@ -13,11 +13,11 @@
 from berylstage_entry.clock import now
 from berylstage_entry.dealing import deal, mend
 from berylstage_entry.errors import Conflict, StoreError
-from berylstage_entry.holds import RENEWAL
+from berylstage_entry.holds import GRANT_RENEWAL_INTERVAL_SECONDS
 from berylstage_entry.key_loads import KeyLoads
-from berylstage_entry.moves import FENCES, Moves
-from berylstage_entry.office import LOOK
-from berylstage_entry.renewals import Renewals, note_fault
+from berylstage_entry.moves import FENCES_PER_MOVE, Moves
+from berylstage_entry.office import VACANCY_CHECK_SECONDS
+from berylstage_entry.renewals import Renewals, log_task_failure
 from berylstage_entry.speeds import TargetSpeeds
 
 if TYPE_CHECKING:
@@ -29,7 +29,7 @@
     from berylstage_entry.wire import TargetWire
 
 # Seconds between two reconciliations.
-TICK = 0.05
+RECONCILE_INTERVAL_SECONDS = 0.05
 # Seconds between two checks whether keys should move for balance. With 0.35 s, half a
 # second of requests queued at the owner of keys that had become hot: the worst seconds
 # of 44 targets earn 0.85 of the credit, and 0.90 with 0.1 s (`make bench-owned`).
@@ -37,49 +37,49 @@
 # Initial number of ranges per target. Hot keys are close to each other and not known in
 # advance; with one range per target, a single target would own them all for the first
 # second.
-FIRST_PIECES = 3
+INITIAL_RANGES_PER_TARGET = 3
 # Seconds for which the end of a move waits so that others are stored with it: moves of
 # one round end within 20 ms of each other if no requests are in progress.
-SETTLE_DELAY = 0.02
+COMPLETION_DELAY_SECONDS = 0.02
 # Average number of ranges per target above which adjacent ranges are merged under one
 # fence, and narrow ranges return to the owner of both neighbours. Each range costs a
 # grant every 0.8 s: 46 targets with eight ranges each take 460 calls per second.
-MANY_RANGES = 3
+MAX_RANGES_PER_TARGET = 3
 # Share of its sustainable request rate for which a cold target is assigned keys.
-COLD_USE = 0.5
+COLD_UTILIZATION = 0.5
 
 log = Logger(__name__)
 
 
-class _Service:
+class _ServiceState:
     """The coordinator's state of one service with owned keys."""
 
     __slots__ = (
-        "balanced_at",
-        "ended",
+        "rebalanced_at",
+        "completed",
         "loads",
         "lock",
-        "mended_at",
-        "moving",
-        "pending",
-        "rounds",
-        "settling",
+        "merged_at",
+        "move_tasks",
+        "pending_write",
+        "rebalancer",
+        "completion_task",
         "speeds",
     )
 
     def __init__(self, moment: float):
         self.loads = KeyLoads(moment)
         self.speeds = TargetSpeeds()
-        self.rounds = Rounds(moment)
-        self.balanced_at = self.mended_at = moment
-        self.moving: dict[tuple[int, int, int], asyncio.Task] = {}
+        self.rebalancer = Rounds(moment)
+        self.rebalanced_at = self.merged_at = moment
+        self.move_tasks: dict[tuple[int, int, int], asyncio.Task] = {}
         # Moves that are complete but not stored yet, and the task that stores them.
-        self.ended: list[KeyRange] = []
-        self.settling: asyncio.Task | None = None
+        self.completed: list[KeyRange] = []
+        self.completion_task: asyncio.Task | None = None
         # Serializes changes of the assignment, each of which is based on the previous
         # one; and the change that is being stored.
         self.lock = asyncio.Lock()
-        self.pending: Assignment | None = None
+        self.pending_write: Assignment | None = None
 
 
 class Granting:
@@ -108,7 +108,7 @@
         self.writer = AssignmentWriter(store, feed, office)
         self._renewals = Renewals(feed, directory, office, wire)
         self._moves = Moves(directory, office, wire, self._renewals)
-        self._services: dict[str, _Service] = {}
+        self._services: dict[str, _ServiceState] = {}
         self._task: asyncio.Task | None = None
         self._term = 0
 
@@ -120,11 +120,11 @@
         """Stop granting and moving keys."""
         if self._task is not None:
             self._task.cancel()
-        self._drop_tasks()
+        self._cancel_tasks()
 
     def counted(self, service: str, counts: dict[int, int]) -> None:
         """Add a VM's request counts by key since its last report."""
-        state = self._state(service)
+        state = self._get_state(service)
         for key, count in counts.items():
             state.loads.add(key, count)
 
@@ -139,42 +139,42 @@
         mean, slowness
             As for :meth:`TargetSpeeds.told`.
         """
-        self._state(service).speeds.told(mean, slowness)
+        self._get_state(service).speeds.told(mean, slowness)
 
     async def _run(self) -> None:
         while True:
             try:
                 if self._office.holds():
-                    await self._look()
+                    await self._reconcile()
                 elif len(self._renewals):
-                    self._drop_tasks()
+                    self._cancel_tasks()
             except StoreError as exc:
                 log.info("assignment not stored", extra={"cause": str(exc)})
                 if isinstance(exc, Conflict):
                     # The previous coordinator may have stopped before it announced its
                     # last write.
                     self._feed.hurry()
-                await asyncio.sleep(RENEWAL / 4)
+                await asyncio.sleep(GRANT_RENEWAL_INTERVAL_SECONDS / 4)
             if self._office.holds():
-                await asyncio.sleep(TICK)
+                await asyncio.sleep(RECONCILE_INTERVAL_SECONDS)
             else:
                 # The VM becomes coordinator again if it renews its lease late.
-                await asyncio.sleep(LOOK)
+                await asyncio.sleep(VACANCY_CHECK_SECONDS)
                 await self._office.wait_for_lease()
 
-    def _drop_tasks(self) -> None:
-        self._renewals.drop()
+    def _cancel_tasks(self) -> None:
+        self._renewals.stop_renewing()
         for state in self._services.values():
-            for task in state.moving.values():
+            for task in state.move_tasks.values():
                 task.cancel()
-            state.moving.clear()
-            state.ended.clear()
+            state.move_tasks.clear()
+            state.completed.clear()
 
     def _begin_term(self) -> None:
-        self._drop_tasks()
+        self._cancel_tasks()
         self._term = self._office.term
-        if not self._office.follows_itself:
-            self._moves.forget()
+        if not self._office.succeeds_itself:
+            self._moves.reset()
 
     def handed_on(self) -> bytes:
         """Return the state of ongoing moves for the next coordinator."""
@@ -186,109 +186,114 @@
             self._begin_term()
         return self._moves.inherit(body)
 
-    async def _look(self) -> None:
+    async def _reconcile(self) -> None:
         if self._term != self._office.term:
             self._begin_term()
         cfg = self._directory.configuration
         if cfg is None:
             return
-        self._renewals.ask_ended()
+        self._renewals.probe_terminated()
         for service in cfg.services.values():
             if service.owns_keys:
-                await self._look_at(service.name)
+                await self._reconcile_service(service.name)
 
-    async def _look_at(self, service: str) -> None:
-        state = self._state(service)
+    async def _reconcile_service(self, service: str) -> None:
+        state = self._get_state(service)
         assignment = self._feed.assignments.get(service) or nobody()
-        self._renewals.keep(assignment)
-        self._start_moves(service, state, assignment)
+        self._renewals.start_renewals(assignment)
+        self._start_move_tasks(service, state, assignment)
         if not self._office.holds():
             return
         async with state.lock:
             assignment = self._feed.assignments.get(service) or nobody()
-            changed = self._due_changes(service, state, assignment)
+            changed = self._plan_changes(service, state, assignment)
             if changed is not None:
-                await self._write(service, state, changed)
+                await self._write_assignment(service, state, changed)
 
-    async def _write(self, service: str, state: _Service, new: Assignment) -> None:
-        state.pending = new
+    async def _write_assignment(
+        self, service: str, state: _ServiceState, new: Assignment
+    ) -> None:
+        state.pending_write = new
         try:
             await self.writer.write(service, new)
         finally:
-            state.pending = None
+            state.pending_write = None
 
-    def _due_changes(
-        self, service: str, state: _Service, assignment: Assignment
+    def _plan_changes(
+        self, service: str, state: _ServiceState, assignment: Assignment
     ) -> Assignment | None:
         """Return the assignment with all due changes, or None if there are none."""
         moment = now()
         capacities = self._capacities(service, state)
-        homeless = [
+        displaced = [
             r
             for r in assignment.ranges
-            if not self._is_fit(r) and self._moves.may_move_on(r)
+            if not self._is_usable_owner(r) and self._moves.may_reassign(r)
         ]
         state.loads.fade(moment)
-        if homeless:
+        if displaced:
             rates = state.loads.rates()
-            pieces = FIRST_PIECES * len(capacities)
-            moves = deal(homeless, assignment, rates, capacities, pieces)
-            return self._moved(assignment, moves) if moves else None
-        if moment - state.balanced_at < BALANCE_PERIOD:
+            max_parts = INITIAL_RANGES_PER_TARGET * len(capacities)
+            moves = deal(displaced, assignment, rates, capacities, max_parts)
+            return self._with_moves(assignment, moves) if moves else None
+        if moment - state.rebalanced_at < BALANCE_PERIOD:
             return None
-        state.balanced_at = moment
+        state.rebalanced_at = moment
         rates = state.loads.rates()
-        many = MANY_RANGES * max(1, len(capacities))
-        if len(assignment.ranges) > many and moment - state.mended_at >= CALM_PERIOD:
+        max_ranges = MAX_RANGES_PER_TARGET * max(1, len(capacities))
+        if (
+            len(assignment.ranges) > max_ranges
+            and moment - state.merged_at >= CALM_PERIOD
+        ):
             # This comes before any move for balance: under load there is always a move
             # that helps, and each of them splits ranges further.
-            state.mended_at = moment
-            mended = self._mended(assignment, rates, capacities)
-            if mended is not None:
-                return mended
-        moves = state.rounds.moves(moment, assignment, rates, capacities)
+            state.merged_at = moment
+            merged = self._merge(assignment, rates, capacities)
+            if merged is not None:
+                return merged
+        moves = state.rebalancer.moves(moment, assignment, rates, capacities)
         if not moves:
             return None
         log.info(
             "moving keys for balance",
             extra={"moves": [(m.first, m.last, m.owner) for m in moves]},
         )
-        return self._moved(assignment, moves)
+        return self._with_moves(assignment, moves)
 
-    def _mended(
+    def _merge(
         self, assignment: Assignment, rates: list, capacities: dict[str, float]
     ) -> Assignment | None:
         """Return the assignment with fewer ranges, or None if that is impossible."""
         moves = mend(assignment, rates, capacities)
-        mended = self._moved(assignment, moves) if moves else assignment
-        return self._consolidated(mended) or (mended if moves else None)
+        merged = self._with_moves(assignment, moves) if moves else assignment
+        return self._with_merged_neighbours(merged) or (merged if moves else None)
 
-    def _is_fit(self, r: KeyRange) -> bool:
+    def _is_usable_owner(self, r: KeyRange) -> bool:
         """Tell whether the owner of a range can remain its owner."""
         if not r.owner or not self._directory.may_use(r.owner):
             return False
         if self._directory.known[r.owner].target.life != r.life:
             return False
         identity = (r.owner, r.life)
-        silent = self._renewals.is_silent(identity)
-        return not silent or self._renewals.may_hold(identity)
+        unresponsive = self._renewals.is_unresponsive(identity)
+        return not unresponsive or self._renewals.may_hold_keys(identity)
 
-    def _capacities(self, service: str, state: _Service) -> dict[str, float]:
+    def _capacities(self, service: str, state: _ServiceState) -> dict[str, float]:
         """Return the requests per second of each target that may own keys."""
         cfg = self._directory.configuration
         assert cfg is not None
         capacities = {}
         for name in self._directory.usable(service):
             entry = self._directory.known[name]
-            if self._renewals.is_silent(entry.target.identity):
+            if self._renewals.is_unresponsive(entry.target.identity):
                 continue
             capacities[name] = entry.target.slots / state.speeds.seconds(name)
             if entry.cold_until > now():
                 rate = cfg.services[service].cold_rate
-                capacities[name] = min(capacities[name], COLD_USE * rate)
+                capacities[name] = min(capacities[name], COLD_UTILIZATION * rate)
         return capacities
 
-    def _moved(self, assignment: Assignment, moves) -> Assignment:
+    def _with_moves(self, assignment: Assignment, moves) -> Assignment:
         """Return the assignment with moves started."""
         fence = assignment.next_fence
         new = []
@@ -298,11 +303,13 @@
                 if r.last < move.first or r.first > move.last:
                     continue
                 first, last = max(r.first, move.first), min(r.last, move.last)
-                fence += FENCES
-                new.append(self._moves.begun(r, first, last, move.owner, life, fence))
+                fence += FENCES_PER_MOVE
+                new.append(
+                    self._moves.start_move(r, first, last, move.owner, life, fence)
+                )
         return assignment.replace(new, fence + 1)
 
-    def _consolidated(self, assignment: Assignment) -> Assignment | None:
+    def _with_merged_neighbours(self, assignment: Assignment) -> Assignment | None:
         """Return the assignment with equal neighbours under one fence, or None."""
         fence = assignment.next_fence
         new = []
@@ -316,28 +323,28 @@
                 fence += 1
         return assignment.replace(new, fence + 1) if new else None
 
-    def _start_moves(
-        self, service: str, state: _Service, assignment: Assignment
+    def _start_move_tasks(
+        self, service: str, state: _ServiceState, assignment: Assignment
     ) -> None:
         """Start a task for each move of the assignment that has none."""
-        for move, task in list(state.moving.items()):
+        for move, task in list(state.move_tasks.items()):
             if task.done():
-                note_fault(task)
-                del state.moving[move]
+                log_task_failure(task)
+                del state.move_tasks[move]
         for r in assignment.ranges:
             move = (r.first, r.last, r.fence)
-            if r.former and move not in state.moving:
-                state.moving[move] = asyncio.create_task(self._move(service, r))
+            if r.former and move not in state.move_tasks:
+                state.move_tasks[move] = asyncio.create_task(self._move(service, r))
 
     async def _move(self, service: str, r: KeyRange) -> None:
         """Revoke keys from their previous owner and grant them to the new one."""
-        began = now()
-        handover = self._moves.handover(r)
+        start_time = now()
+        handover = self._moves.get_handover(r)
         if handover is None:
-            handover = await self._moves.take_back(r)
-        if handover is None or not self._goes_on(service, r):
+            handover = await self._moves.revoke(r)
+        if handover is None or not self._is_current(service, r):
             return
-        self._moves.let_go(r, handover)
+        self._moves.record_release(r, handover)
         known = self._directory.known.get(r.owner)
         if known is None or known.target.life != r.life:
             return
@@ -353,19 +360,21 @@
                 "to": r.owner,
                 "fence": r.fence,
                 "handover": bool(handover),
-                "seconds": round(now() - began, 3),
+                "seconds": round(now() - start_time, 3),
             },
         )
-        state = self._state(service)
-        state.ended.append(r)
-        if state.settling is None or state.settling.done():
-            state.settling = asyncio.create_task(self._settle(service, state))
+        state = self._get_state(service)
+        state.completed.append(r)
+        if state.completion_task is None or state.completion_task.done():
+            state.completion_task = asyncio.create_task(
+                self._store_completions(service, state)
+            )
         # A move is started again until its end is stored, which renews the new owner's
         # grant. Without a pause each such move would call its target continuously while
         # the store is slow, and leave this VM no time for anything else.
-        await asyncio.sleep(RENEWAL)
+        await asyncio.sleep(GRANT_RENEWAL_INTERVAL_SECONDS)
 
-    def _goes_on(self, service: str, r: KeyRange) -> bool:
+    def _is_current(self, service: str, r: KeyRange) -> bool:
         """Tell whether a move is still to go to the owner that it was started for.
 
         That owner may have become unusable, and the keys may have been assigned to yet
@@ -374,36 +383,39 @@
         counts as well. If it does not change these keys it does not block them,
         although its outcome may be unknown for as long as the store is unavailable.
         """
-        pending = self._state(service).pending
-        known = [self._feed.assignments[service], *([pending] if pending else [])]
+        pending_write = self._get_state(service).pending_write
+        known = [
+            self._feed.assignments[service],
+            *([pending_write] if pending_write else []),
+        ]
         return all(each.has(r) for each in known)
 
-    async def _settle(self, service: str, state: _Service) -> None:
+    async def _store_completions(self, service: str, state: _ServiceState) -> None:
         """Store the end of moves, in one write for those that end together."""
-        while state.ended and self._office.holds():
-            await asyncio.sleep(SETTLE_DELAY)
+        while state.completed and self._office.holds():
+            await asyncio.sleep(COMPLETION_DELAY_SECONDS)
             try:
                 async with state.lock:
-                    ended, state.ended = state.ended, []
-                    await self._write_settled(service, ended)
+                    completed, state.completed = state.completed, []
+                    await self._write_completed(service, completed)
             except StoreError as exc:
-                state.ended += ended
+                state.completed += completed
                 log.info("end of moves not stored", extra={"cause": str(exc)})
-                await asyncio.sleep(TICK)
+                await asyncio.sleep(RECONCILE_INTERVAL_SECONDS)
 
-    async def _write_settled(self, service: str, ended: list[KeyRange]) -> None:
+    async def _write_completed(self, service: str, completed: list[KeyRange]) -> None:
         assignment = self._feed.assignments[service]
         done = []
-        for r in ended:
+        for r in completed:
             current = assignment.find(r.first)
             if current.fence == r.fence and current.former:
                 done.append(KeyRange(r.first, r.last, r.owner, r.life, r.fence))
         if done:
             new = assignment.replace(done, assignment.next_fence)
-            await self._write(service, self._state(service), new)
+            await self._write_assignment(service, self._get_state(service), new)
 
-    def _state(self, service: str) -> _Service:
+    def _get_state(self, service: str) -> _ServiceState:
         state = self._services.get(service)
         if state is None:
-            state = self._services[service] = _Service(now())
+            state = self._services[service] = _ServiceState(now())
         return state
--- a/packages/entry/src/berylstage_entry/holds.py
+++ b/packages/entry/src/berylstage_entry/holds.py
@@ -5,26 +5,26 @@
 # Duration of a grant. The keys of an unresponsive target stay unavailable for this
 # time. It covers three renewals and the election of a new coordinator (store lease of
 # 2 s), so that no key loses its owner when a VM fails.
-HOLD = 3.0
+GRANT_SECONDS = 3.0
 # Share of the longest grant that targets accept, which is used during an outage of the
 # store.
-LONGEST_SHARE = 0.98
+EXTENDED_GRANT_SHARE = 0.98
 # Seconds between two renewals.
-RENEWAL = 0.8
+GRANT_RENEWAL_INTERVAL_SECONDS = 0.8
 # Relative amount by which a target's clock may run slow.
-CLOCK_DRIFT = 0.02
+MAX_CLOCK_DRIFT = 0.02
 # Timeout in seconds of a grant call.
-ORDER_TIMEOUT = 0.4
+GRANT_TIMEOUT_SECONDS = 0.4
 # Seconds added for grants in transit and the clock of this VM.
-MARGIN = 0.2
+SAFETY_MARGIN_SECONDS = 0.2
 
 
 # Seconds for which connections must be refused before a target's process counts as
 # terminated.
-REFUSED_FOR = 0.1
+MIN_REFUSAL_SECONDS = 0.1
 
 
-def longest_hold(bound: float) -> float:
+def extended_grant_seconds(bound: float) -> float:
     """Return the duration of a grant that is to outlast an outage of the store.
 
     Parameters
@@ -32,17 +32,17 @@
     bound : float
         Longest grant in seconds that targets accept.
     """
-    return max(HOLD, LONGEST_SHARE * bound)
+    return max(GRANT_SECONDS, EXTENDED_GRANT_SHARE * bound)
 
 
-def lapse_of(ordered: float, hold: float) -> float:
+def compute_expiry(sent_at: float, seconds: float) -> float:
     """Return the time by which a grant has expired.
 
     Parameters
     ----------
-    ordered : float
+    sent_at : float
         Monotonic time in seconds at which the grant is sent.
-    hold : float
+    seconds : float
         Duration of the grant in seconds.
 
     Returns
@@ -50,66 +50,79 @@
     float
         Monotonic time in seconds.
     """
-    return ordered + ORDER_TIMEOUT + hold * (1 + CLOCK_DRIFT) + MARGIN
+    return (
+        sent_at
+        + GRANT_TIMEOUT_SECONDS
+        + seconds * (1 + MAX_CLOCK_DRIFT)
+        + SAFETY_MARGIN_SECONDS
+    )
 
 
-class Order:
+class SentGrant:
     """A grant that may reach a target.
 
     Parameters
     ----------
     first, last : int
         Keys, both inclusive.
-    lapse : float
+    expires_at : float
         Time by which the grant has expired.
     """
 
-    __slots__ = ("first", "lapse", "last")
+    __slots__ = ("first", "expires_at", "last")
 
-    def __init__(self, first: int, last: int, lapse: float):
+    def __init__(self, first: int, last: int, expires_at: float):
         self.first = first
         self.last = last
-        self.lapse = lapse
+        self.expires_at = expires_at
 
 
-class TargetHold:
+class TargetGrants:
     """Grants to one incarnation of a target, as known to this VM."""
 
-    __slots__ = ("_orders", "_refused_at", "has_ended", "probed_at", "silent_since")
+    __slots__ = (
+        "_grants",
+        "_refusing_since",
+        "is_terminated",
+        "probed_at",
+        "unresponsive_since",
+    )
 
     def __init__(self) -> None:
         # Grants that may still be valid.
-        self._orders: list[Order] = []
+        self._grants: list[SentGrant] = []
         # Time since which it has not answered; 0 if it answers.
-        self.silent_since = 0.0
+        self.unresponsive_since = 0.0
         # Time since which it has refused connections; 0 if it does not.
-        self._refused_at = 0.0
+        self._refusing_since = 0.0
         # Time of the last probe.
         self.probed_at = float("-inf")
         # Whether its process has certainly terminated, so that it holds no keys.
-        self.has_ended = False
+        self.is_terminated = False
 
     @property
-    def lapse(self) -> float:
+    def expires_at(self) -> float:
         """Time by which all grants of this VM have expired."""
-        return max((order.lapse for order in self._orders), default=float("-inf"))
+        return max((grant.expires_at for grant in self._grants), default=float("-inf"))
 
-    def ordered(self, now: float, hold: float, first: int, last: int) -> Order:
+    def record_sent(
+        self, now: float, seconds: float, first: int, last: int
+    ) -> SentGrant:
         """Record that a grant is about to be sent."""
-        order = Order(first, last, lapse_of(now, hold))
-        self._orders = [known for known in self._orders if known.lapse > now]
-        self._orders.append(order)
-        return order
+        grant = SentGrant(first, last, compute_expiry(now, seconds))
+        self._grants = [known for known in self._grants if known.expires_at > now]
+        self._grants.append(grant)
+        return grant
 
-    def unsent(self, order: Order) -> None:
+    def record_unsent(self, grant: SentGrant) -> None:
         """Record that a grant was never sent, so that it has no effect.
 
         No connection to an unreachable target can be established. If such grants
         counted, each of them would delay the move of the target's keys.
         """
-        self._orders = [known for known in self._orders if known is not order]
+        self._grants = [known for known in self._grants if known is not grant]
 
-    def lapse_on(self, first: int, last: int) -> float:
+    def expiry_for(self, first: int, last: int) -> float:
         """Return when all grants of some keys by this VM have expired.
 
         A target's other keys are renewed while some of its keys move, so there is no
@@ -128,19 +141,19 @@
         float
             Monotonic time in seconds; minus infinity if there are no such grants.
         """
-        ends = [
-            order.lapse
-            for order in self._orders
-            if order.first <= last and order.last >= first
+        expiries = [
+            grant.expires_at
+            for grant in self._grants
+            if grant.first <= last and grant.last >= first
         ]
-        return max(ends, default=float("-inf"))
+        return max(expiries, default=float("-inf"))
 
-    def answered(self) -> None:
+    def record_answer(self) -> None:
         """Record an answer."""
-        self.silent_since = 0.0
-        self._refused_at = 0.0
+        self.unresponsive_since = 0.0
+        self._refusing_since = 0.0
 
-    def refused(self, now: float) -> None:
+    def record_refusal(self, now: float) -> None:
         """Record that the target's port refused a connection.
 
         The process has terminated, and one started in its place holds no keys, so its
@@ -148,23 +161,23 @@
         stray packet does not decide. A target at its connection limit does not count:
         it accepts connections before it resets them.
         """
-        self.failed(now)
-        if not self._refused_at:
-            self._refused_at = now
-        elif now - self._refused_at >= REFUSED_FOR:
-            self.ended(now)
+        self.record_failure(now)
+        if not self._refusing_since:
+            self._refusing_since = now
+        elif now - self._refusing_since >= MIN_REFUSAL_SECONDS:
+            self.record_termination(now)
 
-    def ended(self, now: float) -> None:
+    def record_termination(self, now: float) -> None:
         """Record that the target's process has terminated."""
-        self.has_ended = True
+        self.is_terminated = True
         self.probed_at = now
-        self.silent_since = self.silent_since or now
+        self.unresponsive_since = self.unresponsive_since or now
 
-    def came_back(self) -> None:
+    def record_recovery(self) -> None:
         """Record that a process is alive that was considered terminated."""
-        self.has_ended = False
-        self.answered()
+        self.is_terminated = False
+        self.record_answer()
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Record that a grant was not answered; the target may still apply it later."""
-        self.silent_since = self.silent_since or now
+        self.unresponsive_since = self.unresponsive_since or now
--- a/packages/entry/src/berylstage_entry/office.py
+++ b/packages/entry/src/berylstage_entry/office.py
@@ -22,7 +22,7 @@
 
 from berylstage_entry.clock import now
 from berylstage_entry.errors import Conflict, LeaseEnded, StoreError, StoreSilent
-from berylstage_entry.holds import HOLD, lapse_of, longest_hold
+from berylstage_entry.holds import GRANT_SECONDS, compute_expiry, extended_grant_seconds
 from berylstage_entry.keys import DUTY_KEY, OWN_PREFIX
 from berylstage_entry.store import Condition, Item, Write
 
@@ -42,30 +42,30 @@
 CONTACT_PATH = "/store/contact"
 # Lease of the coordinator in the store. If its VM fails, another takes over within this
 # time, which is shorter than the duration of a grant.
-LEASE = 2.0
+LEASE_SECONDS = 2.0
 # Seconds between two checks whether there is a coordinator.
-LOOK = 0.1
+VACANCY_CHECK_SECONDS = 0.1
 # Seconds between two renewals of the lease.
-KEEP = 0.4
+LEASE_RENEWAL_INTERVAL_SECONDS = 0.4
 # Timeout of one renewal: ten times what the store takes when it is slow by a factor of
 # ten. After a failed renewal there is time to query the other VMs and to extend grants.
-KEEP_TIMEOUT = 0.45
+LEASE_RENEWAL_TIMEOUT_SECONDS = 0.45
 # Seconds of unbroken contact with the store that prove that the store was available
 # while the last coordinator's lease expired: the lease (2 s), up to 1.2 s until a VM
 # that does not watch the coordinator's key reads that it is gone, 0.1 s of jitter,
 # 0.6 s in which a small VM defers to others, two calls to a store that is 60 times
 # slower than usual (0.5 s), and the query itself (0.5 s). A VM that had lost the store
 # when grants were extended must not qualify by then.
-STEADY = 5.5
+MIN_CONTACT_SECONDS = 5.5
 # Upper bound of the random delay before a VM tries to become coordinator, so that they
 # do not all try at once.
-SCATTER = 0.1
+MAX_JITTER_SECONDS = 0.1
 # Seconds that a coordinator stays before it yields to a better VM. By then the VMs that
 # are starting are known, and the previous coordinator's grants have expired.
-SHORTEST_TERM = 5.0
+MIN_TERM_SECONDS = 5.0
 # Seconds between two queries to the previous coordinator, and their number.
-ASK_AGAIN = 0.3
-ASKED = 3
+QUERY_INTERVAL_SECONDS = 0.3
+QUERY_ATTEMPTS = 3
 
 log = Logger(__name__)
 
@@ -141,31 +141,31 @@
         # The lease acquired last, until it is revoked. The store may have bound the
         # coordinator's key to it although this VM does not know that the write
         # succeeded.
-        self._taken_lease = 0
-        self._confirmed = float("-inf")
-        self._duty_revision = 0
+        self._acquired_lease = 0
+        self._lease_renewed_at = float("-inf")
+        self._key_revision = 0
         self._task: asyncio.Task | None = None
-        self._asking: asyncio.Task | None = None
-        self._prolonging: asyncio.Task | None = None
+        self._takeover_task: asyncio.Task | None = None
+        self._extension_task: asyncio.Task | None = None
         self._stopping = False
         # Set when the coordinator's key has changed, and while this VM has the lease.
         self._key_changed = asyncio.Event()
-        self._leased = asyncio.Event()
-        feed.listeners.append(self._heard)
+        self._has_lease = asyncio.Event()
+        feed.listeners.append(self._on_store_change)
         self.term = 0
         # Whether this very process was also the coordinator of the previous term.
-        self.follows_itself = False
+        self.succeeds_itself = False
         # Called with the state of the previous coordinator. Returns the seconds until
         # all its grants have expired, or None if the state cannot be parsed.
         self.inherit: Callable[[bytes], float | None] = lambda body: None
         # Time by which all grants of other VMs have expired, as far as known.
-        self.others_lapse = float("inf")
+        self.other_grants_expire_at = float("inf")
         # Start of the term.
-        self._taken = float("-inf")
+        self._term_start = float("-inf")
         # Returns the address of a VM that should be coordinator instead, or "".
         self.better: Callable[[], str] = lambda: ""
         # Whether grants last long enough to outlast an outage of the store.
-        self.prolongs = False
+        self.extends_grants = False
 
     def start(self) -> None:
         """Start to take part in the election."""
@@ -177,15 +177,19 @@
         Callers must check this right before each grant, because the process may have
         been suspended since the clock was read last.
         """
-        return bool(self._lease) and now() < self._confirmed + LEASE
+        return bool(self._lease) and now() < self._lease_renewed_at + LEASE_SECONDS
 
     async def wait_for_lease(self) -> None:
         """Wait until this VM has the coordinator lease, even if it may not grant."""
-        await self._leased.wait()
+        await self._has_lease.wait()
 
     def hold(self) -> float:
         """Return the duration in seconds of a grant made now."""
-        return longest_hold(self._cfg.bounds.longest_hold) if self.prolongs else HOLD
+        return (
+            extended_grant_seconds(self._cfg.bounds.longest_hold)
+            if self.extends_grants
+            else GRANT_SECONDS
+        )
 
     def may_hand_on(self, body: bytes) -> bool:
         """Tell whether this process was the coordinator of a term and no longer is.
@@ -202,9 +206,9 @@
         """
         return body == str(self.term).encode() and not self.holds()
 
-    def condition(self) -> Condition:
+    def write_condition(self) -> Condition:
         """Return the condition under which this VM may write assignments."""
-        return Condition(DUTY_KEY, self._duty_revision)
+        return Condition(DUTY_KEY, self._key_revision)
 
     def holder_address(self) -> str:
         """Return the coordinator's address for other VMs, or "" if it is unknown."""
@@ -218,18 +222,18 @@
         self._stopping = True
         if self._task is not None:
             self._task.cancel()
-        await self._give_back("stopping")
+        await self._give_up_lease("stopping")
 
-    async def _give_back(self, cause: str) -> None:
-        has_duty, revision = bool(self._lease), self._duty_revision
+    async def _give_up_lease(self, cause: str) -> None:
+        was_coordinator, revision = bool(self._lease), self._key_revision
         self._step_down(cause)
-        if not self._taken_lease:
+        if not self._acquired_lease:
             return
         try:
-            if has_duty:
+            if was_coordinator:
                 conditions = [Condition(DUTY_KEY, revision)]
                 await self._store.write(conditions, [], [DUTY_KEY])
-            await self._store.end_lease(self._taken_lease)
+            await self._store.end_lease(self._acquired_lease)
         except LeaseEnded:
             log.debug("the coordinator's lease has already expired")
         except StoreError as exc:
@@ -238,27 +242,29 @@
                 extra={"cause": str(exc)},
             )
             return
-        self._taken_lease = 0
+        self._acquired_lease = 0
 
     async def _run(self) -> None:
         while not self._stopping:
             try:
                 if self._lease:
-                    await asyncio.sleep(KEEP)
-                    await self._keep()
-                elif self._is_vacant():
-                    wait = self._rng.uniform(0, SCATTER) + wait_of(self._cfg.power)
+                    await asyncio.sleep(LEASE_RENEWAL_INTERVAL_SECONDS)
+                    await self._renew_lease()
+                elif self._lacks_coordinator():
+                    wait = self._rng.uniform(0, MAX_JITTER_SECONDS) + wait_of(
+                        self._cfg.power
+                    )
                     await asyncio.sleep(wait)
-                    await self._take()
+                    await self._run_for_coordinator()
                 else:
-                    await self._wait_for_vacancy()
+                    await self._wait_for_key_change()
             except StoreError as exc:
                 log.info(
                     "election: no answer from the store", extra={"cause": str(exc)}
                 )
                 await asyncio.sleep(0.2)
 
-    async def _wait_for_vacancy(self) -> None:
+    async def _wait_for_key_change(self) -> None:
         """Wait until it is worthwhile to check again whether there is a coordinator.
 
         Hundreds of VMs take part in the election. As long as the key names a
@@ -269,39 +275,39 @@
             await self._key_changed.wait()
         else:
             # There is no coordinator, and this VM cannot reach the store.
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(VACANCY_CHECK_SECONDS)
 
-    def _heard(self, what: str) -> None:
-        if what in (DUTY_KEY, "read"):
+    def _on_store_change(self, changed: str) -> None:
+        if changed in (DUTY_KEY, "read"):
             self._key_changed.set()
 
-    def _is_vacant(self) -> bool:
+    def _lacks_coordinator(self) -> bool:
         item = self._feed.own.get(DUTY_KEY)
-        vacant = item is None or item.value is None
+        no_coordinator = item is None or item.value is None
         # Only wait until the store answers again: extended grants may expire 1.3 s
         # after the store is back, and 3 s more left all keys without an owner.
-        return vacant and self._feed.is_in_touch()
+        return no_coordinator and self._feed.is_in_touch()
 
-    async def _keep(self) -> None:
+    async def _renew_lease(self) -> None:
         item = self._feed.own.get(DUTY_KEY)
-        if item is not None and item.revision > self._duty_revision:
+        if item is not None and item.revision > self._key_revision:
             self._step_down("another VM has it")
             return
         sent = now()
         try:
-            async with asyncio.timeout(KEEP_TIMEOUT):
+            async with asyncio.timeout(LEASE_RENEWAL_TIMEOUT_SECONDS):
                 await self._store.keep_lease(self._lease)
-            self._confirmed = sent
-            self.prolongs = False
-            await self._leave_to_better()
+            self._lease_renewed_at = sent
+            self.extends_grants = False
+            await self._yield_to_preferred()
         except LeaseEnded:
             self._step_down("lease ended")
         except (StoreError, TimeoutError) as exc:
-            if self._prolonging is None or self._prolonging.done():
-                self._prolonging = asyncio.create_task(self._prolong())
+            if self._extension_task is None or self._extension_task.done():
+                self._extension_task = asyncio.create_task(self._extend_grants())
             raise StoreSilent(f"coordinator's lease not renewed: {exc}") from exc
 
-    async def _leave_to_better(self) -> None:
+    async def _yield_to_preferred(self) -> None:
         """Step down if a VM with much more capacity is alive.
 
         A small VM may have become coordinator while larger ones were absent or
@@ -309,108 +315,118 @@
         and moving their keys adds to the load.
         """
         address = self.better()
-        if not address or now() - self._taken < SHORTEST_TERM:
+        if not address or now() - self._term_start < MIN_TERM_SECONDS:
             return
         # A VM's record remains for the duration of its lease after the VM has failed.
         answer = await self._peers.ask(address, CONTACT_PATH)
         if answer is None or float(answer) <= 0:
             return
-        await self._give_back("a VM with more room for it is there")
-        await asyncio.sleep(LEASE)
+        await self._give_up_lease("a VM with more room for it is there")
+        await asyncio.sleep(LEASE_SECONDS)
 
-    async def _prolong(self) -> None:
+    async def _extend_grants(self) -> None:
         """Extend grants if other VMs have lost the store as well."""
-        if self.prolongs or not self.holds():
+        if self.extends_grants or not self.holds():
             return
         answers = await self._peers.ask_all(CONTACT_PATH)
-        told = [answer for answer in answers if answer is not None]
-        lost = [answer for answer in told if float(answer) <= 0]
+        reported = [answer for answer in answers if answer is not None]
+        lost = [answer for answer in reported if float(answer) <= 0]
         # At least half of all VMs must have lost the store, and none may reach it. No
         # VM that becomes coordinator then finds that half of them had unbroken contact.
-        if 2 * len(lost) >= len(answers) and len(lost) == len(told) and self.holds():
-            self.prolongs = True
+        if (
+            2 * len(lost) >= len(answers)
+            and len(lost) == len(reported)
+            and self.holds()
+        ):
+            self.extends_grants = True
         log.info(
             "store lost by the holder of the duty",
             extra={
-                "prolongs": self.prolongs,
+                "prolongs": self.extends_grants,
                 "asked": len(answers),
-                "told": len(told),
+                "told": len(reported),
                 "lost": len(lost),
             },
         )
 
-    async def _take(self) -> None:
-        if not self._is_vacant():
+    async def _run_for_coordinator(self) -> None:
+        if not self._lacks_coordinator():
             return
         sent = now()
-        lease = await self._store.take_lease(max(LEASE, self._cfg.shortest_lease))
-        self._taken_lease = lease
+        lease = await self._store.take_lease(
+            max(LEASE_SECONDS, self._cfg.shortest_lease)
+        )
+        self._acquired_lease = lease
         old = self._feed.own.get(TERM_KEY)
-        before = _Term.decode(old.value if old else None)
-        mine = _Term(before.number + 1, self._cfg.vm, self._cfg.control, False)
+        previous = _Term.decode(old.value if old else None)
+        current = _Term(previous.number + 1, self._cfg.vm, self._cfg.control, False)
         conditions = [
             Condition(DUTY_KEY, 0),
             Condition(TERM_KEY, old.revision if old else 0),
         ]
-        value = mine.encode()
+        value = current.encode()
         writes = [Write(DUTY_KEY, value, lease), Write(TERM_KEY, value)]
         try:
             revision = await self._store.write(conditions, writes)
         except (Conflict, LeaseEnded):
             await asyncio.sleep(0.1)
             return
-        self.follows_itself = self.term == before.number and self.term > 0
-        self._lease, self._confirmed, self._duty_revision = lease, sent, revision
-        self._leased.set()
-        self._taken = sent
-        self.term = mine.number
-        self.prolongs = False
+        self.succeeds_itself = self.term == previous.number and self.term > 0
+        self._lease, self._lease_renewed_at, self._key_revision = lease, sent, revision
+        self._has_lease.set()
+        self._term_start = sent
+        self.term = current.number
+        self.extends_grants = False
         self._feed.take_written(Item(DUTY_KEY, value, revision))
         self._feed.take_written(Item(TERM_KEY, value, revision))
-        self.others_lapse = now()
-        if before.control and not (self.follows_itself and before.settled):
-            self.others_lapse = lapse_of(now(), self._longest())
+        self.other_grants_expire_at = now()
+        if previous.control and not (self.succeeds_itself and previous.settled):
+            self.other_grants_expire_at = compute_expiry(
+                now(), self._extended_grant_seconds()
+            )
         log.info(
             "duty taken",
             extra={
                 "term": self.term,
-                "former": before.control,
-                "settled": before.settled,
+                "former": previous.control,
+                "settled": previous.settled,
                 "revision": revision,
             },
         )
-        self._asking = asyncio.create_task(self._learn_of(before, mine))
+        self._takeover_task = asyncio.create_task(
+            self._await_earlier_grants(previous, current)
+        )
 
-    def _longest(self) -> float:
-        return longest_hold(self._cfg.bounds.longest_hold)
+    def _extended_grant_seconds(self) -> float:
+        return extended_grant_seconds(self._cfg.bounds.longest_hold)
 
-    async def _learn_of(self, before: _Term, mine: _Term) -> None:
+    async def _await_earlier_grants(self, previous: _Term, current: _Term) -> None:
         """Determine when the grants of earlier terms expire, then store that fact."""
-        began = now()
-        if before.control and not self.follows_itself:
-            steady, told = await asyncio.gather(
-                self._was_steady(before.control), self._hand_on(before)
+        start_time = now()
+        if previous.control and not self.succeeds_itself:
+            steady, reported = await asyncio.gather(
+                self._had_contact(previous.control), self._query_predecessor(previous)
             )
-            lapses = [self.others_lapse]
-            if before.settled and steady:
-                lapses.append(lapse_of(began, HOLD))
-            if before.settled and told is not None:
-                lapses.append(now() + told)
-            self.others_lapse = min(lapses)
+            expiries = [self.other_grants_expire_at]
+            if previous.settled and steady:
+                expiries.append(compute_expiry(start_time, GRANT_SECONDS))
+            if previous.settled and reported is not None:
+                expiries.append(now() + reported)
+            self.other_grants_expire_at = min(expiries)
             log.info(
                 "former holds",
                 extra={
                     "steady": steady,
-                    "handed_on": told is not None,
-                    "lapse_in": round(self.others_lapse - now(), 2),
+                    "handed_on": reported is not None,
+                    "lapse_in": round(self.other_grants_expire_at - now(), 2),
                 },
             )
-        await asyncio.sleep(max(0.0, self.others_lapse - now()))
-        await self._write_settled(mine)
+        await asyncio.sleep(max(0.0, self.other_grants_expire_at - now()))
+        await self._store_settled(current)
 
-    async def _was_steady(self, former: str) -> bool:
+    async def _had_contact(self, former: str) -> bool:
         """Tell whether most VMs had unbroken contact with the store."""
-        if self._feed.steady() < STEADY:
+        if self._feed.steady() < MIN_CONTACT_SECONDS:
             return False
         # The former coordinator extended grants only if half of the other VMs had lost
         # the store. More than half of them with unbroken contact, this one included,
@@ -419,27 +435,32 @@
         answers = await asyncio.gather(
             *(self._peers.ask(a, CONTACT_PATH) for a in addresses)
         )
-        steady = [a for a in answers if a is not None and float(a) >= STEADY]
+        steady = [
+            a for a in answers if a is not None and float(a) >= MIN_CONTACT_SECONDS
+        ]
         return 2 * (len(steady) + 1) > len(answers) + 1
 
-    async def _hand_on(self, before: _Term) -> float | None:
+    async def _query_predecessor(self, previous: _Term) -> float | None:
         """Return the seconds until the former coordinator's grants expire."""
-        for _ in range(ASKED):
-            term = str(before.number).encode()
-            answer = await self._peers.ask(before.control, HAND_ON_PATH, term)
+        for _ in range(QUERY_ATTEMPTS):
+            term = str(previous.number).encode()
+            answer = await self._peers.ask(previous.control, HAND_ON_PATH, term)
             if answer:
                 return self.inherit(answer)
-            await asyncio.sleep(ASK_AGAIN)
+            await asyncio.sleep(QUERY_INTERVAL_SECONDS)
         return None
 
-    async def _write_settled(self, mine: _Term) -> None:
+    async def _store_settled(self, current: _Term) -> None:
         """Store that all grants of earlier terms have expired."""
-        mine.settled = True
-        while self._lease and self.term == mine.number:
+        current.settled = True
+        while self._lease and self.term == current.number:
             try:
                 item = self._feed.own[TERM_KEY]
-                conditions = [self.condition(), Condition(TERM_KEY, item.revision)]
-                await self._store.write(conditions, [Write(TERM_KEY, mine.encode())])
+                conditions = [
+                    self.write_condition(),
+                    Condition(TERM_KEY, item.revision),
+                ]
+                await self._store.write(conditions, [Write(TERM_KEY, current.encode())])
                 return
             except Conflict:
                 # The answer to an earlier attempt was lost, or another VM is
@@ -447,12 +468,12 @@
                 return
             except StoreError as exc:
                 log.info("term not stored", extra={"cause": str(exc)})
-                await asyncio.sleep(ASK_AGAIN)
+                await asyncio.sleep(QUERY_INTERVAL_SECONDS)
 
-    def _step_down(self, why: str) -> None:
+    def _step_down(self, reason: str) -> None:
         if self._lease:
-            log.info("duty given up", extra={"why": why, "term": self.term})
+            log.info("duty given up", extra={"why": reason, "term": self.term})
         self._lease = 0
-        self._leased.clear()
-        self.prolongs = False
-        self.others_lapse = float("inf")
+        self._has_lease.clear()
+        self.extends_grants = False
+        self.other_grants_expire_at = float("inf")
--- a/packages/entry/src/berylstage_entry/renewals.py
+++ b/packages/entry/src/berylstage_entry/renewals.py
@@ -10,7 +10,11 @@
 
 from berylstage_entry.clock import now
 from berylstage_entry.errors import TargetEnded
-from berylstage_entry.holds import ORDER_TIMEOUT, RENEWAL, TargetHold
+from berylstage_entry.holds import (
+    GRANT_RENEWAL_INTERVAL_SECONDS,
+    GRANT_TIMEOUT_SECONDS,
+    TargetGrants,
+)
 from berylstage_entry.wire import GrantOrder
 
 if TYPE_CHECKING:
@@ -22,25 +26,25 @@
     from berylstage_entry.wire import TargetWire
 
 # Seconds between two checks whether an owner was assigned new keys.
-TICK = 0.05
+CHECK_INTERVAL_SECONDS = 0.05
 # Seconds between two probes of an unresponsive target.
-PROBE_PERIOD = 0.3
+PROBE_INTERVAL_SECONDS = 0.3
 # Seconds between two probes of a target that is considered terminated but still
 # reports. The record of a target that has really terminated is removed after three
 # reports, so it is probed once.
-ENDED_PROBE_PERIOD = 2.0
+TERMINATED_PROBE_INTERVAL_SECONDS = 2.0
 
 log = Logger(__name__)
 
 
-def note_fault(task: asyncio.Task) -> None:
+def log_task_failure(task: asyncio.Task) -> None:
     """Log the exception of a task that should not have failed."""
     if not task.cancelled() and task.exception() is not None:
         exc = task.exception()
         log.error("a task failed", extra={"fault": f"{type(exc).__name__}: {exc}"})
 
 
-def _mark(r: KeyRange) -> tuple[int, int, int]:
+def _range_id(r: KeyRange) -> tuple[int, int, int]:
     return r.first, r.last, r.fence
 
 
@@ -62,120 +66,133 @@
         self._directory = directory
         self._office = office
         self._wire = wire
-        self._holds: dict[tuple[str, int], TargetHold] = {}
-        self._keepers: dict[tuple[str, int], asyncio.Task] = {}
+        self._target_grants: dict[tuple[str, int], TargetGrants] = {}
+        self._renewal_tasks: dict[tuple[str, int], asyncio.Task] = {}
         # Ranges that are not being moved, by owner, of the last assignment of each
         # service.
-        self._settled: dict[
+        self._stable_by_owner: dict[
             str, tuple[Assignment, dict[tuple[str, int], list[KeyRange]]]
         ] = {}
         # Probes of targets that are considered terminated.
-        self._questions: dict[tuple[str, int], asyncio.Task] = {}
+        self._probe_tasks: dict[tuple[str, int], asyncio.Task] = {}
         # Targets that were granted keys, kept for when their records are removed.
-        self._targets_seen: dict[tuple[str, int], Target] = {}
+        self._granted_targets: dict[tuple[str, int], Target] = {}
 
     def __len__(self) -> int:
         """Return the number of targets whose grants are renewed."""
-        return len(self._keepers)
+        return len(self._renewal_tasks)
 
-    def drop(self) -> None:
+    def stop_renewing(self) -> None:
         """Stop renewing grants."""
-        for task in [*self._keepers.values(), *self._questions.values()]:
+        for task in [*self._renewal_tasks.values(), *self._probe_tasks.values()]:
             task.cancel()
-        self._keepers.clear()
-        self._questions.clear()
+        self._renewal_tasks.clear()
+        self._probe_tasks.clear()
 
-    def lapse_in(self) -> float:
+    def seconds_until_expiry(self) -> float:
         """Return the seconds until all grants of this VM have expired."""
-        return max([0.0, *(hold.lapse - now() for hold in self._holds.values())])
-
-    def is_silent(self, identity: tuple[str, int]) -> bool:
+        return max(
+            [
+                0.0,
+                *(grants.expires_at - now() for grants in self._target_grants.values()),
+            ]
+        )
+
+    def is_unresponsive(self, identity: tuple[str, int]) -> bool:
         """Tell whether a target did not answer the last call."""
-        hold = self._holds.get(identity)
-        return hold is not None and bool(hold.silent_since)
+        grants = self._target_grants.get(identity)
+        return grants is not None and bool(grants.unresponsive_since)
 
-    def may_hold(self, identity: tuple[str, int]) -> bool:
+    def may_hold_keys(self, identity: tuple[str, int]) -> bool:
         """Tell whether an unresponsive target may still hold keys by any VM's grant."""
-        hold = self._holds.get(identity)
-        if hold is not None and hold.has_ended:
+        grants = self._target_grants.get(identity)
+        if grants is not None and grants.is_terminated:
             return False
-        lapse = hold.lapse if hold is not None else float("-inf")
-        return now() < max(lapse, self._office.others_lapse)
+        expires_at = grants.expires_at if grants is not None else float("-inf")
+        return now() < max(expires_at, self._office.other_grants_expire_at)
 
     async def grant(self, target: Target, r: KeyRange, handover: str = "") -> bool:
         """Grant one range and tell whether the target accepted it."""
-        hold = self.hold(target.identity)
-        order = GrantOrder(r.first, r.last, r.fence, self._office.hold(), handover)
+        grants = self.get_grants(target.identity)
+        request = GrantOrder(r.first, r.last, r.fence, self._office.hold(), handover)
         if not self._office.holds():
             return False
-        noted = hold.ordered(now(), order.hold, r.first, r.last)
+        sent = grants.record_sent(now(), request.hold, r.first, r.last)
         try:
-            taken = await self._wire.grant(target, order, ORDER_TIMEOUT)
+            accepted = await self._wire.grant(target, request, GRANT_TIMEOUT_SECONDS)
         except CallFailed as exc:
             if isinstance(exc, NeverSent):
-                hold.unsent(noted)
+                grants.record_unsent(sent)
             if isinstance(exc, NothingListens):
-                self._refused(target)
-            if not hold.silent_since:
+                self._record_refusal(target)
+            if not grants.unresponsive_since:
                 log.info(
                     "grant not answered",
                     extra={"target": target.name, "first": r.first, "cause": str(exc)},
                 )
-            hold.failed(now())
+            grants.record_failure(now())
             return False
         except TargetEnded as exc:
-            hold.ended(now())
+            grants.record_termination(now())
             log.info(
                 "target has terminated",
                 extra={"target": target.name, "cause": str(exc)},
             )
             return False
-        hold.answered()
-        if not taken:
+        grants.record_answer()
+        if not accepted:
             log.warning(
                 "grant rejected: the target has seen a higher fence",
                 extra={"target": target.name, "first": r.first, "fence": r.fence},
             )
-        return taken
+        return accepted
 
-    def keep(self, assignment: Assignment) -> None:
+    def start_renewals(self, assignment: Assignment) -> None:
         """Start a renewal task for each owner that has none."""
-        for identity, task in list(self._keepers.items()):
+        for identity, task in list(self._renewal_tasks.items()):
             if task.done():
-                note_fault(task)
-                del self._keepers[identity]
+                log_task_failure(task)
+                del self._renewal_tasks[identity]
         for r in assignment.ranges:
             identity = (r.owner, r.life)
-            if not r.owner or identity in self._keepers:
+            if not r.owner or identity in self._renewal_tasks:
                 continue
-            if identity in self._holds and self._holds[identity].has_ended:
+            if (
+                identity in self._target_grants
+                and self._target_grants[identity].is_terminated
+            ):
                 continue
             known = self._directory.known.get(r.owner)
             if known is not None and known.target.life == r.life:
                 task = asyncio.create_task(self._renew(known.target))
-                self._keepers[identity] = task
+                self._renewal_tasks[identity] = task
 
-    def ask_ended(self) -> None:
+    def probe_terminated(self) -> None:
         """Probe targets that are considered terminated but still report.
 
         A port may refuse connections for a moment although its process is alive.
         Without this, such a target would never be assigned keys again; if this happened
         to all targets of a service, none of its keys would have an owner.
         """
-        for identity, hold in self._holds.items():
-            if not hold.has_ended or now() - hold.probed_at < ENDED_PROBE_PERIOD:
+        for identity, grants in self._target_grants.items():
+            if (
+                not grants.is_terminated
+                or now() - grants.probed_at < TERMINATED_PROBE_INTERVAL_SECONDS
+            ):
                 continue
             known = self._directory.known.get(identity[0])
             if known is None or known.target.life != identity[1]:
                 continue
-            hold.probed_at = now()
-            self._questions[identity] = asyncio.create_task(
-                self._ask_whether_back(known.target, hold)
+            grants.probed_at = now()
+            self._probe_tasks[identity] = asyncio.create_task(
+                self._probe_terminated_target(known.target, grants)
             )
 
-    async def _ask_whether_back(self, target: Target, hold: TargetHold) -> None:
-        if await self._answers(target):
-            hold.came_back()
+    async def _probe_terminated_target(
+        self, target: Target, grants: TargetGrants
+    ) -> None:
+        if await self._probe(target):
+            grants.record_recovery()
             log.info(
                 "target is alive after it was considered terminated",
                 extra={"target": target.name},
@@ -183,31 +200,32 @@
 
     async def _renew(self, target: Target) -> None:
         """Renew a target's grants until it owns no keys."""
-        hold = self.hold(target.identity)
-        self._targets_seen[target.identity] = target
+        grants = self.get_grants(target.identity)
+        self._granted_targets[target.identity] = target
         granted: set[tuple[int, int, int]] = set()
-        renewed_at, prolonged = float("-inf"), False
-        while self._office.holds() and not hold.has_ended:
-            if not self._owned(target):
+        renewed_at, were_extended = float("-inf"), False
+        while self._office.holds() and not grants.is_terminated:
+            if not self._stable_ranges(target):
                 return
-            if not await self.is_back(target):
-                await asyncio.sleep(TICK)
+            if not await self.is_responsive(target):
+                await asyncio.sleep(CHECK_INTERVAL_SECONDS)
                 continue
-            mine = self._owned(target)
+            owned = self._stable_ranges(target)
             moment = now()
             is_due = (
-                moment - renewed_at >= RENEWAL or prolonged != self._office.prolongs
+                moment - renewed_at >= GRANT_RENEWAL_INTERVAL_SECONDS
+                or were_extended != self._office.extends_grants
             )
             # New ranges are granted at once and alone: with a few moves per second,
             # three in four of all grants renewed ranges that had just been renewed.
-            due = mine if is_due else [r for r in mine if _mark(r) not in granted]
+            due = owned if is_due else [r for r in owned if _range_id(r) not in granted]
             if is_due:
-                renewed_at, prolonged = moment, self._office.prolongs
-            await asyncio.gather(*(self._grant_owned(target, r) for r in due))
-            granted = {_mark(r) for r in mine}
-            await asyncio.sleep(TICK)
+                renewed_at, were_extended = moment, self._office.extends_grants
+            await asyncio.gather(*(self._renew_range(target, r) for r in due))
+            granted = {_range_id(r) for r in owned}
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
-    async def _grant_owned(self, target: Target, r: KeyRange) -> None:
+    async def _renew_range(self, target: Target, r: KeyRange) -> None:
         """Renew one range unless it has started to move since it became due.
 
         If the owner was unresponsive, a move of its keys completes at once with a grant
@@ -215,71 +233,71 @@
         previous owner, which has not seen a fence that rejects it. Therefore the
         assignment is checked here, with no await between the check and the call.
         """
-        if any(mine is r for mine in self._owned(target)):
+        if any(owned is r for owned in self._stable_ranges(target)):
             await self.grant(target, r)
 
-    async def is_back(self, target: Target) -> bool:
+    async def is_responsive(self, target: Target) -> bool:
         """Tell whether a target answers, as known or by a probe.
 
         Calls to an unresponsive target wait for their timeouts and occupy its
         connections, of which there are few; an occasional probe is sufficient.
         """
-        hold = self.hold(target.identity)
-        if not hold.silent_since:
+        grants = self.get_grants(target.identity)
+        if not grants.unresponsive_since:
             return True
-        if now() - hold.probed_at < PROBE_PERIOD:
+        if now() - grants.probed_at < PROBE_INTERVAL_SECONDS:
             return False
-        hold.probed_at = now() + ORDER_TIMEOUT
-        answers = await self._answers(target)
-        hold.probed_at = now()
+        grants.probed_at = now() + GRANT_TIMEOUT_SECONDS
+        answers = await self._probe(target)
+        grants.probed_at = now()
         return answers
 
-    async def _answers(self, target: Target) -> bool:
+    async def _probe(self, target: Target) -> bool:
         """Probe a target and tell whether it answered."""
         cfg = self._directory.configuration
         service = cfg.services.get(target.service) if cfg is not None else None
         if service is None:
             return True
         try:
-            await self._wire.probe(target, service.health_path, ORDER_TIMEOUT)
+            await self._wire.probe(target, service.health_path, GRANT_TIMEOUT_SECONDS)
         except (CallFailed, TargetEnded) as exc:
             if isinstance(exc, NothingListens):
-                self._refused(target)
+                self._record_refusal(target)
             log.debug("target still unresponsive", extra={"cause": str(exc)})
             return False
         return True
 
-    def _refused(self, target: Target) -> None:
-        hold = self.hold(target.identity)
-        was_over = hold.has_ended
-        hold.refused(now())
-        if hold.has_ended and not was_over:
+    def _record_refusal(self, target: Target) -> None:
+        grants = self.get_grants(target.identity)
+        was_terminated = grants.is_terminated
+        grants.record_refusal(now())
+        if grants.is_terminated and not was_terminated:
             log.info(
                 "target has terminated: connection refused",
                 extra={"target": target.name},
             )
 
-    def _owned(self, target: Target) -> list[KeyRange]:
+    def _stable_ranges(self, target: Target) -> list[KeyRange]:
         """Return the ranges of a target that are not being moved."""
         assignment = self._feed.assignments.get(target.service)
         if assignment is None:
             return []
-        known = self._settled.get(target.service)
+        known = self._stable_by_owner.get(target.service)
         if known is None or known[0] is not assignment:
-            settled: dict[tuple[str, int], list[KeyRange]] = {}
+            by_owner: dict[tuple[str, int], list[KeyRange]] = {}
             for r in assignment.ranges:
                 if not r.former:
-                    settled.setdefault((r.owner, r.life), []).append(r)
-            known = self._settled[target.service] = (assignment, settled)
+                    by_owner.setdefault((r.owner, r.life), []).append(r)
+            known = self._stable_by_owner[target.service] = (assignment, by_owner)
         return known[1].get(target.identity, [])
 
-    def hold(self, identity: tuple[str, int]) -> TargetHold:
+    def get_grants(self, identity: tuple[str, int]) -> TargetGrants:
         """Return what is known of the grants of one incarnation of a target."""
-        hold = self._holds.get(identity)
-        if hold is None:
-            hold = self._holds[identity] = TargetHold()
-        return hold
+        grants = self._target_grants.get(identity)
+        if grants is None:
+            grants = self._target_grants[identity] = TargetGrants()
+        return grants
 
-    def past(self, identity: tuple[str, int]) -> Target | None:
+    def get_granted_target(self, identity: tuple[str, int]) -> Target | None:
         """Return a target that was granted keys, even if its record was removed."""
-        return self._targets_seen.get(identity)
+        return self._granted_targets.get(identity)
--- a/packages/entry/tests/test_granting.py
+++ b/packages/entry/tests/test_granting.py
@@ -10,7 +10,7 @@
 from berylstage_entry.clock import now
 from berylstage_entry.directory import Directory
 from berylstage_entry.feed import Feed
-from berylstage_entry.granting import MANY_RANGES, Granting
+from berylstage_entry.granting import MAX_RANGES_PER_TARGET, Granting
 from berylstage_entry.office import CONTACT_PATH, Office
 from fakes import (
     FencedTargets,
@@ -446,7 +446,7 @@
             assert not world.faults()
             # As many ranges as two groups of hot keys leave, besides those that are
             # never merged.
-            assert max(counts) <= MANY_RANGES * 3 + 2 * 4 * 9
+            assert max(counts) <= MAX_RANGES_PER_TARGET * 3 + 2 * 4 * 9
             assert max(counts[6:]) <= 1.5 * max(counts[:6])
 
     def test_write_in_doubt_does_not_hold_up_a_move_of_other_keys(self, store):
@@ -587,7 +587,7 @@
             near.away = True
             end = now() + 4.0
             while now() < end:
-                assert not first.office.prolongs
+                assert not first.office.extends_grants
                 assert all_held(wire)
                 await asyncio.sleep(0.02)
             assert second.office.holds()
--- a/packages/entry/tests/test_office.py
+++ b/packages/entry/tests/test_office.py
@@ -8,7 +8,7 @@
 import pytest
 from berylstage_entry.clock import now
 from berylstage_entry.keys import DUTY_KEY
-from berylstage_entry.office import LEASE, SHORTEST_TERM
+from berylstage_entry.office import LEASE_SECONDS, MIN_TERM_SECONDS
 from fakes import LateAnswers, StoreView
 from granting_world import VMS, World
 from virtual_time import virtual_loop
@@ -34,7 +34,7 @@
         (small,) = holders(world)
         large = next(name for name in VMS if name != small)
         world.vms[small].office.better = lambda: large
-        assert world.watch(SHORTEST_TERM + LEASE + 1.0) == 0
+        assert world.watch(MIN_TERM_SECONDS + LEASE_SECONDS + 1.0) == 0
         assert holders(world) not in ([], [small])
         assert not world.faults()
 
@@ -45,7 +45,7 @@
         large = next(name for name in VMS if name != small)
         world.vms[small].office.better = lambda: large
         world.kill(large)
-        world.run(2 * SHORTEST_TERM)
+        world.run(2 * MIN_TERM_SECONDS)
         assert holders(world) == [small]
 
     def test_duty_is_kept_while_the_vm_with_room_has_lost_the_store(self, world):
@@ -53,7 +53,7 @@
         large = next(name for name in VMS if name != small)
         world.vms[small].office.better = lambda: large
         world.vms[large].view.away = True
-        world.run(2 * SHORTEST_TERM)
+        world.run(2 * MIN_TERM_SECONDS)
         assert holders(world) == [small]
 
 
@@ -64,7 +64,10 @@
         (holder,) = holders(world)
         idle = world.vms[next(name for name in VMS if name != holder)]
         looks = []
-        for part, name in ((idle.office, "_is_vacant"), (idle.granting, "_look")):
+        for part, name in (
+            (idle.office, "_lacks_coordinator"),
+            (idle.granting, "_reconcile"),
+        ):
             real = getattr(part, name)
             setattr(part, name, lambda real=real: looks.append(1) or real())
         real_holds = idle.office.holds
@@ -79,10 +82,10 @@
         # grants would expire, and no key would have an owner.
         (holder,) = holders(world)
         world.kill(holder)
-        world.run(LEASE + 1.0)
+        world.run(LEASE_SECONDS + 1.0)
         (successor,) = holders(world)
         world.kill(successor)
-        world.run(LEASE + 1.0)
+        world.run(LEASE_SECONDS + 1.0)
         assert len(holders(world)) == 1
 
 
@@ -135,7 +138,7 @@
         run_until(world, lambda: taken_by(world, name))
         assert not vm.office.holds()
         world.vms[other].view.away = False
-        assert stop(world, name) < LEASE / 2
+        assert stop(world, name) < LEASE_SECONDS / 2
 
     def test_duty_that_is_being_left_is_given_back(self, world):
         # Guards against having no coordinator until the lease expires, because the
@@ -145,4 +148,4 @@
         vm.office._store = SlowWrites(world.store)
         vm.office.better = lambda: next(each for each in VMS if each != name)
         run_until(world, lambda: not vm.office.holds())
-        assert stop(world, name) < LEASE / 2
+        assert stop(world, name) < LEASE_SECONDS / 2
--- a/packages/entry/tests/test_ownership_mutations.py
+++ b/packages/entry/tests/test_ownership_mutations.py
@@ -10,10 +10,10 @@
 
 import pytest
 from berylstage_entry.clock import now
-from berylstage_entry.holds import ORDER_TIMEOUT, TargetHold
+from berylstage_entry.holds import GRANT_TIMEOUT_SECONDS, TargetGrants
 from berylstage_entry.moves import Moves
 from berylstage_entry.office import Office
-from berylstage_entry.renewals import TICK, Renewals
+from berylstage_entry.renewals import CHECK_INTERVAL_SECONDS, Renewals
 from granting_world import VMS, World
 from virtual_time import virtual_loop
 
@@ -86,25 +86,27 @@
 
 async def renew_what_was_due_before(self, target):
     """Renew what a target owned before it was probed."""
-    hold = self.hold(target.identity)
-    while self._office.holds() and not hold.has_ended:
-        due = self._owned(target)
-        if hold.silent_since and not await self._answers(target):
-            await asyncio.sleep(2 * TICK)
+    grants = self.get_grants(target.identity)
+    while self._office.holds() and not grants.is_terminated:
+        due = self._stable_ranges(target)
+        if grants.unresponsive_since and not await self._probe(target):
+            await asyncio.sleep(2 * CHECK_INTERVAL_SECONDS)
             continue
         await asyncio.gather(*(self.grant(target, r) for r in due))
-        await asyncio.sleep(TICK)
+        await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
 
-async def release_alone(self, target, hold, r):
+async def release_alone(self, target, grants, r):
     """Release keys without a fence that rejects renewals in transit."""
-    fence = self._next_try(r)
+    fence = self._next_revocation_fence(r)
     if not fence or not self._office.holds():
         return None
-    return await self._wire.release(target, r.first, r.last, fence, ORDER_TIMEOUT)
+    return await self._wire.release(
+        target, r.first, r.last, fence, GRANT_TIMEOUT_SECONDS
+    )
 
 
-async def steady(self, former):
+async def had_contact(self, former):
     return True
 
 
@@ -116,28 +118,28 @@
     pytest.param(
         leaving_target_falls_silent,
         Moves,
-        "_lapsed",
+        "_have_grants_expired",
         lambda self, r: True,
         id="no wait for the holds of a silent owner",
     ),
     pytest.param(
         target_falls_silent,
-        TargetHold,
-        "ordered",
-        lambda self, now, hold, first, last: None,
+        TargetGrants,
+        "record_sent",
+        lambda self, now, seconds, first, last: None,
         id="orders without an answer forgotten",
     ),
     pytest.param(
         holder_lost_in_an_outage_beside_a_silent_target,
         Office,
-        "_was_steady",
-        steady,
+        "_had_contact",
+        had_contact,
         id="contact with the store taken for granted",
     ),
     pytest.param(
         holder_lost_in_an_outage_beside_a_silent_target,
         Office,
-        "others_lapse",
+        "other_grants_expire_at",
         property(lambda self: 0.0, lambda self, value: None),
         id="holds of former holders forgotten",
     ),
