--- a/packages/entry/src/berylstage_entry/assignment.py
+++ b/packages/entry/src/berylstage_entry/assignment.py
@@ -68,12 +68,12 @@
     def digest(self) -> int:
         """Checksum of all fields, which must not change after the first access."""
         if not self._digest:
-            holding = (self.owner, self.life, self.fence, self.former, self.former_life)
-            text = f"{self.first} {self.last} {holding}"
+            state = (self.owner, self.life, self.fence, self.former, self.former_life)
+            text = f"{self.first} {self.last} {state}"
             self._digest = zlib.crc32(text.encode())
         return self._digest
 
-    def cut(self, first: int, last: int) -> KeyRange:
+    def subrange(self, first: int, last: int) -> KeyRange:
         """Return part of the range."""
         return KeyRange(
             first,
@@ -85,7 +85,7 @@
             self.former_life,
         )
 
-    def same_holding(self, other: KeyRange) -> bool:
+    def equals_except_keys(self, other: KeyRange) -> bool:
         """Tell whether two ranges are equal apart from their keys."""
         return (
             self.owner == other.owner
@@ -110,7 +110,7 @@
     __slots__ = ("_firsts", "next_fence", "ranges")
 
     # Number of different digests.
-    DIGEST = 1 << 32
+    DIGEST_MODULUS = 1 << 32
 
     def __init__(self, ranges: Sequence[KeyRange], next_fence: int):
         self.ranges = list(ranges)
@@ -123,31 +123,31 @@
 
     def replace(self, new: Iterable[KeyRange], next_fence: int) -> Assignment:
         """Return a copy of the assignment in which ranges replace the old ones."""
-        laid = Assignment(self.ranges, next_fence)
-        for part in new:
-            laid._lay(part)
-        return laid
+        result = Assignment(self.ranges, next_fence)
+        for new_range in new:
+            result._replace_range(new_range)
+        return result
 
-    def _lay(self, part: KeyRange) -> None:
+    def _replace_range(self, new_range: KeyRange) -> None:
         """Replace the keys of one range, and merge it with equal neighbours.
 
         Only the adjacent ranges are touched, since every VM does this for each change
         that it receives.
         """
-        low = bisect_right(self._firsts, part.first) - 1
-        high = bisect_right(self._firsts, part.last) - 1
+        low = bisect_right(self._firsts, new_range.first) - 1
+        high = bisect_right(self._firsts, new_range.last) - 1
         start, end = self.ranges[low], self.ranges[high]
-        pieces = self.ranges[max(0, low - 1) : low]
-        if start.first < part.first:
-            pieces.append(start.cut(start.first, part.first - 1))
-        pieces.append(part)
-        if end.last > part.last:
-            pieces.append(end.cut(part.last + 1, end.last))
-        pieces += self.ranges[high + 1 : high + 2]
-        joined = _joined(pieces)
+        replacement = self.ranges[max(0, low - 1) : low]
+        if start.first < new_range.first:
+            replacement.append(start.subrange(start.first, new_range.first - 1))
+        replacement.append(new_range)
+        if end.last > new_range.last:
+            replacement.append(end.subrange(new_range.last + 1, end.last))
+        replacement += self.ranges[high + 1 : high + 2]
+        merged = _merge_equal_neighbours(replacement)
         span = slice(max(0, low - 1), high + 2)
-        self.ranges[span] = joined
-        self._firsts[span] = [r.first for r in joined]
+        self.ranges[span] = merged
+        self._firsts[span] = [r.first for r in merged]
 
     def digest(self) -> int:
         """Return a checksum: assignments with equal checksums are equal.
@@ -157,16 +157,16 @@
         checksum took most of a small VM's time while keys moved.
         """
         total = self.next_fence + sum(r.digest for r in self.ranges)
-        return total % self.DIGEST
+        return total % self.DIGEST_MODULUS
 
     def differing(self, old: Assignment) -> list[KeyRange]:
         """Return the ranges, or parts of them, that differ from an older assignment."""
-        return [r for r in self.ranges if not old.has(r)]
+        return [r for r in self.ranges if not old.contains(r)]
 
-    def has(self, r: KeyRange) -> bool:
+    def contains(self, r: KeyRange) -> bool:
         """Tell whether all keys of a range are assigned exactly as it says."""
         mine = self.find(r.first)
-        return mine.last >= r.last and mine.same_holding(r)
+        return mine.last >= r.last and mine.equals_except_keys(r)
 
     def encode(self) -> bytes:
         """Return the value to store.
@@ -211,12 +211,12 @@
     return Assignment([KeyRange(0, LAST_KEY, "", 0, 0)], 1)
 
 
-def _joined(ranges: Sequence[KeyRange]) -> list[KeyRange]:
+def _merge_equal_neighbours(ranges: Sequence[KeyRange]) -> list[KeyRange]:
     """Return the ranges with equal neighbours merged."""
-    joined: list[KeyRange] = []
+    merged: list[KeyRange] = []
     for r in ranges:
-        if joined and joined[-1].same_holding(r):
-            joined[-1] = joined[-1].cut(joined[-1].first, r.last)
+        if merged and merged[-1].equals_except_keys(r):
+            merged[-1] = merged[-1].subrange(merged[-1].first, r.last)
         else:
-            joined.append(r)
-    return joined
+            merged.append(r)
+    return merged
--- a/packages/entry/src/berylstage_entry/assignment_writer.py
+++ b/packages/entry/src/berylstage_entry/assignment_writer.py
@@ -23,8 +23,8 @@
 
 # Seconds between two checks for the outcome of a write, and between two attempts:
 # nothing else can be written meanwhile, and each attempt is a call to the store.
-PAUSE = 0.05
-TRY_AGAIN = 0.2
+POLL_INTERVAL_SECONDS = 0.05
+RETRY_INTERVAL_SECONDS = 0.2
 
 log = Logger(__name__)
 
@@ -61,23 +61,23 @@
         conditions = [self._office.write_condition(), Condition(key, revision)]
         old = self._feed.assignments.get(service) or nobody()
         value = assignment.encode()
-        doubtful = False
+        outcome_unknown = False
         while True:
             try:
-                new = await self._store.write(conditions, [Write(key, value)])
+                new_revision = await self._store.write(conditions, [Write(key, value)])
                 break
             except StoreRefused:
-                if not doubtful:
+                if not outcome_unknown:
                     raise
             except Conflict:
-                if doubtful:
-                    await self._catch_up(service, revision)
+                if outcome_unknown:
+                    await self._wait_for_newer_assignment(service, revision)
                 raise
             except StoreSilent as exc:
                 # The assignment may be in force, or come into force seconds later.
                 # Until this is known, nothing may be granted by the previous
                 # assignment: together, the two could give the same keys to two targets.
-                doubtful = True
+                outcome_unknown = True
                 log.info(
                     "outcome of assignment write unknown", extra={"cause": str(exc)}
                 )
@@ -85,24 +85,26 @@
                 raise Conflict(
                     f"{key}: not coordinator any more, outcome of the write unknown"
                 )
-            await asyncio.sleep(TRY_AGAIN)
-        self._feed.take_assignment(service, assignment, new)
-        change = AssignmentChange.between(service, revision, old, new, assignment)
+            await asyncio.sleep(RETRY_INTERVAL_SECONDS)
+        self._feed.take_assignment(service, assignment, new_revision)
+        change = AssignmentChange.between(
+            service, revision, old, new_revision, assignment
+        )
         for listener in self.listeners:
             listener(change)
         log.info(
             "assignment written",
             extra={
                 "service": service,
-                "revision": new,
+                "revision": new_revision,
                 "ranges": len(assignment.ranges),
                 "moving": sum(1 for r in assignment.ranges if r.former),
             },
         )
 
-    async def _catch_up(self, service: str, revision: int) -> None:
+    async def _wait_for_newer_assignment(self, service: str, revision: int) -> None:
         """Wait until this VM knows a newer assignment than before."""
         while self._office.holds():
             if self._feed.revisions.get(service, 0) > revision:
                 return
-            await asyncio.sleep(PAUSE)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
--- a/packages/entry/src/berylstage_entry/balance.py
+++ b/packages/entry/src/berylstage_entry/balance.py
@@ -31,33 +31,33 @@
 # overloaded, would otherwise cause rounds all the time: without these bounds, 3 to 5
 # times the writes earn the same credit (`make bench-owned`).
 URGENT_ABOVE = 0.8
-URGENT_GAIN = 0.25
+MIN_URGENT_GAIN = 0.25
 CALM_PERIOD = 1.0
 # Lower bound of the moves allowed per round, and the number of targets per move if
 # there are many targets. Each move interrupts its keys until the requests in progress
 # there are complete, a tenth of a second.
-LEAST_MOVES = 6
-TARGETS_A_MOVE = 10
+MIN_MOVES_PER_ROUND = 6
+TARGETS_PER_MOVE = 10
 # Recipients considered for each move: the least utilized, and the fastest for a single
 # key with more requests than its owner can serve.
-IDLEST = 3
-FASTEST = 2
+LEAST_UTILIZED_RECIPIENTS = 3
+FASTEST_RECIPIENTS = 2
 # Factor by which a run of keys may exceed the rate that evens out two targets.
-TOLERANCE = 1.05
+MAX_RATE_FACTOR = 1.05
 
 
-class _Keys:
+class _HotRange:
     """The hot keys of a range, with their rates and total rate."""
 
     __slots__ = ("keys", "range", "rate")
 
-    def __init__(self, of: KeyRange, keys: list[tuple[int, float]]):
-        self.range = of
+    def __init__(self, key_range: KeyRange, keys: list[tuple[int, float]]):
+        self.range = key_range
         self.keys = keys
         self.rate = sum(rate for _, rate in keys)
 
 
-class _Side:
+class _TargetLoad:
     """A target as donor or recipient in a round of moves."""
 
     __slots__ = ("capacity", "name", "rate")
@@ -68,7 +68,7 @@
         self.rate = 0.0
 
     @property
-    def level(self) -> float:
+    def utilization(self) -> float:
         return self.rate / self.capacity
 
 
@@ -133,24 +133,24 @@
     Returns
     -------
     list of KeyMove
-        At most :func:`most_moves` of them.
+        At most :func:`max_moves_per_round` of them.
     """
-    held = _by_owner(assignment, rates)
-    sides = _sides(held, capacities)
+    hot_ranges = _group_hot_ranges(assignment, rates)
+    target_loads = _compute_target_loads(hot_ranges, capacities)
     moves: list[KeyMove] = []
     # Donors without a useful move, which later moves of the round do not change.
-    passed: set[str] = set()
-    while len(moves) < most_moves(len(sides)) and len(sides) > 1:
-        found = _next_move(sides, held, moves, passed, urgent)
-        if found is None:
+    exhausted: set[str] = set()
+    while len(moves) < max_moves_per_round(len(target_loads)) and len(target_loads) > 1:
+        best = _next_move(target_loads, hot_ranges, moves, exhausted, urgent)
+        if best is None:
             break
-        moves.append(found.move)
-        found.giver.rate -= found.rate
-        found.taker.rate += found.rate
+        moves.append(best.move)
+        best.donor.rate -= best.rate
+        best.recipient.rate += best.rate
     return moves
 
 
-def most_moves(targets: int) -> int:
+def max_moves_per_round(targets: int) -> int:
     """Return the maximum number of moves in one round.
 
     Hot keys need a share of the targets that equals their share of all requests, hence
@@ -165,59 +165,66 @@
     -------
     int
     """
-    return max(LEAST_MOVES, targets // TARGETS_A_MOVE)
+    return max(MIN_MOVES_PER_ROUND, targets // TARGETS_PER_MOVE)
 
 
-def _by_owner(
+def _group_hot_ranges(
     assignment: Assignment, rates: Sequence[tuple[int, float]]
-) -> dict[str, list[_Keys]]:
+) -> dict[str, list[_HotRange]]:
     """Return the ranges with hot keys, by owner."""
-    held: dict[str, list[_Keys]] = {}
+    hot_ranges: dict[str, list[_HotRange]] = {}
     for r, keys in rates_by_range(assignment, rates):
         if keys:
-            held.setdefault(r.owner, []).append(_Keys(r, keys))
-    return held
+            hot_ranges.setdefault(r.owner, []).append(_HotRange(r, keys))
+    return hot_ranges
 
 
-def _sides(
-    held: dict[str, list[_Keys]], capacities: dict[str, float]
-) -> dict[str, _Side]:
+def _compute_target_loads(
+    hot_ranges: dict[str, list[_HotRange]], capacities: dict[str, float]
+) -> dict[str, _TargetLoad]:
     """Return the targets that may give or receive keys, with their request rates."""
-    sides = {name: _Side(name, max(c, 0.1)) for name, c in capacities.items()}
-    for name, side in sides.items():
-        side.rate = sum(each.rate for each in held.get(name, ()))
-    return sides
+    target_loads = {
+        name: _TargetLoad(name, max(c, 0.1)) for name, c in capacities.items()
+    }
+    for name, target_load in target_loads.items():
+        target_load.rate = sum(hot_range.rate for hot_range in hot_ranges.get(name, ()))
+    return target_loads
 
 
-class _Found:
+class _RatedMove:
     """A useful move and its effect."""
 
-    __slots__ = ("giver", "level", "move", "rate", "taker")
+    __slots__ = ("donor", "utilization", "move", "rate", "recipient")
 
     def __init__(
-        self, move: KeyMove, giver: _Side, taker: _Side, rate: float, level: float
+        self,
+        move: KeyMove,
+        donor: _TargetLoad,
+        recipient: _TargetLoad,
+        rate: float,
+        utilization: float,
     ):
         self.move = move
-        self.giver = giver
-        self.taker = taker
+        self.donor = donor
+        self.recipient = recipient
         self.rate = rate
         # Utilization of the busier target after the move.
-        self.level = level
+        self.utilization = utilization
 
     @property
     def is_urgent(self) -> bool:
         """Whether it stops a queue from growing."""
-        before = self.giver.level
-        return before >= URGENT_ABOVE and before - self.level >= URGENT_GAIN
+        before = self.donor.utilization
+        return before >= URGENT_ABOVE and before - self.utilization >= MIN_URGENT_GAIN
 
 
 def _next_move(
-    sides: dict[str, _Side],
-    held: dict[str, list[_Keys]],
+    target_loads: dict[str, _TargetLoad],
+    hot_ranges: dict[str, list[_HotRange]],
     moves: list[KeyMove],
-    passed: set[str],
+    exhausted: set[str],
     urgent: bool,
-) -> _Found | None:
+) -> _RatedMove | None:
     """Return the best move from the busiest target that has one.
 
     The busiest target may have a key with more requests than any target can serve, and
@@ -225,70 +232,78 @@
     targets there is such a key nearly all the time, and queues would grow at all other
     targets.
     """
-    least = URGENT_ABOVE if urgent else RELIEVED_ABOVE
-    by_level = sorted(sides.values(), key=lambda side: side.level)
-    fastest = sorted(by_level, key=lambda side: -side.capacity)[:FASTEST]
-    takers = list({id(s): s for s in by_level[:IDLEST] + fastest}.values())
-    for giver in reversed(by_level):
-        if giver.level < least:
+    threshold = URGENT_ABOVE if urgent else RELIEVED_ABOVE
+    by_utilization = sorted(
+        target_loads.values(), key=lambda target_load: target_load.utilization
+    )
+    fastest = sorted(by_utilization, key=lambda target_load: -target_load.capacity)[
+        :FASTEST_RECIPIENTS
+    ]
+    recipients = list(
+        {
+            id(s): s for s in by_utilization[:LEAST_UTILIZED_RECIPIENTS] + fastest
+        }.values()
+    )
+    for donor in reversed(by_utilization):
+        if donor.utilization < threshold:
             return None
-        if giver.name in passed:
+        if donor.name in exhausted:
             continue
-        found = _best_move(giver, takers, held.get(giver.name, ()), moves)
-        if found is not None and (found.is_urgent or not urgent):
-            return found
-        passed.add(giver.name)
+        best = _best_move(donor, recipients, hot_ranges.get(donor.name, ()), moves)
+        if best is not None and (best.is_urgent or not urgent):
+            return best
+        exhausted.add(donor.name)
     return None
 
 
 def _best_move(
-    giver: _Side,
-    takers: list[_Side],
-    held: Sequence[_Keys],
+    donor: _TargetLoad,
+    recipients: list[_TargetLoad],
+    hot_ranges: Sequence[_HotRange],
     moves: list[KeyMove],
-) -> _Found | None:
-    best: _Found | None = None
-    for each in held:
-        if each.range.former or _touches(each.range, moves):
+) -> _RatedMove | None:
+    best: _RatedMove | None = None
+    for hot_range in hot_ranges:
+        if hot_range.range.former or _overlaps(hot_range.range, moves):
             continue
-        for taker in takers:
-            if taker is giver:
+        for recipient in recipients:
+            if recipient is donor:
                 continue
-            for first, last, rate in _stretches(each.keys, giver, taker):
-                level = max(
-                    (giver.rate - rate) / giver.capacity,
-                    (taker.rate + rate) / taker.capacity,
+            for first, last, rate in _candidate_runs(hot_range.keys, donor, recipient):
+                utilization = max(
+                    (donor.rate - rate) / donor.capacity,
+                    (recipient.rate + rate) / recipient.capacity,
                 )
-                if best is None or level < best.level:
-                    move = KeyMove(first, last, taker.name)
-                    best = _Found(move, giver, taker, rate, level)
-    if best is None or best.level > giver.level - LEAST_GAIN:
+                if best is None or utilization < best.utilization:
+                    move = KeyMove(first, last, recipient.name)
+                    best = _RatedMove(move, donor, recipient, rate, utilization)
+    if best is None or best.utilization > donor.utilization - LEAST_GAIN:
         return None
     return best
 
 
-def _stretches(
-    keys: list[tuple[int, float]], giver: _Side, taker: _Side
+def _candidate_runs(
+    keys: list[tuple[int, float]], donor: _TargetLoad, recipient: _TargetLoad
 ) -> list[tuple[int, int, float]]:
     """Return candidate runs of keys: first key, last key and rate."""
-    both = giver.capacity + taker.capacity
-    wanted = (giver.rate * taker.capacity - taker.rate * giver.capacity) / both
-    found = []
+    both = donor.capacity + recipient.capacity
+    wanted = (donor.rate * recipient.capacity - recipient.rate * donor.capacity) / both
+    runs = []
     if wanted > 0:
-        narrow = _narrowest(keys, 0.6 * wanted, TOLERANCE * wanted)
-        small = narrow or _narrowest(keys, 0.2 * wanted, 0.6 * wanted)
-        if small is not None:
-            found.append(small[1:])
-    busiest, rate = max(keys, key=lambda pair: pair[1])
-    found.append((busiest, busiest, rate))
-    return found
+        narrow = _find_narrowest_run(keys, 0.6 * wanted, MAX_RATE_FACTOR * wanted)
+        run = narrow or _find_narrowest_run(keys, 0.2 * wanted, 0.6 * wanted)
+        if run is not None:
+            runs.append(run[1:])
+    hottest, rate = max(keys, key=lambda pair: pair[1])
+    runs.append((hottest, hottest, rate))
+    return runs
 
 
-def _touches(r: KeyRange, moves: list[KeyMove]) -> bool:
+def _overlaps(r: KeyRange, moves: list[KeyMove]) -> bool:
     return any(m.first <= r.last and m.last >= r.first for m in moves)
 
 
-def _narrowest(
+def _find_narrowest_run(
     keys: list[tuple[int, float]], low: float, high: float
 ) -> tuple[float, int, int, float] | None:
     """Return cost, first key, last key and rate of the best run within bounds.
--- a/packages/entry/src/berylstage_entry/dealing.py
+++ b/packages/entry/src/berylstage_entry/dealing.py
@@ -19,15 +19,15 @@
 
 # Share of a target's capacity below which keys return to the owner of the ranges next
 # to them: less than the noise.
-MENDED_BELOW = 0.05
+MAX_MERGE_UTILIZATION = 0.05
 # Ranges merged per round: as many as urgent moves create per second.
-MENDED = 24
+MAX_MERGES_PER_ROUND = 24
 # Keys that may change owner per round in order to merge ranges: a hundredth of all,
 # since each change has a cost.
-MOST_MENDED = KEYS // 100
+MAX_MERGED_KEYS_PER_ROUND = KEYS // 100
 # Widest range that may change owner in order to be merged: changes have a cost, and
 # keys that were hot for a moment are seldom wider.
-MENDED_KEYS = 1024
+MAX_MERGED_WIDTH = 1024
 
 
 def deal(
@@ -57,26 +57,27 @@
     """
     if not capacities:
         return []
-    levels = dict.fromkeys(capacities, 0.0)
+    utilizations = dict.fromkeys(capacities, 0.0)
     widths = dict.fromkeys(capacities, 0)
     for r, keys in rates_by_range(assignment, rates):
-        if r.owner in levels:
-            levels[r.owner] += sum(rate for _, rate in keys) / capacities[r.owner]
+        if r.owner in utilizations:
+            utilizations[r.owner] += sum(rate for _, rate in keys) / capacities[r.owner]
             widths[r.owner] += r.last - r.first + 1
     moves = []
     for r in displaced:
-        for first, last, rate in _pieces(r, rates, max_parts):
+        for first, last, rate in _split_range(r, rates, max_parts):
             # Without requests, faster targets get more keys.
             owner = min(
-                levels, key=lambda name: (levels[name], widths[name] / capacities[name])
+                utilizations,
+                key=lambda name: (utilizations[name], widths[name] / capacities[name]),
             )
-            levels[owner] += rate / capacities[owner]
+            utilizations[owner] += rate / capacities[owner]
             widths[owner] += last - first + 1
             moves.append(KeyMove(first, last, owner))
     return moves
 
 
-def _pieces(
+def _split_range(
     r: KeyRange, rates: Sequence[tuple[int, float]], max_parts: int
 ) -> list[tuple[int, int, float]]:
     """Split a range into parts of equal rate, or of equal width without requests."""
@@ -87,18 +88,18 @@
         1, min(max_parts, width, round(max_parts * width / (LAST_KEY + 1) + 0.49))
     )
     if total and len(keys) > 1:
-        return _cut_by_rate(r, keys, total / max(2, min(4, len(keys), count + 1)))
-    cuts = [r.first + width * i // count for i in range(count + 1)]
-    return [(cuts[i], cuts[i + 1] - 1, 0.0) for i in range(count)]
+        return _split_by_rate(r, keys, total / max(2, min(4, len(keys), count + 1)))
+    bounds = [r.first + width * i // count for i in range(count + 1)]
+    return [(bounds[i], bounds[i + 1] - 1, 0.0) for i in range(count)]
 
 
-def _cut_by_rate(
-    r: KeyRange, keys: list[tuple[int, float]], each: float
+def _split_by_rate(
+    r: KeyRange, keys: list[tuple[int, float]], rate_per_part: float
 ) -> list[tuple[int, int, float]]:
     parts, first, total = [], r.first, 0.0
     for i, (key, rate) in enumerate(keys[:-1]):
         total += rate
-        if total >= each:
+        if total >= rate_per_part:
             last = max(key, (key + keys[i + 1][0] - 1) // 2)
             parts.append((first, last, total))
             first, total = last + 1, 0.0
@@ -106,7 +107,7 @@
     return parts
 
 
-def mend(
+def merge_ranges(
     assignment: Assignment,
     rates: Sequence[tuple[int, float]],
     capacities: dict[str, float],
@@ -127,40 +128,45 @@
     Returns
     -------
     list of KeyMove
-        At most ``MENDED``, with ``MOST_MENDED`` keys, the narrowest first.
+        At most ``MAX_MERGES_PER_ROUND``, with ``MAX_MERGED_KEYS_PER_ROUND`` keys,
+        the narrowest first.
     """
-    held = rates_by_range(assignment, rates)
-    found = []
-    for i, (r, keys) in enumerate(held):
-        if r.former or r.last - r.first >= MENDED_KEYS:
+    ranges = rates_by_range(assignment, rates)
+    candidates = []
+    for i, (r, keys) in enumerate(ranges):
+        if r.former or r.last - r.first >= MAX_MERGED_WIDTH:
             continue
-        beside = [held[n][0] for n in (i - 1, i + 1) if 0 <= n < len(held)]
-        owner = _joined_by(r, beside, capacities)
+        neighbours = [ranges[n][0] for n in (i - 1, i + 1) if 0 <= n < len(ranges)]
+        owner = _choose_merge_owner(r, neighbours, capacities)
         if not owner:
             continue
-        if sum(rate for _, rate in keys) <= MENDED_BELOW * capacities[owner]:
-            found.append(KeyMove(r.first, r.last, owner))
+        if sum(rate for _, rate in keys) <= MAX_MERGE_UTILIZATION * capacities[owner]:
+            candidates.append(KeyMove(r.first, r.last, owner))
     moves: list[KeyMove] = []
     moved = 0
-    for move in sorted(found, key=lambda m: (m.last - m.first, m.first)):
-        touches = any(
+    for move in sorted(candidates, key=lambda m: (m.last - m.first, m.first)):
+        adjoins = any(
             move.first <= m.last + 1 and m.first <= move.last + 1 for m in moves
         )
         width = move.last - move.first + 1
-        if not touches and len(moves) < MENDED and moved + width <= MOST_MENDED:
+        if (
+            not adjoins
+            and len(moves) < MAX_MERGES_PER_ROUND
+            and moved + width <= MAX_MERGED_KEYS_PER_ROUND
+        ):
             moves.append(move)
             moved += width
     return moves
 
 
-def _joined_by(
-    r: KeyRange, beside: Sequence[KeyRange], capacities: dict[str, float]
+def _choose_merge_owner(
+    r: KeyRange, neighbours: Sequence[KeyRange], capacities: dict[str, float]
 ) -> str:
     """Return the neighbouring owner that a range should move to, or ""."""
-    if any(other.owner == r.owner for other in beside):
+    if any(other.owner == r.owner for other in neighbours):
         # No key needs to change owner; it suffices to give both ranges one fence.
         return ""
-    fit = [b for b in beside if not b.former and b.owner in capacities]
+    eligible = [b for b in neighbours if not b.former and b.owner in capacities]
     # Neighbours with the same owner turn three ranges into one, others two.
-    fit.sort(key=lambda b: b.last - b.first)
-    return fit[-1].owner if fit else ""
+    eligible.sort(key=lambda b: b.last - b.first)
+    return eligible[-1].owner if eligible else ""
--- a/packages/entry/src/berylstage_entry/granting.py
+++ b/packages/entry/src/berylstage_entry/granting.py
@@ -11,7 +11,7 @@
 from berylstage_entry.assignment_writer import AssignmentWriter
 from berylstage_entry.balance import CALM_PERIOD, Rounds
 from berylstage_entry.clock import now
-from berylstage_entry.dealing import deal, mend
+from berylstage_entry.dealing import deal, merge_ranges
 from berylstage_entry.errors import Conflict, StoreError
 from berylstage_entry.holds import GRANT_RENEWAL_INTERVAL_SECONDS
 from berylstage_entry.key_loads import KeyLoads
@@ -264,7 +264,7 @@
         self, assignment: Assignment, rates: list, capacities: dict[str, float]
     ) -> Assignment | None:
         """Return the assignment with fewer ranges, or None if that is impossible."""
-        moves = mend(assignment, rates, capacities)
+        moves = merge_ranges(assignment, rates, capacities)
         merged = self._with_moves(assignment, moves) if moves else assignment
         return self._with_merged_neighbours(merged) or (merged if moves else None)
 
@@ -388,7 +388,7 @@
             self._feed.assignments[service],
             *([pending_write] if pending_write else []),
         ]
-        return all(each.has(r) for each in known)
+        return all(each.contains(r) for each in known)
 
     async def _store_completions(self, service: str, state: _ServiceState) -> None:
         """Store the end of moves, in one write for those that end together."""
--- a/packages/entry/src/berylstage_entry/key_loads.py
+++ b/packages/entry/src/berylstage_entry/key_loads.py
@@ -17,21 +17,21 @@
 HALF_LIFE = 0.7
 # Lower bound of the seconds over which a rate is computed. Shorter periods say little:
 # one request within 0.2 s would count as five per second.
-LEAST_AGE = 0.7
+MIN_AGE_SECONDS = 0.7
 # Counts below which a key is dropped.
-LEAST_WEIGHT = 0.05
+MIN_WEIGHT = 0.05
 
 
 class KeyLoads:
     """Request counts of keys with exponential decay."""
 
-    __slots__ = ("_at", "_since", "weights")
+    __slots__ = ("_decayed_at", "_counting_since", "weights")
 
     def __init__(self, now: float):
         self.weights: dict[int, float] = {}
-        self._at = now
+        self._decayed_at = now
         # Start of the counting.
-        self._since = now
+        self._counting_since = now
 
     def add(self, key: int, count: float) -> None:
         """Add requests for a key."""
@@ -40,11 +40,11 @@
     def fade(self, now: float) -> None:
         """Apply the decay up to a time."""
         if not self.weights:
-            self._since = now
-        factor = 0.5 ** ((now - self._at) / HALF_LIFE)
-        self._at = now
-        faded = {key: weight * factor for key, weight in self.weights.items()}
-        self.weights = {k: w for k, w in faded.items() if w >= LEAST_WEIGHT}
+            self._counting_since = now
+        factor = 0.5 ** ((now - self._decayed_at) / HALF_LIFE)
+        self._decayed_at = now
+        decayed = {key: weight * factor for key, weight in self.weights.items()}
+        self.weights = {k: w for k, w in decayed.items() if w >= MIN_WEIGHT}
 
     def rates(self) -> list[tuple[int, float]]:
         """Return all keys in order, each with its requests per second."""
@@ -52,9 +52,9 @@
         # their steady state. Without this correction, targets with long queues seemed
         # idle for a second after the first request and after each change of the
         # coordinator.
-        age = max(LEAST_AGE, self._at - self._since)
-        counted = 1 - 0.5 ** (age / HALF_LIFE)
-        scale = log(2) / HALF_LIFE / counted
+        age = max(MIN_AGE_SECONDS, self._decayed_at - self._counting_since)
+        steady_state_share = 1 - 0.5 ** (age / HALF_LIFE)
+        scale = log(2) / HALF_LIFE / steady_state_share
         return sorted((key, weight * scale) for key, weight in self.weights.items())
 
 
@@ -79,12 +79,12 @@
     assignment: Assignment, rates: Sequence[tuple[int, float]]
 ) -> list[tuple[KeyRange, list[tuple[int, float]]]]:
     """Return each range with its keys and their rates."""
-    held: list[tuple[KeyRange, list[tuple[int, float]]]] = []
+    result: list[tuple[KeyRange, list[tuple[int, float]]]] = []
     i = 0
     for r in assignment.ranges:
         keys = []
         while i < len(rates) and rates[i][0] <= r.last:
             keys.append(rates[i])
             i += 1
-        held.append((r, keys))
-    return held
+        result.append((r, keys))
+    return result
--- a/packages/entry/src/berylstage_entry/office.py
+++ b/packages/entry/src/berylstage_entry/office.py
@@ -17,7 +17,7 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from berylstage_policy.standby import wait_of
+from berylstage_policy.standby import election_delay
 from logbook import Logger
 
 from berylstage_entry.clock import now
@@ -251,7 +251,7 @@
                     await asyncio.sleep(LEASE_RENEWAL_INTERVAL_SECONDS)
                     await self._renew_lease()
                 elif self._lacks_coordinator():
-                    wait = self._rng.uniform(0, MAX_JITTER_SECONDS) + wait_of(
+                    wait = self._rng.uniform(0, MAX_JITTER_SECONDS) + election_delay(
                         self._cfg.power
                     )
                     await asyncio.sleep(wait)
--- a/packages/entry/tests/granting_world.py
+++ b/packages/entry/tests/cluster_simulation.py
@@ -25,24 +25,24 @@
 VMS = ("vm-1", "vm-2", "vm-3")
 TARGETS = ("a", "b", "c", "d")
 # Keys whose owners are checked.
-SAMPLES = (0, 20, 40, 60, 77, 9000, 20000, 40000, 65535)
+SAMPLED_KEYS = (0, 20, 40, 60, 77, 9000, 20000, 40000, 65535)
 # Seconds after which everything must have recovered: the longest grant, the store
 # lease, and the time in which missing records may return.
-HEALING = 20.0
+RECOVERY_SECONDS = 20.0
 
 
-class _Peers:
+class _FakePeers:
     """Other VMs, called without a network."""
 
-    def __init__(self, world, own):
-        self._world = world
+    def __init__(self, cluster, own):
+        self._cluster = cluster
         self._own = own
 
     def others(self):
         return sorted(str(n) for n in VMS if n != self._own)
 
     async def ask(self, address, path, body=b""):
-        vm = self._world.vms.get(address)
+        vm = self._cluster.vms.get(address)
         if vm is None:
             return None
         if path == CONTACT_PATH:
@@ -53,31 +53,31 @@
         return [await self.ask(address, path) for address in self.others()]
 
 
-class WorldVm:
+class SimulatedVm:
     """The parts of a VM that grant keys."""
 
-    def __init__(self, name, world):
-        self.view = StoreView(world.store)
+    def __init__(self, name, cluster):
+        self.view = StoreView(cluster.store)
         directory = Directory()
         self.feed = Feed(self.view, JsonRecords({1: configuration()}), directory)
         cfg = settings(name, 1)
         # The address at which other VMs call it.
         cfg.control = name
-        peers = _Peers(world, name)
+        peers = _FakePeers(cluster, name)
         self.office = Office(cfg, self.view, self.feed, peers, Random(name))
         self.granting = Granting(
-            self.view, self.feed, directory, self.office, world.wire
+            self.view, self.feed, directory, self.office, cluster.wire
         )
         self.office.inherit = self.granting.inherit
         self.feed.is_teller = self.office.holds
-        self.feed.is_standby = lambda: self._stands_by(world, name)
+        self.feed.is_standby = lambda: self._stands_by(cluster, name)
         self.feed.start()
         self.office.start()
         self.granting.start()
 
-    def _stands_by(self, world, name):
+    def _stands_by(self, cluster, name):
         holder = self.office.holder_address()
-        others = [Candidate(vm, 1.0) for vm in world.vms if vm != holder]
+        others = [Candidate(vm, 1.0) for vm in cluster.vms if vm != holder]
         return stands_by(name, others)
 
     def kill(self):
@@ -86,7 +86,7 @@
         self.office._task.cancel()
 
 
-class World:
+class ClusterSimulation:
     """VMs, targets and a store in one event loop of virtual time.
 
     Parameters
@@ -99,14 +99,14 @@
         self.store = MemoryStore()
         self.wire = FencedTargets()
         self.wire.delay = 0.02
-        self.lives = dict.fromkeys(TARGETS, 1)
+        self.incarnations = dict.fromkeys(TARGETS, 1)
         self.records: dict[str, dict] = {}
-        self.vms: dict[str, WorldVm] = {}
+        self.vms: dict[str, SimulatedVm] = {}
         # Targets that have failed; no key counts as served by them.
-        self.dead: set[str] = set()
+        self.failed_targets: set[str] = set()
         self.store.put("cfg", b"1")
         for name in TARGETS[:3]:
-            self.put(name)
+            self.write_record(name)
         for name in VMS:
             self.start(name)
         # Long enough for VMs to have had unbroken contact with the store when the lease
@@ -126,13 +126,13 @@
 
         self._loop.run_until_complete(pass_time())
 
-    def watch(self, seconds):
+    def measure_unavailability(self, seconds):
         """Advance the time and return the longest time that a key had no live owner."""
         worst, since = 0.0, {}
         end = now() + seconds
         while now() < end:
             self.run(0.02)
-            for key in SAMPLES:
+            for key in SAMPLED_KEYS:
                 if self.is_served(key):
                     since.pop(key, None)
                 else:
@@ -141,7 +141,7 @@
 
     def is_served(self, key):
         """Tell whether a live target holds a key and VMs send its requests there."""
-        holders = [n for n in self.wire.holder(key) if n not in self.dead]
+        holders = [n for n in self.wire.holder(key) if n not in self.failed_targets]
         ranges = [
             vm.feed.assignments["s"].find(key)
             for vm in self.vms.values()
@@ -152,20 +152,20 @@
         newest = max(ranges, key=lambda r: r.fence)
         return newest.owner in holders and not newest.former
 
-    def crash(self, name):
+    def fail_target(self, name):
         """Have a target fail silently; its record is removed three reports later."""
-        self.dead.add(name)
+        self.failed_targets.add(name)
         self.wire.silent.add(name)
 
-    def put(self, name, **fields):
+    def write_record(self, name, **fields):
         """Set fields of a target's record."""
-        self.records[name] = fields | {"life": self.lives[name]}
+        self.records[name] = fields | {"life": self.incarnations[name]}
         self._write(name, self.records[name])
 
     def _write(self, name, fields):
         self.store.put(f"t/{name}", json.dumps(fields).encode())
 
-    def drop(self, name):
+    def remove_record(self, name):
         """Remove a target's record, although the target may continue to serve."""
         if self.records.pop(name, None) is not None:
             self.store.put(f"t/{name}", None)
@@ -176,7 +176,7 @@
             self._loop.run_until_complete(self._start(name))
 
     async def _start(self, name):
-        self.vms[name] = WorldVm(name, self)
+        self.vms[name] = SimulatedVm(name, self)
 
     def kill(self, name):
         """Kill a running VM."""
@@ -195,21 +195,21 @@
         """End a target's process: it holds no keys, and its port is closed."""
         self.wire.process_ends(name)
 
-    def reborn(self, name):
+    def restart_target(self, name):
         """Restart a target under its name, without any state."""
         self.stop_process(name)
         self.wire.down.discard(name)
-        self.lives[name] += 1
+        self.incarnations[name] += 1
         if name in self.records:
-            self.put(name)
+            self.write_record(name)
 
-    def busy(self, first, count):
+    def report_hot_keys(self, first, count):
         """Report requests for adjacent hot keys to all VMs."""
         for vm in self.vms.values():
             counts = dict.fromkeys(range(first, first + 20 * count, 20), 30)
             vm.granting.counted("s", counts)
 
-    def heal(self):
+    def clear_faults(self):
         """Remove all injected faults."""
         self.store.away = False
         self.store.late_writes = 0.0
@@ -222,13 +222,13 @@
             self.start(name)
             self.vms[name].view.away = False
         if not any(not r.get("leaving") for r in self.records.values()):
-            self.put("a")
-        self.run(HEALING)
+            self.write_record("a")
+        self.run(RECOVERY_SECONDS)
 
-    def faults(self):
+    def violations(self):
         """Return violations: keys with two holders, and fences that do not increase."""
         return [*self.wire.doubly_held(), *self.wire.low_fences]
 
-    def ownerless(self):
+    def keys_without_holder(self):
         """Return the checked keys that do not have exactly one holder."""
-        return [key for key in SAMPLES if len(self.wire.holder(key)) != 1]
+        return [key for key in SAMPLED_KEYS if len(self.wire.holder(key)) != 1]
--- a/packages/entry/tests/test_assignment.py
+++ b/packages/entry/tests/test_assignment.py
@@ -18,7 +18,7 @@
 from hypothesis import strategies as st
 
 # Few owners, so that many neighbours are equal.
-PARTS = st.lists(
+RANGES = st.lists(
     st.tuples(
         st.integers(0, LAST_KEY), st.integers(0, LAST_KEY), st.sampled_from("abc")
     ),
@@ -26,21 +26,21 @@
 )
 
 
-def laid(parts):
+def replace_all(parts):
     """Return an assignment, and a function that finds a key's owner in the list."""
     ranges = [
         KeyRange(min(one, other), max(one, other), owner, 1, 5)
         for one, other, owner in parts
     ]
 
-    def owner_of(key):
+    def find_owner(key):
         over = [r.owner for r in ranges if r.first <= key <= r.last]
         return over[-1] if over else ""
 
-    return nobody().replace(ranges, 9), owner_of
+    return nobody().replace(ranges, 9), find_owner
 
 
-def cut_up(count):
+def split_randomly(count):
     """Return an assignment with many ranges."""
     cuts = [0, *sorted(Random(1).sample(range(1, LAST_KEY), count - 1)), LAST_KEY + 1]
     ranges = [
@@ -51,46 +51,46 @@
 
 
 class TestReplace:
-    @given(PARTS)
-    def test_each_key_goes_to_the_owner_that_was_laid_over_it_last(self, parts):
-        assignment, owner_of = laid(parts)
+    @given(RANGES)
+    def test_last_replacement_of_a_key_wins(self, parts):
+        assignment, find_owner = replace_all(parts)
         for r in assignment.ranges:
-            assert owner_of(r.first) == owner_of(r.last) == r.owner
+            assert find_owner(r.first) == find_owner(r.last) == r.owner
         assert assignment.ranges[0].first == 0
         assert assignment.ranges[-1].last == LAST_KEY
         for one, other in pairwise(assignment.ranges):
             assert one.last + 1 == other.first
-            assert not one.same_holding(other)
+            assert not one.equals_except_keys(other)
             assert assignment.find(other.first) is other
 
-    def test_leaves_the_old_assignment_as_it_was(self):
-        old = cut_up(40)
+    def test_old_assignment_is_unchanged(self):
+        old = split_randomly(40)
         before = old.encode()
         old.replace([KeyRange(10, 60000, "x", 1, 7000)], 7001)
         assert old.encode() == before
 
 
 class TestDigest:
-    @given(PARTS, PARTS)
-    def test_tells_assignments_apart(self, one, other):
-        first, second = laid(one)[0], laid(other)[0]
+    @given(RANGES, RANGES)
+    def test_digest_identifies_assignments(self, one, other):
+        first, second = replace_all(one)[0], replace_all(other)[0]
         same = first.encode() == second.encode()
         assert (first.digest() == second.digest()) == same
 
-    def test_is_that_of_what_was_read_from_the_store(self):
-        assignment = cut_up(300)
+    def test_digest_survives_encoding(self):
+        assignment = split_randomly(300)
         assert Assignment.decode(assignment.encode()).digest() == assignment.digest()
 
 
 class TestCost:
     @pytest.mark.parametrize("count", [40, 400, 4000])
-    def test_change_costs_what_it_changes(self, count, monkeypatch):
+    def test_cost_is_proportional_to_the_change(self, count, monkeypatch):
         # Hot keys move ten times a second, and each of 195 VMs verifies each change.
         # When that encoded and compressed all ranges, a small VM did little else, and
         # answers were late while keys moved.
         feed = Feed(None, JsonRecords(), Directory())
-        tellings = Announcements(feed, None, "127.0.0.1:1")
-        old = cut_up(count)
+        peer_updates = Announcements(feed, None, "127.0.0.1:1")
+        old = split_randomly(count)
         feed.take_told(Item("berylstage/keys/s", old.encode(), 5))
         old.digest()
         feed.assignments["s"].digest()
@@ -99,13 +99,13 @@
             for n, r in enumerate(old.ranges[: 12 * 3 : 3])
         ]
         change = AssignmentChange.between("s", 5, old, 6, old.replace(moved, 7000))
-        (told,) = change.encode()
-        sums = []
+        (datagram,) = change.encode()
+        checksummed = []
         crc32 = module.zlib.crc32
         monkeypatch.setattr(
-            module.zlib, "crc32", lambda data: sums.append(data) or crc32(data)
+            module.zlib, "crc32", lambda data: checksummed.append(data) or crc32(data)
         )
         monkeypatch.setattr(module.zlib, "compress", None)
-        tellings.take_change(told)
+        peer_updates.take_change(datagram)
         assert feed.revisions["s"] == 6
-        assert len(sums) <= 2 * len(moved)
+        assert len(checksummed) <= 2 * len(moved)
--- a/packages/entry/tests/test_holds.py
+++ b/packages/entry/tests/test_holds.py
@@ -6,26 +6,26 @@
 
 
 class TestRefusals:
-    def test_one_refusal_ends_nothing(self):
-        hold = TargetGrants()
-        hold.record_refusal(10.0)
-        assert not hold.is_terminated
+    def test_one_refusal_is_not_enough(self):
+        grants = TargetGrants()
+        grants.record_refusal(10.0)
+        assert not grants.is_terminated
 
-    def test_refusals_for_a_while_end_a_life(self):
-        hold = TargetGrants()
-        hold.record_refusal(10.0)
-        hold.record_refusal(11.0)
-        assert hold.is_terminated
-        assert hold.probed_at == 11.0
+    def test_repeated_refusals_mean_termination(self):
+        grants = TargetGrants()
+        grants.record_refusal(10.0)
+        grants.record_refusal(11.0)
+        assert grants.is_terminated
+        assert grants.probed_at == 11.0
 
-    def test_life_that_goes_on_is_no_more_silent(self):
+    def test_recovered_target_is_responsive(self):
         # Guards against a target that is never assigned keys again because its port
         # once refused connections.
-        hold = TargetGrants()
-        hold.record_refusal(10.0)
-        hold.record_refusal(11.0)
-        hold.record_recovery()
-        assert not hold.is_terminated
-        assert not hold.unresponsive_since
-        hold.record_refusal(20.0)
-        assert not hold.is_terminated
+        grants = TargetGrants()
+        grants.record_refusal(10.0)
+        grants.record_refusal(11.0)
+        grants.record_recovery()
+        assert not grants.is_terminated
+        assert not grants.unresponsive_since
+        grants.record_refusal(20.0)
+        assert not grants.is_terminated
--- a/packages/entry/tests/test_key_loads.py
+++ b/packages/entry/tests/test_key_loads.py
@@ -6,12 +6,12 @@
 
 
 class TestKeyLoads:
-    def rate_after(self, seconds, begin=100.0):
-        loads = KeyLoads(begin)
+    def measure_rate(self, seconds, start=100.0):
+        loads = KeyLoads(start)
         for tick in range(round(seconds / 0.05)):
-            loads.fade(begin + tick * 0.05)
+            loads.fade(start + tick * 0.05)
             loads.add(7, 1.5)
-        loads.fade(begin + seconds)
+        loads.fade(start + seconds)
         return dict(loads.rates())[7]
 
     def test_rate_is_known_within_a_second_of_the_first_request(self):
@@ -19,7 +19,7 @@
         # estimated at a quarter of that, its owner would seem idle while its queue
         # grows.
         for seconds in (0.7, 1.0, 3.0, 20.0):
-            assert 25 < self.rate_after(seconds) < 36
+            assert 25 < self.measure_rate(seconds) < 36
 
     def test_single_requests_are_no_rate(self):
         loads = KeyLoads(100.0)
@@ -33,9 +33,9 @@
         loads.add(9, 1)
         for tick in range(1000):
             loads.fade(100.0 + tick * 0.05)
-        begin = 150.0
+        start = 150.0
         for tick in range(20):
-            loads.fade(begin + tick * 0.05)
+            loads.fade(start + tick * 0.05)
             loads.add(7, 1.5)
-        loads.fade(begin + 1.0)
+        loads.fade(start + 1.0)
         assert 25 < dict(loads.rates())[7] < 36
--- a/packages/entry/tests/test_ownership_machine.py
+++ b/packages/entry/tests/test_ownership_machine.py
@@ -5,7 +5,7 @@
 import os
 
 import pytest
-from granting_world import TARGETS, VMS, World
+from cluster_simulation import TARGETS, VMS, ClusterSimulation
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, rule
@@ -14,7 +14,7 @@
 # Examples per test run, always the same ones. BERYLSTAGE_EXPLORE asks for more, chosen
 # at random.
 EXAMPLES = 12
-EXPLORED = int(os.environ.get("BERYLSTAGE_EXPLORE", "0"))
+EXPLORED_EXAMPLES = int(os.environ.get("BERYLSTAGE_EXPLORE", "0"))
 
 vms = st.sampled_from(VMS)
 targets = st.sampled_from(TARGETS)
@@ -27,157 +27,159 @@
     def __init__(self):
         super().__init__()
         self._scope = virtual_loop()
-        self.world = World(self._scope.__enter__())
-
-    def after(self, moment):
-        self.world.run(moment)
-        assert not self.world.faults()
-
-    @rule(moment=seconds)
-    def time_passes(self, moment):
-        self.after(moment)
-
-    @rule(away=st.booleans(), moment=seconds)
-    def store_goes_or_returns(self, away, moment):
-        self.world.store.away = away
-        self.after(moment)
-
-    @rule(late=st.sampled_from([0.0, 1.0, 3.0]), moment=seconds)
-    def writes_are_carried_out_late(self, late, moment):
-        self.world.store.late_writes = late
-        self.after(moment)
-
-    @rule(vm=vms, away=st.booleans(), moment=seconds)
-    def vm_is_cut_off_from_the_store(self, vm, away, moment):
-        if vm in self.world.vms:
-            self.world.vms[vm].view.away = away
-        self.after(moment)
-
-    @rule(vm=vms, moment=seconds)
-    def vm_is_killed(self, vm, moment):
-        self.world.kill(vm)
-        self.after(moment)
-
-    @rule(vm=vms, moment=seconds)
-    def vm_stops(self, vm, moment):
-        self.world.stop(vm)
-        self.after(moment)
-
-    @rule(vm=vms, moment=seconds)
-    def vm_starts(self, vm, moment):
-        self.world.start(vm)
-        self.after(moment)
-
-    @rule(name=targets, silent=st.booleans(), moment=seconds)
-    def target_is_silent(self, name, silent, moment):
-        self.world.wire.silent.discard(name)
+        self.cluster = ClusterSimulation(self._scope.__enter__())
+
+    def advance(self, seconds_to_run):
+        self.cluster.run(seconds_to_run)
+        assert not self.cluster.violations()
+
+    @rule(seconds_to_run=seconds)
+    def time_passes(self, seconds_to_run):
+        self.advance(seconds_to_run)
+
+    @rule(away=st.booleans(), seconds_to_run=seconds)
+    def store_goes_or_returns(self, away, seconds_to_run):
+        self.cluster.store.away = away
+        self.advance(seconds_to_run)
+
+    @rule(late=st.sampled_from([0.0, 1.0, 3.0]), seconds_to_run=seconds)
+    def writes_are_carried_out_late(self, late, seconds_to_run):
+        self.cluster.store.late_writes = late
+        self.advance(seconds_to_run)
+
+    @rule(vm=vms, away=st.booleans(), seconds_to_run=seconds)
+    def vm_is_cut_off_from_the_store(self, vm, away, seconds_to_run):
+        if vm in self.cluster.vms:
+            self.cluster.vms[vm].view.away = away
+        self.advance(seconds_to_run)
+
+    @rule(vm=vms, seconds_to_run=seconds)
+    def vm_is_killed(self, vm, seconds_to_run):
+        self.cluster.kill(vm)
+        self.advance(seconds_to_run)
+
+    @rule(vm=vms, seconds_to_run=seconds)
+    def vm_stops(self, vm, seconds_to_run):
+        self.cluster.stop(vm)
+        self.advance(seconds_to_run)
+
+    @rule(vm=vms, seconds_to_run=seconds)
+    def vm_starts(self, vm, seconds_to_run):
+        self.cluster.start(vm)
+        self.advance(seconds_to_run)
+
+    @rule(name=targets, silent=st.booleans(), seconds_to_run=seconds)
+    def target_is_silent(self, name, silent, seconds_to_run):
+        self.cluster.wire.silent.discard(name)
         if silent:
-            self.world.wire.silent.add(name)
-        self.after(moment)
+            self.cluster.wire.silent.add(name)
+        self.advance(seconds_to_run)
 
-    @rule(name=targets, cut=st.booleans(), moment=seconds)
-    def target_is_cut_off(self, name, cut, moment):
-        self.world.wire.unreachable.discard(name)
+    @rule(name=targets, cut=st.booleans(), seconds_to_run=seconds)
+    def target_is_cut_off(self, name, cut, seconds_to_run):
+        self.cluster.wire.unreachable.discard(name)
         if cut:
-            self.world.wire.unreachable.add(name)
-        self.after(moment)
+            self.cluster.wire.unreachable.add(name)
+        self.advance(seconds_to_run)
 
-    @rule(name=targets, late=st.sampled_from([0.0, 0.6, 2.5]), moment=seconds)
-    def orders_are_carried_out_late(self, name, late, moment):
-        self.world.wire.late.pop(name, None)
+    @rule(name=targets, late=st.sampled_from([0.0, 0.6, 2.5]), seconds_to_run=seconds)
+    def orders_are_carried_out_late(self, name, late, seconds_to_run):
+        self.cluster.wire.late.pop(name, None)
         if late:
-            self.world.wire.late[name] = late
-        self.after(moment)
-
-    @rule(name=targets, moment=seconds)
-    def target_comes_or_stays(self, name, moment):
-        self.world.put(name)
-        self.after(moment)
-
-    @rule(name=targets, moment=seconds)
-    def target_leaves(self, name, moment):
-        self.world.put(name, leaving=True)
-        self.after(moment)
-
-    @rule(name=targets, moment=seconds)
-    def record_goes(self, name, moment):
-        self.world.drop(name)
-        self.after(moment)
-
-    @rule(name=targets, moment=seconds)
-    def process_of_a_target_ends(self, name, moment):
-        self.world.stop_process(name)
-        self.after(moment)
-
-    @rule(name=targets, moment=seconds)
-    def target_starts_again(self, name, moment):
-        self.world.reborn(name)
-        self.after(moment)
+            self.cluster.wire.late[name] = late
+        self.advance(seconds_to_run)
+
+    @rule(name=targets, seconds_to_run=seconds)
+    def target_comes_or_stays(self, name, seconds_to_run):
+        self.cluster.write_record(name)
+        self.advance(seconds_to_run)
+
+    @rule(name=targets, seconds_to_run=seconds)
+    def target_leaves(self, name, seconds_to_run):
+        self.cluster.write_record(name, leaving=True)
+        self.advance(seconds_to_run)
+
+    @rule(name=targets, seconds_to_run=seconds)
+    def record_goes(self, name, seconds_to_run):
+        self.cluster.remove_record(name)
+        self.advance(seconds_to_run)
+
+    @rule(name=targets, seconds_to_run=seconds)
+    def process_of_a_target_ends(self, name, seconds_to_run):
+        self.cluster.stop_process(name)
+        self.advance(seconds_to_run)
+
+    @rule(name=targets, seconds_to_run=seconds)
+    def target_starts_again(self, name, seconds_to_run):
+        self.cluster.restart_target(name)
+        self.advance(seconds_to_run)
 
     @rule(
-        first=st.sampled_from([0, 9000, 40000]), count=st.integers(1, 9), moment=seconds
+        first=st.sampled_from([0, 9000, 40000]),
+        count=st.integers(1, 9),
+        seconds_to_run=seconds,
     )
-    def keys_are_busy(self, first, count, moment):
-        self.world.busy(first, count)
-        self.after(moment)
+    def keys_are_busy(self, first, count, seconds_to_run):
+        self.cluster.report_hot_keys(first, count)
+        self.advance(seconds_to_run)
 
-    @rule(delay=st.sampled_from([0.0, 0.5, 1.5]), moment=seconds)
-    def work_on_released_keys_goes_on(self, delay, moment):
-        self.world.wire.release_delay = delay
-        self.after(moment)
+    @rule(delay=st.sampled_from([0.0, 0.5, 1.5]), seconds_to_run=seconds)
+    def work_on_released_keys_goes_on(self, delay, seconds_to_run):
+        self.cluster.wire.release_delay = delay
+        self.advance(seconds_to_run)
 
     def teardown(self):
         try:
-            self.world.heal()
-            assert not self.world.faults()
-            assert not self.world.ownerless()
+            self.cluster.clear_faults()
+            assert not self.cluster.violations()
+            assert not self.cluster.keys_without_holder()
         finally:
             for vm in VMS:
-                self.world.kill(vm)
+                self.cluster.kill(vm)
             self._scope.__exit__(None, None, None)
 
 
-class TestFixedSteps:
+class TestRegressions:
     """Sequences of steps that violated an invariant."""
 
     @pytest.fixture
-    def world(self):
+    def cluster(self):
         with virtual_loop() as loop:
-            world = World(loop)
-            yield world
+            cluster = ClusterSimulation(loop)
+            yield cluster
             for vm in VMS:
-                world.kill(vm)
+                cluster.kill(vm)
 
-    def test_targets_whose_ports_refuse_for_a_while_get_keys_again(self, world):
+    def test_targets_get_keys_again_after_refused_connections(self, cluster):
         # Guards against keys that stay without an owner although their targets live:
         # connections to the targets were refused for seconds, and they still report
         # under the same incarnation.
         for name in TARGETS[:3]:
-            world.stop_process(name)
-        world.run(3.0)
-        world.heal()
-        assert not world.faults()
-        assert not world.ownerless()
+            cluster.stop_process(name)
+        cluster.run(3.0)
+        cluster.clear_faults()
+        assert not cluster.violations()
+        assert not cluster.keys_without_holder()
 
-    def test_grant_on_its_way_to_a_process_that_ends(self, world):
+    def test_grant_in_transit_to_a_terminating_process(self, cluster):
         # Guards against keys with two holders, one of which is a terminated process.
-        for moment in (0.1, 0.4, 0.1):
-            world.stop_process("a")
-            world.run(moment)
-        world.run(0.1)
-        world.stop_process("b")
-        world.run(1.0)
-        assert not world.faults()
-        world.heal()
-        assert not world.faults()
-        assert not world.ownerless()
+        for seconds_to_run in (0.1, 0.4, 0.1):
+            cluster.stop_process("a")
+            cluster.run(seconds_to_run)
+        cluster.run(0.1)
+        cluster.stop_process("b")
+        cluster.run(1.0)
+        assert not cluster.violations()
+        cluster.clear_faults()
+        assert not cluster.violations()
+        assert not cluster.keys_without_holder()
 
 
 TestOwnership = OwnershipMachine.TestCase
 TestOwnership.settings = settings(
-    max_examples=EXPLORED or EXAMPLES,
+    max_examples=EXPLORED_EXAMPLES or EXAMPLES,
     stateful_step_count=15,
-    derandomize=not EXPLORED,
+    derandomize=not EXPLORED_EXAMPLES,
     database=None,
     deadline=None,
     suppress_health_check=list(HealthCheck),
--- a/packages/entry/tests/test_ownership_mutations.py
+++ b/packages/entry/tests/test_ownership_mutations.py
@@ -14,77 +14,77 @@
 from berylstage_entry.moves import Moves
 from berylstage_entry.office import Office
 from berylstage_entry.renewals import CHECK_INTERVAL_SECONDS, Renewals
-from granting_world import VMS, World
+from cluster_simulation import VMS, ClusterSimulation
 from virtual_time import virtual_loop
 
 
-def holder(world):
-    return next(n for n, vm in world.vms.items() if vm.office.holds())
+def get_coordinator(cluster):
+    return next(n for n, vm in cluster.vms.items() if vm.office.holds())
 
 
-def leaving_target_falls_silent(world):
+def draining_target_becomes_unresponsive(cluster):
     # Its keys should move to other targets, but it still serves them and does not
     # answer.
-    world.wire.silent.add("a")
-    world.put("a", leaving=True)
-    world.run(8.0)
+    cluster.wire.silent.add("a")
+    cluster.write_record("a", leaving=True)
+    cluster.run(8.0)
 
 
-def target_falls_silent(world):
-    world.wire.silent.add("a")
-    world.run(8.0)
+def target_becomes_unresponsive(cluster):
+    cluster.wire.silent.add("a")
+    cluster.run(8.0)
 
 
-def holder_lost_in_an_outage_beside_a_silent_target(world):
+def coordinator_fails_in_an_outage_with_an_unresponsive_target(cluster):
     # The store is unavailable, so the coordinator has extended all grants. It
     # fails, a target becomes unresponsive, and the store returns.
-    world.store.away = True
-    world.run(1.5)
-    world.kill(holder(world))
-    world.wire.silent.add("a")
-    world.run(0.5)
-    world.store.away = False
-    world.run(14.0)
+    cluster.store.away = True
+    cluster.run(1.5)
+    cluster.kill(get_coordinator(cluster))
+    cluster.wire.silent.add("a")
+    cluster.run(0.5)
+    cluster.store.away = False
+    cluster.run(14.0)
 
 
-def holder_starts_anew_in_an_outage(world):
+def coordinator_restarts_in_an_outage(cluster):
     # The process that extended all grants is killed and restarts at once at its
     # address. It knows nothing of its earlier grants, and a target becomes
     # unresponsive.
-    world.store.away = True
-    world.run(1.5)
-    name = holder(world)
-    world.wire.silent.add("a")
-    world.kill(name)
-    world.start(name)
-    world.run(0.5)
-    world.store.away = False
-    world.run(14.0)
+    cluster.store.away = True
+    cluster.run(1.5)
+    name = get_coordinator(cluster)
+    cluster.wire.silent.add("a")
+    cluster.kill(name)
+    cluster.start(name)
+    cluster.run(0.5)
+    cluster.store.away = False
+    cluster.run(14.0)
 
 
-def busy_keys_move_while_renewals_are_on_their_way(world):
-    world.wire.grant_delay = 0.3
-    for turn in range(24):
-        world.busy(100 + turn, 8)
-        world.run(0.15)
+def hot_keys_move_while_renewals_are_in_transit(cluster):
+    cluster.wire.grant_delay = 0.3
+    for round_number in range(24):
+        cluster.report_hot_keys(100 + round_number, 8)
+        cluster.run(0.15)
 
 
-def silent_target_answers_as_its_keys_move(world):
+def unresponsive_target_answers_as_its_keys_move(cluster):
     # The target answers a probe while its keys move to another one.
-    world.wire.probe_delay = 0.35
-    world.wire.silent.add("a")
+    cluster.wire.probe_delay = 0.35
+    cluster.wire.silent.add("a")
     end = now() + 8.0
-    while now() < end and not any(r.former == "a" for r in ranges(world)):
-        world.run(0.01)
-    world.wire.silent.clear()
-    world.run(2.0)
+    while now() < end and not any(r.former == "a" for r in ranges(cluster)):
+        cluster.run(0.01)
+    cluster.wire.silent.clear()
+    cluster.run(2.0)
 
 
-def ranges(world):
-    return [r for vm in world.vms.values() for r in vm.feed.assignments["s"].ranges]
+def ranges(cluster):
+    return [r for vm in cluster.vms.values() for r in vm.feed.assignments["s"].ranges]
 
 
-async def renew_what_was_due_before(self, target):
+async def renew_outdated_ranges(self, target):
     """Renew what a target owned before it was probed."""
     grants = self.get_grants(target.identity)
     while self._office.holds() and not grants.is_terminated:
@@ -96,7 +96,7 @@
         await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
 
-async def release_alone(self, target, grants, r):
+async def release_without_grant(self, target, grants, r):
     """Release keys without a fence that rejects renewals in transit."""
     fence = self._next_revocation_fence(r)
     if not fence or not self._office.holds():
@@ -110,77 +110,77 @@
     return True
 
 
-def knows_of_no_holds_of_others(self):
+def assume_no_other_grants(self):
     return now()
 
 
 MUTATIONS = [
     pytest.param(
-        leaving_target_falls_silent,
+        draining_target_becomes_unresponsive,
         Moves,
         "_have_grants_expired",
         lambda self, r: True,
         id="no wait for the holds of a silent owner",
     ),
     pytest.param(
-        target_falls_silent,
+        target_becomes_unresponsive,
         TargetGrants,
         "record_sent",
         lambda self, now, seconds, first, last: None,
         id="orders without an answer forgotten",
     ),
     pytest.param(
-        holder_lost_in_an_outage_beside_a_silent_target,
+        coordinator_fails_in_an_outage_with_an_unresponsive_target,
         Office,
         "_had_contact",
         had_contact,
         id="contact with the store taken for granted",
     ),
     pytest.param(
-        holder_lost_in_an_outage_beside_a_silent_target,
+        coordinator_fails_in_an_outage_with_an_unresponsive_target,
         Office,
         "other_grants_expire_at",
         property(lambda self: 0.0, lambda self, value: None),
         id="holds of former holders forgotten",
     ),
     pytest.param(
-        holder_starts_anew_in_an_outage,
+        coordinator_restarts_in_an_outage,
         Office,
         "may_hand_on",
         lambda self, body: True,
         id="a new process speaks for the former one",
     ),
     pytest.param(
-        silent_target_answers_as_its_keys_move,
+        unresponsive_target_answers_as_its_keys_move,
         Renewals,
         "_renew",
-        renew_what_was_due_before,
+        renew_outdated_ranges,
         id="renewals worked out before a move",
     ),
     pytest.param(
-        busy_keys_move_while_renewals_are_on_their_way,
+        hot_keys_move_while_renewals_are_in_transit,
         Moves,
         "_release",
-        release_alone,
+        release_without_grant,
         id="release without a fence",
     ),
 ]
 
 
-def play(scenario):
+def find_violations(scenario):
     with virtual_loop() as loop:
-        world = World(loop)
+        cluster = ClusterSimulation(loop)
         try:
-            scenario(world)
-            return world.faults()
+            scenario(cluster)
+            return cluster.violations()
         finally:
             for name in VMS:
-                world.kill(name)
+                cluster.kill(name)
 
 
 class TestMutations:
-    @pytest.mark.parametrize(("scenario", "owner", "rule", "broken"), MUTATIONS)
-    def test_broken_rule_is_found(self, scenario, owner, rule, broken, monkeypatch):
-        assert not play(scenario)
-        monkeypatch.setattr(owner, rule, broken, raising=False)
-        assert play(scenario)
+    @pytest.mark.parametrize(("scenario", "owner", "rule", "mutant"), MUTATIONS)
+    def test_mutation_is_detected(self, scenario, owner, rule, mutant, monkeypatch):
+        assert not find_violations(scenario)
+        monkeypatch.setattr(owner, rule, mutant, raising=False)
+        assert find_violations(scenario)
--- a/packages/policy/src/berylstage_policy/candidates.py
+++ b/packages/policy/src/berylstage_policy/candidates.py
@@ -16,8 +16,8 @@
 # Cores and Mbit/s with which a VM can do any such task besides its requests: 170
 # targets need 210 grants per second of 1 ms each, and a round of moves is sent to 60
 # VMs in 4 kB.
-AMPLE_CORES = 0.8
-AMPLE_LINK = 100.0
+SUFFICIENT_CORES = 0.8
+SUFFICIENT_LINK_MBPS = 100.0
 
 
 def power_of(cores: float, link: float) -> float:
@@ -35,7 +35,7 @@
     float
         From 0 to 1; 1 suffices for any such task.
     """
-    return round(min(1.0, cores / AMPLE_CORES, link / AMPLE_LINK), 2)
+    return round(min(1.0, cores / SUFFICIENT_CORES, link / SUFFICIENT_LINK_MBPS), 2)
 
 
 class Candidate:
@@ -56,7 +56,7 @@
         self.power = power
 
 
-def ranked(candidates: Iterable[Candidate]) -> list[Candidate]:
+def rank_candidates(candidates: Iterable[Candidate]) -> list[Candidate]:
     """Return VMs in the order of preference for a task.
 
     Parameters
@@ -68,8 +68,8 @@
     list of Candidate
         All VMs that know the same candidates compute the same order.
     """
-    return sorted(candidates, key=_rank)
+    return sorted(candidates, key=_sort_key)
 
 
-def _rank(candidate: Candidate) -> tuple[float, int, str]:
+def _sort_key(candidate: Candidate) -> tuple[float, int, str]:
     return -candidate.power, crc32(candidate.name.encode()), candidate.name
--- a/packages/policy/src/berylstage_policy/standby.py
+++ b/packages/policy/src/berylstage_policy/standby.py
@@ -16,7 +16,7 @@
 
 from typing import TYPE_CHECKING
 
-from berylstage_policy.candidates import ranked
+from berylstage_policy.candidates import rank_candidates
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -27,13 +27,13 @@
 # spare. Within it, a VM with sufficient resources reads that there is no coordinator
 # and writes its name; together with the lease (2 s) it is shorter than grants of
 # 3 s.
-LONGEST_WAIT = 0.6
+MAX_ELECTION_DELAY_SECONDS = 0.6
 # Ratio between the capacities of the best VM and the coordinator from which the
 # coordinator steps down.
-MUCH_BETTER = 2.0
+MIN_CAPACITY_RATIO_TO_YIELD = 2.0
 
 
-def wait_of(power: float) -> float:
+def election_delay(power: float) -> float:
     """Return the seconds for which a VM defers to better ones before it takes over.
 
     Parameters
@@ -41,7 +41,7 @@
     power : float
         Relative capacity, as for :class:`Candidate`.
     """
-    return LONGEST_WAIT * (1 - power)
+    return MAX_ELECTION_DELAY_SECONDS * (1 - power)
 
 
 def should_give_up(power: float, best: float) -> bool:
@@ -52,7 +52,7 @@
     power, best : float
         Relative capacities of the coordinator and of the best known VM.
     """
-    return best >= MUCH_BETTER * power
+    return best >= MIN_CAPACITY_RATIO_TO_YIELD * power
 
 
 def stands_by(vm: str, neighbours: Iterable[Candidate]) -> bool:
@@ -72,5 +72,5 @@
     -------
     bool
     """
-    names = [candidate.name for candidate in ranked(neighbours)]
+    names = [candidate.name for candidate in rank_candidates(neighbours)]
     return vm not in names or vm == names[0]
--- a/packages/policy/tests/test_standby.py
+++ b/packages/policy/tests/test_standby.py
@@ -3,32 +3,32 @@
 from __future__ import annotations
 
 from berylstage_policy.candidates import Candidate, power_of
-from berylstage_policy.standby import should_give_up, stands_by, wait_of
+from berylstage_policy.standby import election_delay, should_give_up, stands_by
 
 VMS = [f"vm-{n}" for n in range(18)]
 
 
-def equals(vms):
+def equal_candidates(vms):
     return [Candidate(vm, 1.0) for vm in vms]
 
 
 class TestStandsBy:
     def test_one_vm_of_a_data_centre(self):
-        assert sum(stands_by(vm, equals(VMS)) for vm in VMS) == 1
+        assert sum(stands_by(vm, equal_candidates(VMS)) for vm in VMS) == 1
 
     def test_vm_that_is_not_known_yet(self):
         # All VMs start at once and do not know each other yet. One of them has to
         # become coordinator, or no key gets an owner.
         assert stands_by("vm-1", [])
-        assert stands_by("new", equals(VMS))
+        assert stands_by("new", equal_candidates(VMS))
 
     def test_only_the_place_of_a_lost_one_changes_hands(self):
-        first = next(vm for vm in VMS if stands_by(vm, equals(VMS)))
+        first = next(vm for vm in VMS if stands_by(vm, equal_candidates(VMS)))
         for lost in VMS:
             left = [vm for vm in VMS if vm != lost]
             if lost != first:
-                assert stands_by(first, equals(left))
-            assert sum(stands_by(vm, equals(left)) for vm in left) == 1
+                assert stands_by(first, equal_candidates(left))
+            assert sum(stands_by(vm, equal_candidates(left)) for vm in left) == 1
 
     def test_vm_with_room_comes_before_small_ones(self):
         # A VM with half a core and 10 Mbit/s became coordinator for 165 targets. Its
@@ -40,10 +40,10 @@
 
 class TestWait:
     def test_vm_with_all_it_takes_waits_for_nobody(self):
-        assert wait_of(power_of(2.0, 200.0)) == 0
+        assert election_delay(power_of(2.0, 200.0)) == 0
 
     def test_small_vm_waits_for_better_ones(self):
-        assert wait_of(power_of(0.43, 10.0)) > 0.4
+        assert election_delay(power_of(0.43, 10.0)) > 0.4
 
     def test_duty_is_left_to_a_much_better_vm_only(self):
         assert should_give_up(power_of(0.43, 10.0), power_of(2.0, 200.0))
