--- a/packages/entry/src/berylstage_entry/balance.py
+++ b/packages/entry/src/berylstage_entry/balance.py
@@ -136,12 +136,12 @@
         At most :func:`max_moves_per_round` of them.
     """
     hot_ranges = _group_hot_ranges(assignment, rates)
-    target_loads = _compute_target_loads(hot_ranges, capacities)
+    loads = _compute_target_loads(hot_ranges, capacities)
     moves: list[KeyMove] = []
     # Donors without a useful move, which later moves of the round do not change.
     exhausted: set[str] = set()
-    while len(moves) < max_moves_per_round(len(target_loads)) and len(target_loads) > 1:
-        best = _next_move(target_loads, hot_ranges, moves, exhausted, urgent)
+    while len(moves) < max_moves_per_round(len(loads)) and len(loads) > 1:
+        best = _next_move(loads, hot_ranges, moves, exhausted, urgent)
         if best is None:
             break
         moves.append(best.move)
@@ -183,18 +183,16 @@
     hot_ranges: dict[str, list[_HotRange]], capacities: dict[str, float]
 ) -> dict[str, _TargetLoad]:
     """Return the targets that may give or receive keys, with their request rates."""
-    target_loads = {
-        name: _TargetLoad(name, max(c, 0.1)) for name, c in capacities.items()
-    }
-    for name, target_load in target_loads.items():
-        target_load.rate = sum(hot_range.rate for hot_range in hot_ranges.get(name, ()))
-    return target_loads
+    loads = {name: _TargetLoad(name, max(c, 0.1)) for name, c in capacities.items()}
+    for name, load in loads.items():
+        load.rate = sum(hot_range.rate for hot_range in hot_ranges.get(name, ()))
+    return loads
 
 
 class _RatedMove:
     """A useful move and its effect."""
 
-    __slots__ = ("donor", "utilization", "move", "rate", "recipient")
+    __slots__ = ("donor", "move", "rate", "recipient", "utilization")
 
     def __init__(
         self,
@@ -219,7 +217,7 @@
 
 
 def _next_move(
-    target_loads: dict[str, _TargetLoad],
+    loads: dict[str, _TargetLoad],
     hot_ranges: dict[str, list[_HotRange]],
     moves: list[KeyMove],
     exhausted: set[str],
@@ -233,10 +231,8 @@
     targets.
     """
     threshold = URGENT_ABOVE if urgent else RELIEVED_ABOVE
-    by_utilization = sorted(
-        target_loads.values(), key=lambda target_load: target_load.utilization
-    )
-    fastest = sorted(by_utilization, key=lambda target_load: -target_load.capacity)[
+    by_utilization = sorted(loads.values(), key=lambda load: load.utilization)
+    fastest = sorted(by_utilization, key=lambda load: -load.capacity)[
         :FASTEST_RECIPIENTS
     ]
     recipients = list(
--- a/packages/entry/src/berylstage_entry/granting.py
+++ b/packages/entry/src/berylstage_entry/granting.py
@@ -55,15 +55,15 @@
     """The coordinator's state of one service with owned keys."""
 
     __slots__ = (
-        "rebalanced_at",
         "completed",
+        "completion_task",
         "loads",
         "lock",
         "merged_at",
         "move_tasks",
         "pending_write",
+        "rebalanced_at",
         "rebalancer",
-        "completion_task",
         "speeds",
     )
 
--- a/packages/entry/src/berylstage_entry/holds.py
+++ b/packages/entry/src/berylstage_entry/holds.py
@@ -69,7 +69,7 @@
         Time by which the grant has expired.
     """
 
-    __slots__ = ("first", "expires_at", "last")
+    __slots__ = ("expires_at", "first", "last")
 
     def __init__(self, first: int, last: int, expires_at: float):
         self.first = first
--- a/packages/entry/src/berylstage_entry/moves.py
+++ b/packages/entry/src/berylstage_entry/moves.py
@@ -197,7 +197,7 @@
     async def _release(
         self, target: Target, grants: TargetGrants, r: KeyRange
     ) -> str | None:
-        """Release keys from a target that may answer; None if it does not."""
+        """Revoke keys from a target that may answer; None if it does not."""
         fence = self._next_revocation_fence(r)
         if not fence or not self._office.holds():
             return None
--- a/packages/entry/src/berylstage_entry/office.py
+++ b/packages/entry/src/berylstage_entry/office.py
@@ -255,7 +255,7 @@
                         self._cfg.power
                     )
                     await asyncio.sleep(wait)
-                    await self._run_for_coordinator()
+                    await self._campaign()
                 else:
                     await self._wait_for_key_change()
             except StoreError as exc:
@@ -349,7 +349,7 @@
             },
         )
 
-    async def _run_for_coordinator(self) -> None:
+    async def _campaign(self) -> None:
         if not self._lacks_coordinator():
             return
         sent = now()
@@ -404,20 +404,20 @@
         """Determine when the grants of earlier terms expire, then store that fact."""
         start_time = now()
         if previous.control and not self.succeeds_itself:
-            steady, reported = await asyncio.gather(
+            had_contact, seconds_left = await asyncio.gather(
                 self._had_contact(previous.control), self._query_predecessor(previous)
             )
             expiries = [self.other_grants_expire_at]
-            if previous.settled and steady:
+            if previous.settled and had_contact:
                 expiries.append(compute_expiry(start_time, GRANT_SECONDS))
-            if previous.settled and reported is not None:
-                expiries.append(now() + reported)
+            if previous.settled and seconds_left is not None:
+                expiries.append(now() + seconds_left)
             self.other_grants_expire_at = min(expiries)
             log.info(
                 "former holds",
                 extra={
-                    "steady": steady,
-                    "handed_on": reported is not None,
+                    "steady": had_contact,
+                    "handed_on": seconds_left is not None,
                     "lapse_in": round(self.other_grants_expire_at - now(), 2),
                 },
             )
@@ -425,7 +425,7 @@
         await self._store_settled(current)
 
     async def _had_contact(self, former: str) -> bool:
-        """Tell whether most VMs had unbroken contact with the store."""
+        """Tell whether over half of the VMs had unbroken contact with the store."""
         if self._feed.steady() < MIN_CONTACT_SECONDS:
             return False
         # The former coordinator extended grants only if half of the other VMs had lost
@@ -435,10 +435,10 @@
         answers = await asyncio.gather(
             *(self._peers.ask(a, CONTACT_PATH) for a in addresses)
         )
-        steady = [
+        in_contact = [
             a for a in answers if a is not None and float(a) >= MIN_CONTACT_SECONDS
         ]
-        return 2 * (len(steady) + 1) > len(answers) + 1
+        return 2 * (len(in_contact) + 1) > len(answers) + 1
 
     async def _query_predecessor(self, previous: _Term) -> float | None:
         """Return the seconds until the former coordinator's grants expire."""
