--- a/packages/entry/src/berylstage_entry/assignment.py
+++ b/packages/entry/src/berylstage_entry/assignment.py
@@ -7,7 +7,7 @@
 from bisect import bisect_right
 from typing import TYPE_CHECKING
 
-from berylstage_entry.errors import UnreadableRecord
+from berylstage_entry.errors import InvalidRecord
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
@@ -201,7 +201,7 @@
             ]
             return cls(ranges, doc["next_fence"])
         except (zlib.error, ValueError, KeyError, TypeError, IndexError) as exc:
-            raise UnreadableRecord(
+            raise InvalidRecord(
                 f"stored value is not a valid assignment: {exc}"
             ) from exc
 
--- a/packages/entry/src/berylstage_entry/office.py
+++ b/packages/entry/src/berylstage_entry/coordinator_election.py
@@ -21,18 +21,22 @@
 from logbook import Logger
 
 from berylstage_entry.clock import now
-from berylstage_entry.errors import Conflict, LeaseEnded, StoreError, StoreSilent
-from berylstage_entry.holds import GRANT_SECONDS, compute_expiry, extended_grant_seconds
-from berylstage_entry.keys import DUTY_KEY, OWN_PREFIX
+from berylstage_entry.errors import Conflict, LeaseExpired, StoreError, StoreUnavailable
+from berylstage_entry.grant_expiry import (
+    GRANT_SECONDS,
+    compute_expiry,
+    extended_grant_seconds,
+)
 from berylstage_entry.store import Condition, Item, Write
+from berylstage_entry.store_keys import DUTY_KEY, OWN_PREFIX
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from berylstage_entry.feed import Feed
-    from berylstage_entry.peers import Peers
+    from berylstage_entry.peers import PeerClient
     from berylstage_entry.settings import EntrySettings
     from berylstage_entry.store import Store
+    from berylstage_entry.store_watcher import StoreWatcher
 
 # Key with the number of the current term and the last coordinator. It has no lease.
 TERM_KEY = OWN_PREFIX + "term"
@@ -112,7 +116,7 @@
         return cls(doc["term"], doc["vm"], doc["control"], doc["settled"])
 
 
-class Office:
+class CoordinatorElection:
     """Acquires, renews and gives up the coordinator's lease.
 
     Parameters
@@ -128,8 +132,8 @@
         self,
         cfg: EntrySettings,
         store: Store,
-        feed: Feed,
-        peers: Peers,
+        feed: StoreWatcher,
+        peers: PeerClient,
         rng: Random,
     ):
         self._cfg = cfg
@@ -234,7 +238,7 @@
                 conditions = [Condition(DUTY_KEY, revision)]
                 await self._store.write(conditions, [], [DUTY_KEY])
             await self._store.end_lease(self._acquired_lease)
-        except LeaseEnded:
+        except LeaseExpired:
             log.debug("the coordinator's lease has already expired")
         except StoreError as exc:
             log.warning(
@@ -300,12 +304,12 @@
             self._lease_renewed_at = sent
             self.extends_grants = False
             await self._yield_to_preferred()
-        except LeaseEnded:
+        except LeaseExpired:
             self._step_down("lease ended")
         except (StoreError, TimeoutError) as exc:
             if self._extension_task is None or self._extension_task.done():
                 self._extension_task = asyncio.create_task(self._extend_grants())
-            raise StoreSilent(f"coordinator's lease not renewed: {exc}") from exc
+            raise StoreUnavailable(f"coordinator's lease not renewed: {exc}") from exc
 
     async def _yield_to_preferred(self) -> None:
         """Step down if a VM with much more capacity is alive.
@@ -368,7 +372,7 @@
         writes = [Write(DUTY_KEY, value, lease), Write(TERM_KEY, value)]
         try:
             revision = await self._store.write(conditions, writes)
-        except (Conflict, LeaseEnded):
+        except (Conflict, LeaseExpired):
             await asyncio.sleep(0.1)
             return
         self.succeeds_itself = self.term == previous.number and self.term > 0
--- a/packages/entry/src/berylstage_entry/duty_watch.py
+++ b/packages/entry/src/berylstage_entry/coordinator_watch.py
@@ -7,13 +7,13 @@
 
 from logbook import Logger
 
-from berylstage_entry.errors import HistoryLost, StoreError
-from berylstage_entry.keys import DUTY_KEY
+from berylstage_entry.errors import RevisionCompacted, StoreError
 from berylstage_entry.store import Item
+from berylstage_entry.store_keys import DUTY_KEY
 
 if TYPE_CHECKING:
-    from berylstage_entry.feed import Feed
     from berylstage_entry.store import Store
+    from berylstage_entry.store_watcher import StoreWatcher
 
 # Seconds that the watch waits for a change. A broken watch is detected after this time;
 # until then the periodic read of all keys brings the same changes.
@@ -28,7 +28,7 @@
 log = Logger(__name__)
 
 
-class DutyWatch:
+class CoordinatorWatch:
     """A watch of one key, beside the periodic read of all keys.
 
     Parameters
@@ -37,7 +37,7 @@
     feed : Feed
     """
 
-    def __init__(self, store: Store, feed: Feed):
+    def __init__(self, store: Store, feed: StoreWatcher):
         self._store = store
         self._feed = feed
         # Revision up to which the key is known, if newer than that of all keys.
@@ -60,7 +60,7 @@
                     for item in changes.items:
                         self._feed.take_own(item)
                     revision = max(revision, changes.revision)
-            except HistoryLost:
+            except RevisionCompacted:
                 await self._read()
             except StoreError as exc:
                 log.info(
--- a/packages/entry/src/berylstage_entry/granting.py
+++ b/packages/entry/src/berylstage_entry/grant_controller.py
@@ -9,24 +9,24 @@
 
 from berylstage_entry.assignment import KeyRange, nobody
 from berylstage_entry.assignment_writer import AssignmentWriter
-from berylstage_entry.balance import CALM_PERIOD, Rounds
 from berylstage_entry.clock import now
-from berylstage_entry.dealing import deal, merge_ranges
+from berylstage_entry.coordinator_election import VACANCY_CHECK_SECONDS
 from berylstage_entry.errors import Conflict, StoreError
-from berylstage_entry.holds import GRANT_RENEWAL_INTERVAL_SECONDS
+from berylstage_entry.grant_expiry import GRANT_RENEWAL_INTERVAL_SECONDS
+from berylstage_entry.grant_renewer import GrantRenewer, log_task_failure
 from berylstage_entry.key_loads import KeyLoads
-from berylstage_entry.moves import FENCES_PER_MOVE, Moves
-from berylstage_entry.office import VACANCY_CHECK_SECONDS
-from berylstage_entry.renewals import Renewals, log_task_failure
-from berylstage_entry.speeds import TargetSpeeds
+from berylstage_entry.key_moves import FENCES_PER_MOVE, KeyMoves
+from berylstage_entry.range_placement import deal, merge_ranges
+from berylstage_entry.rebalancing import CALM_PERIOD, Rebalancer
+from berylstage_entry.service_times import TargetServiceTimes
 
 if TYPE_CHECKING:
     from berylstage_entry.assignment import Assignment
-    from berylstage_entry.directory import Directory
-    from berylstage_entry.feed import Feed
-    from berylstage_entry.office import Office
+    from berylstage_entry.cluster_view import ClusterView
+    from berylstage_entry.coordinator_election import CoordinatorElection
+    from berylstage_entry.protocols import TargetProtocol
     from berylstage_entry.store import Store
-    from berylstage_entry.wire import TargetWire
+    from berylstage_entry.store_watcher import StoreWatcher
 
 # Seconds between two reconciliations.
 RECONCILE_INTERVAL_SECONDS = 0.05
@@ -69,8 +69,8 @@
 
     def __init__(self, moment: float):
         self.loads = KeyLoads(moment)
-        self.speeds = TargetSpeeds()
-        self.rebalancer = Rounds(moment)
+        self.speeds = TargetServiceTimes()
+        self.rebalancer = Rebalancer(moment)
         self.rebalanced_at = self.merged_at = moment
         self.move_tasks: dict[tuple[int, int, int], asyncio.Task] = {}
         # Moves that are complete but not stored yet, and the task that stores them.
@@ -82,7 +82,7 @@
         self.pending_write: Assignment | None = None
 
 
-class Granting:
+class GrantController:
     """Assigns keys to targets while this VM is the coordinator.
 
     Parameters
@@ -97,17 +97,17 @@
     def __init__(
         self,
         store: Store,
-        feed: Feed,
-        directory: Directory,
-        office: Office,
-        wire: TargetWire,
+        feed: StoreWatcher,
+        directory: ClusterView,
+        office: CoordinatorElection,
+        wire: TargetProtocol,
     ):
         self._feed = feed
         self._directory = directory
         self._office = office
         self.writer = AssignmentWriter(store, feed, office)
-        self._renewals = Renewals(feed, directory, office, wire)
-        self._moves = Moves(directory, office, wire, self._renewals)
+        self._renewals = GrantRenewer(feed, directory, office, wire)
+        self._moves = KeyMoves(directory, office, wire, self._renewals)
         self._services: dict[str, _ServiceState] = {}
         self._task: asyncio.Task | None = None
         self._term = 0
@@ -137,7 +137,7 @@
         ----------
         service : str
         mean, slowness
-            As for :meth:`TargetSpeeds.told`.
+            As for :meth:`TargetServiceTimes.told`.
         """
         self._get_state(service).speeds.told(mean, slowness)
 
@@ -181,7 +181,7 @@
         return self._moves.handed_on()
 
     def inherit(self, body: bytes) -> float | None:
-        """Import the state of a former coordinator, as :meth:`Moves.inherit` does."""
+        """Import the state of a former coordinator, as :meth:`KeyMoves.inherit` does."""
         if self._term != self._office.term:
             self._begin_term()
         return self._moves.inherit(body)
--- a/packages/entry/src/berylstage_entry/renewals.py
+++ b/packages/entry/src/berylstage_entry/grant_renewer.py
@@ -9,21 +9,21 @@
 from logbook import Logger
 
 from berylstage_entry.clock import now
-from berylstage_entry.errors import TargetEnded
-from berylstage_entry.holds import (
+from berylstage_entry.errors import TargetReplaced
+from berylstage_entry.grant_expiry import (
     GRANT_RENEWAL_INTERVAL_SECONDS,
     GRANT_TIMEOUT_SECONDS,
     TargetGrants,
 )
-from berylstage_entry.wire import GrantOrder
+from berylstage_entry.protocols import GrantRequest
 
 if TYPE_CHECKING:
     from berylstage_entry.assignment import Assignment, KeyRange
-    from berylstage_entry.directory import Directory
-    from berylstage_entry.feed import Feed
-    from berylstage_entry.office import Office
+    from berylstage_entry.cluster_view import ClusterView
+    from berylstage_entry.coordinator_election import CoordinatorElection
+    from berylstage_entry.protocols import TargetProtocol
+    from berylstage_entry.store_watcher import StoreWatcher
     from berylstage_entry.targets import Target
-    from berylstage_entry.wire import TargetWire
 
 # Seconds between two checks whether an owner was assigned new keys.
 CHECK_INTERVAL_SECONDS = 0.05
@@ -48,7 +48,7 @@
     return r.first, r.last, r.fence
 
 
-class Renewals:
+class GrantRenewer:
     """Renews the grants of all owners while this VM is the coordinator.
 
     Parameters
@@ -60,7 +60,11 @@
     """
 
     def __init__(
-        self, feed: Feed, directory: Directory, office: Office, wire: TargetWire
+        self,
+        feed: StoreWatcher,
+        directory: ClusterView,
+        office: CoordinatorElection,
+        wire: TargetProtocol,
     ):
         self._feed = feed
         self._directory = directory
@@ -114,7 +118,7 @@
     async def grant(self, target: Target, r: KeyRange, handover: str = "") -> bool:
         """Grant one range and tell whether the target accepted it."""
         grants = self.get_grants(target.identity)
-        request = GrantOrder(r.first, r.last, r.fence, self._office.hold(), handover)
+        request = GrantRequest(r.first, r.last, r.fence, self._office.hold(), handover)
         if not self._office.holds():
             return False
         sent = grants.record_sent(now(), request.hold, r.first, r.last)
@@ -132,7 +136,7 @@
                 )
             grants.record_failure(now())
             return False
-        except TargetEnded as exc:
+        except TargetReplaced as exc:
             grants.record_termination(now())
             log.info(
                 "target has terminated",
@@ -260,7 +264,7 @@
             return True
         try:
             await self._wire.probe(target, service.health_path, GRANT_TIMEOUT_SECONDS)
-        except (CallFailed, TargetEnded) as exc:
+        except (CallFailed, TargetReplaced) as exc:
             if isinstance(exc, NothingListens):
                 self._record_refusal(target)
             log.debug("target still unresponsive", extra={"cause": str(exc)})
--- a/packages/entry/src/berylstage_entry/moves.py
+++ b/packages/entry/src/berylstage_entry/key_moves.py
@@ -11,17 +11,17 @@
 
 from berylstage_entry.assignment import KeyRange
 from berylstage_entry.clock import now
-from berylstage_entry.errors import TargetEnded
-from berylstage_entry.holds import GRANT_TIMEOUT_SECONDS
-from berylstage_entry.wire import GrantOrder
+from berylstage_entry.errors import TargetReplaced
+from berylstage_entry.grant_expiry import GRANT_TIMEOUT_SECONDS
+from berylstage_entry.protocols import GrantRequest
 
 if TYPE_CHECKING:
-    from berylstage_entry.directory import Directory
-    from berylstage_entry.holds import TargetGrants
-    from berylstage_entry.office import Office
-    from berylstage_entry.renewals import Renewals
+    from berylstage_entry.cluster_view import ClusterView
+    from berylstage_entry.coordinator_election import CoordinatorElection
+    from berylstage_entry.grant_expiry import TargetGrants
+    from berylstage_entry.grant_renewer import GrantRenewer
+    from berylstage_entry.protocols import TargetProtocol
     from berylstage_entry.targets import Target
-    from berylstage_entry.wire import TargetWire
 
 # Seconds between two attempts to revoke keys.
 RETRY_INTERVAL_SECONDS = 0.05
@@ -36,7 +36,7 @@
 log = Logger(__name__)
 
 
-class Moves:
+class KeyMoves:
     """Revokes keys from their previous owners while this VM is the coordinator.
 
     Parameters
@@ -49,10 +49,10 @@
 
     def __init__(
         self,
-        directory: Directory,
-        office: Office,
-        wire: TargetWire,
-        renewals: Renewals,
+        directory: ClusterView,
+        office: CoordinatorElection,
+        wire: TargetProtocol,
+        renewals: GrantRenewer,
     ):
         self._directory = directory
         self._office = office
@@ -206,7 +206,7 @@
             # be applied after the release; two targets would then hold the keys (for
             # 2.5 s in one case). Unlike a release, a grant sets a fence, so the target
             # then rejects the renewal.
-            request = GrantOrder(r.first, r.last, fence, self._office.hold())
+            request = GrantRequest(r.first, r.last, fence, self._office.hold())
             sent = grants.record_sent(now(), request.hold, r.first, r.last)
             try:
                 await self._wire.grant(target, request, GRANT_TIMEOUT_SECONDS)
@@ -226,7 +226,7 @@
                 grants.record_refusal(now())
             grants.record_failure(now())
             return None
-        except TargetEnded:
+        except TargetReplaced:
             # Another target has the address, so this one has terminated and holds no
             # keys. Waiting for its grants to expire would cost 3.3 s for a data
             # centre's targets that restart under other names.
--- a/packages/entry/src/berylstage_entry/balance.py
+++ b/packages/entry/src/berylstage_entry/rebalancing.py
@@ -72,7 +72,7 @@
         return self.rate / self.capacity
 
 
-class Rounds:
+class Rebalancer:
     """Decides when keys are moved for balance.
 
     Parameters
--- a/packages/entry/tests/test_office.py
+++ b/packages/entry/tests/test_coordinator_election.py
@@ -7,8 +7,8 @@
 
 import pytest
 from berylstage_entry.clock import now
-from berylstage_entry.keys import DUTY_KEY
-from berylstage_entry.office import LEASE_SECONDS, MIN_TERM_SECONDS
+from berylstage_entry.coordinator_election import LEASE_SECONDS, MIN_TERM_SECONDS
+from berylstage_entry.store_keys import DUTY_KEY
 from cluster_simulation import VMS, ClusterSimulation
 from fakes import LateAnswers, StoreView
 from virtual_time import virtual_loop
--- a/packages/entry/tests/test_holds.py
+++ b/packages/entry/tests/test_grant_expiry.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from berylstage_entry.holds import TargetGrants
+from berylstage_entry.grant_expiry import TargetGrants
 
 
 class TestRefusals:
--- a/packages/entry/tests/test_ownership_mutations.py
+++ b/packages/entry/tests/test_ownership_mutations.py
@@ -10,10 +10,10 @@
 
 import pytest
 from berylstage_entry.clock import now
-from berylstage_entry.holds import GRANT_TIMEOUT_SECONDS, TargetGrants
-from berylstage_entry.moves import Moves
-from berylstage_entry.office import Office
-from berylstage_entry.renewals import CHECK_INTERVAL_SECONDS, Renewals
+from berylstage_entry.coordinator_election import CoordinatorElection
+from berylstage_entry.grant_expiry import GRANT_TIMEOUT_SECONDS, TargetGrants
+from berylstage_entry.grant_renewer import CHECK_INTERVAL_SECONDS, GrantRenewer
+from berylstage_entry.key_moves import KeyMoves
 from cluster_simulation import VMS, ClusterSimulation
 from virtual_time import virtual_loop
 
@@ -117,7 +117,7 @@
 MUTATIONS = [
     pytest.param(
         draining_target_becomes_unresponsive,
-        Moves,
+        KeyMoves,
         "_have_grants_expired",
         lambda self, r: True,
         id="no wait for the holds of a silent owner",
@@ -131,35 +131,35 @@
     ),
     pytest.param(
         coordinator_fails_in_an_outage_with_an_unresponsive_target,
-        Office,
+        CoordinatorElection,
         "_had_contact",
         had_contact,
         id="contact with the store taken for granted",
     ),
     pytest.param(
         coordinator_fails_in_an_outage_with_an_unresponsive_target,
-        Office,
+        CoordinatorElection,
         "other_grants_expire_at",
         property(lambda self: 0.0, lambda self, value: None),
         id="holds of former holders forgotten",
     ),
     pytest.param(
         coordinator_restarts_in_an_outage,
-        Office,
+        CoordinatorElection,
         "may_hand_on",
         lambda self, body: True,
         id="a new process speaks for the former one",
     ),
     pytest.param(
         unresponsive_target_answers_as_its_keys_move,
-        Renewals,
+        GrantRenewer,
         "_renew",
         renew_outdated_ranges,
         id="renewals worked out before a move",
     ),
     pytest.param(
         hot_keys_move_while_renewals_are_in_transit,
-        Moves,
+        KeyMoves,
         "_release",
         release_without_grant,
         id="release without a fence",
--- a/packages/entry/tests/test_dealing.py
+++ b/packages/entry/tests/test_range_placement.py
@@ -5,8 +5,8 @@
 from itertools import pairwise
 
 from berylstage_entry.assignment import KeyRange
-from berylstage_entry.dealing import deal, merge_ranges
-from test_balance import TARGET_NAMES, divide_evenly, skewed_rates
+from berylstage_entry.range_placement import deal, merge_ranges
+from test_rebalancing import TARGET_NAMES, divide_evenly, skewed_rates
 
 
 class TestPlaceRanges:
--- a/packages/entry/tests/test_balance.py
+++ b/packages/entry/tests/test_rebalancing.py
@@ -5,10 +5,10 @@
 from random import Random
 
 from berylstage_entry.assignment import LAST_KEY, Assignment, KeyRange
-from berylstage_entry.balance import (
+from berylstage_entry.rebalancing import (
     CALM_PERIOD,
     MIN_MOVES_PER_ROUND,
-    Rounds,
+    Rebalancer,
     max_moves_per_round,
     rebalance,
 )
@@ -98,7 +98,7 @@
         # Keys became hot just after a round. Without an urgent round, half of all
         # requests would wait for one target until the next regular one.
         capacities = dict.fromkeys(TARGET_NAMES, 20.0)
-        rebalancer = Rounds(100.0)
+        rebalancer = Rebalancer(100.0)
         assert rebalancer.moves(
             100.0, divide_evenly(TARGET_NAMES), skewed_rates(100), capacities
         )
@@ -115,7 +115,7 @@
             divide_evenly(TARGET_NAMES), rates, capacities
         )
         assert 0.6 < max(utilizations.values()) < 0.8
-        rebalancer = Rounds(100.0)
+        rebalancer = Rebalancer(100.0)
         assert rebalancer.moves(100.0, divide_evenly(TARGET_NAMES), rates, capacities)
         assert not rebalancer.moves(
             100.0 + 0.9 * CALM_PERIOD, divide_evenly(TARGET_NAMES), rates, capacities
@@ -133,7 +133,7 @@
             divide_evenly(TARGET_NAMES), rates, capacities
         )
         assert 1.2 < min(utilizations.values()) < max(utilizations.values()) < 2.0
-        rebalancer = Rounds(100.0)
+        rebalancer = Rebalancer(100.0)
         assert rebalancer.moves(100.0, divide_evenly(TARGET_NAMES), rates, capacities)
         assert not rebalancer.moves(
             100.5, divide_evenly(TARGET_NAMES), rates, capacities
@@ -152,7 +152,7 @@
         )
         assert max(utilizations, key=utilizations.get) == "t10"
         moved_at = 100.0
-        rebalancer = Rounds(moved_at + CALM_PERIOD)
+        rebalancer = Rebalancer(moved_at + CALM_PERIOD)
         moves = rebalancer.moves(
             moved_at + 0.1, divide_evenly(TARGET_NAMES), rates, capacities
         )
