--- a/packages/entry/src/berylstage_entry/grant_controller.py
+++ b/packages/entry/src/berylstage_entry/grant_controller.py
@@ -181,7 +181,7 @@
         return self._moves.handed_on()
 
     def inherit(self, body: bytes) -> float | None:
-        """Import the state of a former coordinator, as :meth:`KeyMoves.inherit` does."""
+        """Import the state of a former coordinator, like :meth:`KeyMoves.inherit`."""
         if self._term != self._office.term:
             self._begin_term()
         return self._moves.inherit(body)
