--- a/packages/entry/src/berylstage_entry/grant_controller.py
+++ b/packages/entry/src/berylstage_entry/grant_controller.py
@@ -106,8 +106,8 @@
         self._directory = directory
         self._office = office
         self.writer = AssignmentWriter(store, feed, office)
-        self._renewals = GrantRenewer(feed, directory, office, wire)
-        self._moves = KeyMoves(directory, office, wire, self._renewals)
+        self._grant_renewer = GrantRenewer(feed, directory, office, wire)
+        self._key_moves = KeyMoves(directory, office, wire, self._grant_renewer)
         self._services: dict[str, _ServiceState] = {}
         self._task: asyncio.Task | None = None
         self._term = 0
@@ -146,7 +146,7 @@
             try:
                 if self._office.holds():
                     await self._reconcile()
-                elif len(self._renewals):
+                elif len(self._grant_renewer):
                     self._cancel_tasks()
             except StoreError as exc:
                 log.info("assignment not stored", extra={"cause": str(exc)})
@@ -163,7 +163,7 @@
                 await self._office.wait_for_lease()
 
     def _cancel_tasks(self) -> None:
-        self._renewals.stop_renewing()
+        self._grant_renewer.stop_renewing()
         for state in self._services.values():
             for task in state.move_tasks.values():
                 task.cancel()
@@ -174,17 +174,17 @@
         self._cancel_tasks()
         self._term = self._office.term
         if not self._office.succeeds_itself:
-            self._moves.reset()
+            self._key_moves.reset()
 
     def handed_on(self) -> bytes:
         """Return the state of ongoing moves for the next coordinator."""
-        return self._moves.handed_on()
+        return self._key_moves.handed_on()
 
     def inherit(self, body: bytes) -> float | None:
         """Import the state of a former coordinator, like :meth:`KeyMoves.inherit`."""
         if self._term != self._office.term:
             self._begin_term()
-        return self._moves.inherit(body)
+        return self._key_moves.inherit(body)
 
     async def _reconcile(self) -> None:
         if self._term != self._office.term:
@@ -192,7 +192,7 @@
         cfg = self._directory.configuration
         if cfg is None:
             return
-        self._renewals.probe_terminated()
+        self._grant_renewer.probe_terminated()
         for service in cfg.services.values():
             if service.owns_keys:
                 await self._reconcile_service(service.name)
@@ -200,7 +200,7 @@
     async def _reconcile_service(self, service: str) -> None:
         state = self._get_state(service)
         assignment = self._feed.assignments.get(service) or nobody()
-        self._renewals.start_renewals(assignment)
+        self._grant_renewer.start_renewals(assignment)
         self._start_move_tasks(service, state, assignment)
         if not self._office.holds():
             return
@@ -228,7 +228,7 @@
         displaced = [
             r
             for r in assignment.ranges
-            if not self._is_usable_owner(r) and self._moves.may_reassign(r)
+            if not self._is_usable_owner(r) and self._key_moves.may_reassign(r)
         ]
         state.loads.fade(moment)
         if displaced:
@@ -275,8 +275,8 @@
         if self._directory.known[r.owner].target.life != r.life:
             return False
         identity = (r.owner, r.life)
-        unresponsive = self._renewals.is_unresponsive(identity)
-        return not unresponsive or self._renewals.may_hold_keys(identity)
+        unresponsive = self._grant_renewer.is_unresponsive(identity)
+        return not unresponsive or self._grant_renewer.may_hold_keys(identity)
 
     def _capacities(self, service: str, state: _ServiceState) -> dict[str, float]:
         """Return the requests per second of each target that may own keys."""
@@ -285,7 +285,7 @@
         capacities = {}
         for name in self._directory.usable(service):
             entry = self._directory.known[name]
-            if self._renewals.is_unresponsive(entry.target.identity):
+            if self._grant_renewer.is_unresponsive(entry.target.identity):
                 continue
             capacities[name] = entry.target.slots / state.speeds.seconds(name)
             if entry.cold_until > now():
@@ -305,7 +305,7 @@
                 first, last = max(r.first, move.first), min(r.last, move.last)
                 fence += FENCES_PER_MOVE
                 new.append(
-                    self._moves.start_move(r, first, last, move.owner, life, fence)
+                    self._key_moves.start_move(r, first, last, move.owner, life, fence)
                 )
         return assignment.replace(new, fence + 1)
 
@@ -339,16 +339,16 @@
     async def _move(self, service: str, r: KeyRange) -> None:
         """Revoke keys from their previous owner and grant them to the new one."""
         start_time = now()
-        handover = self._moves.get_handover(r)
+        handover = self._key_moves.get_handover(r)
         if handover is None:
-            handover = await self._moves.revoke(r)
+            handover = await self._key_moves.revoke(r)
         if handover is None or not self._is_current(service, r):
             return
-        self._moves.record_release(r, handover)
+        self._key_moves.record_release(r, handover)
         known = self._directory.known.get(r.owner)
         if known is None or known.target.life != r.life:
             return
-        if not await self._renewals.grant(known.target, r, handover):
+        if not await self._grant_renewer.grant(known.target, r, handover):
             return
         log.info(
             "keys moved",
--- a/packages/entry/src/berylstage_entry/key_moves.py
+++ b/packages/entry/src/berylstage_entry/key_moves.py
@@ -44,7 +44,7 @@
     directory : Directory
     office : Office
     wire : TargetWire
-    renewals : Renewals
+    grant_renewer : Renewals
     """
 
     def __init__(
@@ -52,12 +52,12 @@
         directory: ClusterView,
         office: CoordinatorElection,
         wire: TargetProtocol,
-        renewals: GrantRenewer,
+        grant_renewer: GrantRenewer,
     ):
         self._directory = directory
         self._office = office
         self._wire = wire
-        self._renewals = renewals
+        self._grant_renewer = grant_renewer
         # Moves whose previous owner no longer holds the keys, with its handover.
         self._released: dict[tuple[int, int, int], str] = {}
         # Fence of the last attempt to revoke keys, by move.
@@ -82,7 +82,7 @@
     def handed_on(self) -> bytes:
         """Return the state of ongoing moves for the next coordinator."""
         doc = {
-            "lapse_in": self._renewals.seconds_until_expiry(),
+            "lapse_in": self._grant_renewer.seconds_until_expiry(),
             "own": sorted(self._term_fences),
             "let_go": [[*move, handover] for move, handover in self._released.items()],
             "tries": [[*move, fence] for move, fence in self._last_fences.items()],
@@ -155,18 +155,18 @@
     async def revoke(self, r: KeyRange) -> str | None:
         """Return the handover once the previous owner holds no keys, else None."""
         identity = (r.former, r.former_life)
-        grants = self._renewals.get_grants(identity)
+        grants = self._grant_renewer.get_grants(identity)
         if r.fence not in self._term_fences:
             return await self._wait_for_expiry(r)
         known = self._directory.known.get(r.former)
         target = known.target if known is not None else None
         if target is None:
-            target = self._renewals.get_granted_target(identity)
+            target = self._grant_renewer.get_granted_target(identity)
         if grants.is_terminated or (
             grants.unresponsive_since and self._have_grants_expired(r)
         ):
             return ""
-        if target is not None and await self._renewals.is_responsive(target):
+        if target is not None and await self._grant_renewer.is_responsive(target):
             handover = await self._release(target, grants, r)
             if handover is not None:
                 return handover
@@ -177,7 +177,7 @@
 
     def _have_grants_expired(self, r: KeyRange) -> bool:
         """Tell whether all grants of moving keys by any VM have expired."""
-        grants = self._renewals.get_grants((r.former, r.former_life))
+        grants = self._grant_renewer.get_grants((r.former, r.former_life))
         expires_at = grants.expiry_for(r.first, r.last)
         return now() >= max(expires_at, self._office.other_grants_expire_at)
 
