--- a/packages/entry/tests/test_coordinator_election.py
+++ b/packages/entry/tests/test_coordinator_election.py
@@ -17,10 +17,10 @@
 @pytest.fixture
 def cluster():
     with virtual_loop() as loop:
-        candidate = ClusterSimulation(loop)
-        yield candidate
+        simulation = ClusterSimulation(loop)
+        yield simulation
         for name in VMS:
-            candidate.kill(name)
+            simulation.kill(name)
 
 
 def coordinators(cluster):
