--- a/packages/entry/src/berylstage_entry/assignment_writer.py
+++ b/packages/entry/src/berylstage_entry/assignment_writer.py
@@ -1,4 +1,4 @@
-"""Writes assignments into the store, and settles writes whose end is unknown."""
+"""Writes assignments to the store and resolves writes with unknown outcome."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
     from berylstage_entry.store import Store
     from berylstage_entry.store_watcher import StoreWatcher
 
-# Seconds between two looks for the end of a write, and between two tries: nothing else
-# can be written meanwhile, and each try is a call.
-PAUSE = 0.05
-TRY_AGAIN = 0.2
+# Seconds between two checks for the outcome of a write, and between two attempts:
+# nothing else can be written meanwhile, and each attempt is a call to the store.
+POLL_INTERVAL_SECONDS = 0.05
+RETRY_INTERVAL_SECONDS = 0.2
 
 log = Logger(__name__)
 
 
 class AssignmentWriter:
-    """Writes assignments while this VM has the duty of granting.
+    """Writes assignments while this VM is the coordinator.
 
     Parameters
     ----------
@@ -43,62 +43,68 @@
         self._store = store
         self._feed = feed
         self._office = office
-        # Called with each change that has been written.
+        # Called with each change after it was written.
         self.listeners: list[Callable[[AssignmentDelta], None]] = []
 
     async def write(self, service: str, assignment: Assignment) -> None:
-        """Write an assignment, and return once it is known to be in force.
+        """Write an assignment and return once it is known to be in force.
 
         Raises
         ------
         Conflict
-            Another one is in force.
+            Another assignment is in force.
         StoreError
-            It is not in force and won't be.
+            The assignment is not in force and will not be.
         """
         key = KEYS_PREFIX + service
         revision = self._feed.revisions.get(service, 0)
-        conditions = [self._office.condition(), Condition(key, revision)]
+        conditions = [self._office.write_condition(), Condition(key, revision)]
         old = self._feed.assignments.get(service) or nobody()
         value = assignment.encode()
-        doubtful = False
+        outcome_unknown = False
         while True:
             try:
-                new = await self._store.write(conditions, [Write(key, value)])
+                new_revision = await self._store.write(conditions, [Write(key, value)])
                 break
             except StoreRefused:
-                if not doubtful:
+                if not outcome_unknown:
                     raise
             except Conflict:
-                if doubtful:
-                    await self._catch_up(service, revision)
+                if outcome_unknown:
+                    await self._wait_for_newer_assignment(service, revision)
                 raise
             except StoreUnavailable as exc:
-                # It may be in force, or come into force seconds later. Until that is
-                # known nothing may be granted by the one before: the two could give the
-                # same keys to two targets.
-                doubtful = True
-                log.info("assignment in doubt", extra={"cause": str(exc)})
+                # The assignment may be in force, or come into force seconds later.
+                # Until this is known, nothing may be granted by the previous
+                # assignment: together, the two could give the same keys to two targets.
+                outcome_unknown = True
+                log.info(
+                    "outcome of assignment write unknown", extra={"cause": str(exc)}
+                )
             if not self._office.holds():
-                raise Conflict(f"{key}: the duty was lost while a write was in doubt")
-            await asyncio.sleep(TRY_AGAIN)
-        self._feed.take_assignment(service, assignment, new)
-        change = AssignmentDelta.between(service, revision, old, new, assignment)
+                raise Conflict(
+                    f"{key}: not coordinator any more, outcome of the write unknown"
+                )
+            await asyncio.sleep(RETRY_INTERVAL_SECONDS)
+        self._feed.take_assignment(service, assignment, new_revision)
+        change = AssignmentDelta.between(
+            service, revision, old, new_revision, assignment
+        )
         for listener in self.listeners:
             listener(change)
         log.info(
             "assignment written",
             extra={
                 "service": service,
-                "revision": new,
+                "revision": new_revision,
                 "ranges": len(assignment.ranges),
                 "moving": sum(1 for r in assignment.ranges if r.former),
             },
         )
 
-    async def _catch_up(self, service: str, revision: int) -> None:
-        """Wait until this VM has heard of a newer assignment than it knew."""
+    async def _wait_for_newer_assignment(self, service: str, revision: int) -> None:
+        """Wait until this VM knows a newer assignment than before."""
         while self._office.holds():
             if self._feed.revisions.get(service, 0) > revision:
                 return
-            await asyncio.sleep(PAUSE)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
--- a/packages/entry/src/berylstage_entry/coordinator_election.py
+++ b/packages/entry/src/berylstage_entry/coordinator_election.py
@@ -1,11 +1,13 @@
-"""The duty of granting keys: which VM has it, and for how long it may act on it.
-
-A VM gives orders only while its lease in the store certainly runs. What keeps the keys
-with their targets through an outage of the store are the holds that it gave before:
-when it loses the store and most other VMs say that they have lost it too, it lets all
-holds run for as long as targets take them. A VM that takes the duty over has to know
-whether that may have been done, since it must wait for these holds to end before it
-moves keys from a target that doesn't answer.
+"""Elects the coordinator, the one VM that grants keys to targets.
+
+A VM acts as the coordinator only while its lease in the store is certain to be valid.
+During an outage of the store, targets keep their keys by the grants that the
+coordinator gave before: if it and most other VMs have lost the store, it extends all
+grants to the longest duration that targets accept. A new coordinator must find out
+whether that may have happened, because it must let such grants expire before it moves
+keys away from an unresponsive target.
+
+The store, the logs and the paths call the coordinator's role the duty.
 """
 
 from __future__ import annotations
@@ -15,12 +17,16 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from berylstage_policy.standby import wait_of
+from berylstage_policy.standby import election_delay
 from logbook import Logger
 
 from berylstage_entry.clock import now
 from berylstage_entry.errors import Conflict, LeaseExpired, StoreError, StoreUnavailable
-from berylstage_entry.grant_expiry import HOLD, lapse_of, longest_hold
+from berylstage_entry.grant_expiry import (
+    GRANT_SECONDS,
+    compute_expiry,
+    extended_grant_seconds,
+)
 from berylstage_entry.store import Condition, Item, Write
 from berylstage_entry.store_keys import DUTY_KEY, OWN_PREFIX
 
@@ -32,54 +38,55 @@
     from berylstage_entry.store import Store
     from berylstage_entry.store_watcher import StoreWatcher
 
-# Key that counts the terms and names the last VM that had the duty. It stays.
+# Key with the number of the current term and the last coordinator. It has no lease.
 TERM_KEY = OWN_PREFIX + "term"
-# Path at which a VM is asked to hand on what it knows of the duty.
+# Path at which a former coordinator returns its state to its successor.
 HAND_ON_PATH = "/duty/hand-on"
-# Path at which a VM is asked whether it reaches the store, and for how long it has.
+# Path at which a VM tells for how long it has been in contact with the store.
 CONTACT_PATH = "/store/contact"
-# Seconds of the lease. A duty that is lost with its VM is taken over within them, which
-# is less than the time for which keys stay held without a renewal.
-LEASE = 2.0
-# Seconds between two looks whether the duty is vacant.
-LOOK = 0.1
+# Lease of the coordinator in the store. If its VM fails, another takes over within this
+# time, which is shorter than the duration of a grant.
+LEASE_SECONDS = 2.0
+# Seconds between two checks whether there is a coordinator.
+VACANCY_CHECK_SECONDS = 0.1
 # Seconds between two renewals of the lease.
-KEEP = 0.4
-# Seconds for one renewal: ten times what the store takes when it is slow by a factor of
-# ten; after a lost one there is time to ask the others and to prolong holds.
-KEEP_TIMEOUT = 0.45
-# Seconds of unbroken contact with the store that tell a VM that the store was well
-# while the last lease ran out: the lease (2 s), up to 1.2 s until a VM that does not
-# watch the duty's key reads that it is vacant, 0.1 s of scatter, 0.6 s in which a small
-# VM leaves it to others, two calls to a store that is 60 times slower than usual
-# (0.5 s), and the question itself (0.5 s). A VM that had lost the store when holds were
-# prolonged must not count as steady by then.
-STEADY = 5.5
-# Seconds that VMs wait at random before they try to take the duty, so that they don't
-# all try at once.
-SCATTER = 0.1
-# Seconds of a term before the duty is left to a better VM: those that are starting are
-# known by then, and what the former holder ordered has lapsed.
-SHORTEST_TERM = 5.0
-# Seconds between two questions to a former holder, and how often it is asked.
-ASK_AGAIN = 0.3
-ASKED = 3
+LEASE_RENEWAL_INTERVAL_SECONDS = 0.4
+# Timeout of one renewal: ten times what the store takes when it is slow by a factor of
+# ten. After a failed renewal there is time to query the other VMs and to extend grants.
+LEASE_RENEWAL_TIMEOUT_SECONDS = 0.45
+# Seconds of unbroken contact with the store that prove that the store was available
+# while the last coordinator's lease expired: the lease (2 s), up to 1.2 s until a VM
+# that does not watch the coordinator's key reads that it is gone, 0.1 s of jitter,
+# 0.6 s in which a small VM defers to others, two calls to a store that is 60 times
+# slower than usual (0.5 s), and the query itself (0.5 s). A VM that had lost the store
+# when grants were extended must not qualify by then.
+MIN_CONTACT_SECONDS = 5.5
+# Upper bound of the random delay before a VM tries to become coordinator, so that they
+# do not all try at once.
+MAX_JITTER_SECONDS = 0.1
+# Seconds that a coordinator stays before it yields to a better VM. By then the VMs that
+# are starting are known, and the previous coordinator's grants have expired.
+MIN_TERM_SECONDS = 5.0
+# Seconds between two queries to the previous coordinator, and their number.
+QUERY_INTERVAL_SECONDS = 0.3
+QUERY_ATTEMPTS = 3
 
 log = Logger(__name__)
 
 
 class _Term:
-    """A term of the duty, as the store keeps it.
+    """A coordinator's term, as stored.
 
     Parameters
     ----------
     number : int
-        Grows with each term.
+        Increases with each term.
     vm : str
+        The coordinator.
     control : str
-        Where the VM listens for others.
+        Address at which it listens for other VMs.
     settled : bool
-        Whether nothing holds any more that was ordered in the terms before.
+        Whether all grants of earlier terms have expired.
     """
 
     __slots__ = ("control", "number", "settled", "vm")
@@ -91,7 +98,7 @@
         self.settled = settled
 
     def encode(self) -> bytes:
-        """Return the bytes that the store keeps."""
+        """Return the value to store."""
         doc = {
             "term": self.number,
             "vm": self.vm,
@@ -102,7 +109,7 @@
 
     @classmethod
     def decode(cls, value: bytes | None) -> _Term:
-        """Read what the store keeps; None is the time before the first term."""
+        """Parse the stored value; None if there has not been any term yet."""
         if value is None:
             return cls(0, "", "", True)
         doc = json.loads(value)
@@ -110,7 +117,7 @@
 
 
 class CoordinatorElection:
-    """Takes, keeps and gives up the duty of granting.
+    """Acquires, renews and gives up the coordinator's lease.
 
     Parameters
     ----------
@@ -135,315 +142,342 @@
         self._peers = peers
         self._rng = rng
         self._lease = 0
-        # The one that was taken last and not ended: the store may have bound the duty
-        # to it without this VM's knowing.
-        self._taken_lease = 0
-        self._confirmed = float("-inf")
-        self._duty_revision = 0
+        # The lease acquired last, until it is revoked. The store may have bound the
+        # coordinator's key to it although this VM does not know that the write
+        # succeeded.
+        self._acquired_lease = 0
+        self._lease_renewed_at = float("-inf")
+        self._key_revision = 0
         self._task: asyncio.Task | None = None
-        self._asking: asyncio.Task | None = None
-        self._prolonging: asyncio.Task | None = None
+        self._takeover_task: asyncio.Task | None = None
+        self._extension_task: asyncio.Task | None = None
         self._stopping = False
-        # Set when the duty's key has changed, and while this VM has a lease on it.
+        # Set when the coordinator's key has changed, and while this VM has the lease.
         self._key_changed = asyncio.Event()
-        self._leased = asyncio.Event()
-        feed.listeners.append(self._heard)
+        self._has_lease = asyncio.Event()
+        feed.listeners.append(self._on_store_change)
         self.term = 0
-        # Whether the term before was this very process's own.
-        self.follows_itself = False
-        # Called with what a former holder of the duty hands on; returns the seconds
-        # after which nothing holds that it ordered, or None when it can't be read.
+        # Whether this very process was also the coordinator of the previous term.
+        self.succeeds_itself = False
+        # Called with the state of the previous coordinator. Returns the seconds until
+        # all its grants have expired, or None if the state cannot be parsed.
         self.inherit: Callable[[bytes], float | None] = lambda body: None
-        # When nothing holds any more that other VMs ordered, as far as is known.
-        self.others_lapse = float("inf")
-        # When the term began.
-        self._taken = float("-inf")
-        # Returns where a VM listens that had better have the duty; empty for none.
+        # Time by which all grants of other VMs have expired, as far as known.
+        self.other_grants_expire_at = float("inf")
+        # Start of the term.
+        self._term_start = float("-inf")
+        # Returns the address of a VM that should be coordinator instead, or "".
         self.better: Callable[[], str] = lambda: ""
-        # Whether holds are to outlast an outage of the store.
-        self.prolongs = False
+        # Whether grants last long enough to outlast an outage of the store.
+        self.extends_grants = False
 
     def start(self) -> None:
-        """Begin to look after the duty."""
+        """Start to take part in the election."""
         self._task = asyncio.create_task(self._run())
 
     def holds(self) -> bool:
-        """Tell whether this VM has the duty and may still give orders.
+        """Tell whether this VM is the coordinator and may still grant keys.
 
-        To be asked right before each order, since this VM may have stood still since
-        the last look at the clock.
+        Callers must check this right before each grant, because the process may have
+        been suspended since the clock was read last.
         """
-        return bool(self._lease) and now() < self._confirmed + LEASE
+        return bool(self._lease) and now() < self._lease_renewed_at + LEASE_SECONDS
 
     async def wait_for_lease(self) -> None:
-        """Return when this VM has a lease on the duty, whether or not it may order."""
-        await self._leased.wait()
+        """Wait until this VM has the coordinator lease, even if it may not grant."""
+        await self._has_lease.wait()
 
     def hold(self) -> float:
-        """Return the seconds for which a grant given now is to hold."""
-        return longest_hold(self._cfg.bounds.longest_hold) if self.prolongs else HOLD
+        """Return the duration in seconds of a grant made now."""
+        return (
+            extended_grant_seconds(self._cfg.bounds.longest_hold)
+            if self.extends_grants
+            else GRANT_SECONDS
+        )
 
     def may_hand_on(self, body: bytes) -> bool:
-        """Tell whether this very process had the duty in a term, and has it no more.
+        """Tell whether this process was the coordinator of a term and no longer is.
 
-        A process that started anew under the address of the former holder knows nothing
-        of its orders. An answer of it would say that nothing holds any more, and the
-        keys of a silent target would get a second owner.
+        A process that was restarted at the address of the former coordinator knows
+        nothing of the grants made before. If it answered, its successor would conclude
+        that all have expired, and the keys of an unresponsive target would get a second
+        owner.
 
         Parameters
         ----------
         body : bytes
-            Number of the term that is asked about.
+            Number of the term.
         """
         return body == str(self.term).encode() and not self.holds()
 
-    def condition(self) -> Condition:
+    def write_condition(self) -> Condition:
         """Return the condition under which this VM may write assignments."""
-        return Condition(DUTY_KEY, self._duty_revision)
+        return Condition(DUTY_KEY, self._key_revision)
 
     def holder_address(self) -> str:
-        """Return where the VM with the duty listens for others; empty when unknown."""
+        """Return the coordinator's address for other VMs, or "" if it is unknown."""
         item = self._feed.own.get(DUTY_KEY)
         if item is None or item.value is None:
             return ""
         return json.loads(item.value)["control"]
 
     async def resign(self) -> None:
-        """Give the duty up so that another VM takes it at once."""
+        """Step down so that another VM can become coordinator at once."""
         self._stopping = True
         if self._task is not None:
             self._task.cancel()
-        await self._give_back("stopping")
+        await self._give_up_lease("stopping")
 
-    async def _give_back(self, cause: str) -> None:
-        has_duty, revision = bool(self._lease), self._duty_revision
+    async def _give_up_lease(self, cause: str) -> None:
+        was_coordinator, revision = bool(self._lease), self._key_revision
         self._step_down(cause)
-        if not self._taken_lease:
+        if not self._acquired_lease:
             return
         try:
-            if has_duty:
+            if was_coordinator:
                 conditions = [Condition(DUTY_KEY, revision)]
                 await self._store.write(conditions, [], [DUTY_KEY])
-            await self._store.end_lease(self._taken_lease)
+            await self._store.end_lease(self._acquired_lease)
         except LeaseExpired:
-            log.debug("the lease of the duty has ended already")
+            log.debug("the coordinator's lease has already expired")
         except StoreError as exc:
             log.warning(
-                "duty not given back; its lease ends", extra={"cause": str(exc)}
+                "coordinator's lease not revoked; waiting for it to expire",
+                extra={"cause": str(exc)},
             )
             return
-        self._taken_lease = 0
+        self._acquired_lease = 0
 
     async def _run(self) -> None:
         while not self._stopping:
             try:
                 if self._lease:
-                    await asyncio.sleep(KEEP)
-                    await self._keep()
-                elif self._is_vacant():
-                    wait = self._rng.uniform(0, SCATTER) + wait_of(self._cfg.power)
+                    await asyncio.sleep(LEASE_RENEWAL_INTERVAL_SECONDS)
+                    await self._renew_lease()
+                elif self._lacks_coordinator():
+                    wait = self._rng.uniform(0, MAX_JITTER_SECONDS) + election_delay(
+                        self._cfg.power
+                    )
                     await asyncio.sleep(wait)
-                    await self._take()
+                    await self._campaign()
                 else:
-                    await self._wait_for_vacancy()
+                    await self._wait_for_key_change()
             except StoreError as exc:
-                log.info("duty: the store did not answer", extra={"cause": str(exc)})
+                log.info(
+                    "election: no answer from the store", extra={"cause": str(exc)}
+                )
                 await asyncio.sleep(0.2)
 
-    async def _wait_for_vacancy(self) -> None:
-        """Return when another look at the duty is worth while.
+    async def _wait_for_key_change(self) -> None:
+        """Wait until it is worthwhile to check again whether there is a coordinator.
 
-        Hundreds of VMs look after a duty that one of them has. As long as its key says
-        so, only a change of the key wakes them.
+        Hundreds of VMs take part in the election. As long as the key names a
+        coordinator, only a change of the key wakes them.
         """
         if self.holder_address():
             self._key_changed.clear()
             await self._key_changed.wait()
         else:
-            # Vacant, and the store does not answer this VM.
-            await asyncio.sleep(LOOK)
+            # There is no coordinator, and this VM cannot reach the store.
+            await asyncio.sleep(VACANCY_CHECK_SECONDS)
 
-    def _heard(self, what: str) -> None:
-        if what in (DUTY_KEY, "read"):
+    def _on_store_change(self, changed: str) -> None:
+        if changed in (DUTY_KEY, "read"):
             self._key_changed.set()
 
-    def _is_vacant(self) -> bool:
+    def _lacks_coordinator(self) -> bool:
         item = self._feed.own.get(DUTY_KEY)
-        vacant = item is None or item.value is None
-        # No longer than until the store answers again: prolonged holds may end 1.3 s
-        # after its return, and with 3 s more no key had an owner in between.
-        return vacant and self._feed.is_in_touch()
+        no_coordinator = item is None or item.value is None
+        # Only wait until the store answers again: extended grants may expire 1.3 s
+        # after the store is back, and 3 s more left all keys without an owner.
+        return no_coordinator and self._feed.is_in_touch()
 
-    async def _keep(self) -> None:
+    async def _renew_lease(self) -> None:
         item = self._feed.own.get(DUTY_KEY)
-        if item is not None and item.revision > self._duty_revision:
+        if item is not None and item.revision > self._key_revision:
             self._step_down("another VM has it")
             return
         sent = now()
         try:
-            async with asyncio.timeout(KEEP_TIMEOUT):
+            async with asyncio.timeout(LEASE_RENEWAL_TIMEOUT_SECONDS):
                 await self._store.keep_lease(self._lease)
-            self._confirmed = sent
-            self.prolongs = False
-            await self._leave_to_better()
+            self._lease_renewed_at = sent
+            self.extends_grants = False
+            await self._yield_to_preferred()
         except LeaseExpired:
             self._step_down("lease ended")
         except (StoreError, TimeoutError) as exc:
-            if self._prolonging is None or self._prolonging.done():
-                self._prolonging = asyncio.create_task(self._prolong())
-            raise StoreUnavailable(f"lease not renewed: {exc}") from exc
+            if self._extension_task is None or self._extension_task.done():
+                self._extension_task = asyncio.create_task(self._extend_grants())
+            raise StoreUnavailable(f"coordinator's lease not renewed: {exc}") from exc
 
-    async def _leave_to_better(self) -> None:
-        """Give the duty up when a VM with much more room for it lives.
+    async def _yield_to_preferred(self) -> None:
+        """Step down if a VM with much more capacity is alive.
 
-        A small VM may have taken it while the larger ones were away or starting. Its
-        orders come late when requests crowd it, targets count as silent for that, and
-        moving their keys is more work still.
+        A small VM may have become coordinator while larger ones were absent or
+        starting. Under load it grants keys late, targets then count as unresponsive,
+        and moving their keys adds to the load.
         """
         address = self.better()
-        if not address or now() - self._taken < SHORTEST_TERM:
+        if not address or now() - self._term_start < MIN_TERM_SECONDS:
             return
-        # Its record outlives it by the length of its lease.
+        # A VM's record remains for the duration of its lease after the VM has failed.
         answer = await self._peers.ask(address, CONTACT_PATH)
         if answer is None or float(answer) <= 0:
             return
-        await self._give_back("a VM with more room for it is there")
-        await asyncio.sleep(LEASE)
+        await self._give_up_lease("a VM with more room for it is there")
+        await asyncio.sleep(LEASE_SECONDS)
 
-    async def _prolong(self) -> None:
-        """Let holds outlast the store's outage, if it is one and not just this VM's."""
-        if self.prolongs or not self.holds():
+    async def _extend_grants(self) -> None:
+        """Extend grants if other VMs have lost the store as well."""
+        if self.extends_grants or not self.holds():
             return
         answers = await self._peers.ask_all(CONTACT_PATH)
-        told = [answer for answer in answers if answer is not None]
-        lost = [answer for answer in told if float(answer) <= 0]
-        # Half of all VMs must have lost the store, and nobody may reach it: then no VM
-        # that takes the duty over finds half of them with unbroken contact.
-        if 2 * len(lost) >= len(answers) and len(lost) == len(told) and self.holds():
-            self.prolongs = True
+        reported = [answer for answer in answers if answer is not None]
+        lost = [answer for answer in reported if float(answer) <= 0]
+        # At least half of all VMs must have lost the store, and none may reach it. No
+        # VM that becomes coordinator then finds that half of them had unbroken contact.
+        if (
+            2 * len(lost) >= len(answers)
+            and len(lost) == len(reported)
+            and self.holds()
+        ):
+            self.extends_grants = True
         log.info(
             "store lost by the holder of the duty",
             extra={
-                "prolongs": self.prolongs,
+                "prolongs": self.extends_grants,
                 "asked": len(answers),
-                "told": len(told),
+                "told": len(reported),
                 "lost": len(lost),
             },
         )
 
-    async def _take(self) -> None:
-        if not self._is_vacant():
+    async def _campaign(self) -> None:
+        if not self._lacks_coordinator():
             return
         sent = now()
-        lease = await self._store.take_lease(max(LEASE, self._cfg.shortest_lease))
-        self._taken_lease = lease
+        lease = await self._store.take_lease(
+            max(LEASE_SECONDS, self._cfg.shortest_lease)
+        )
+        self._acquired_lease = lease
         old = self._feed.own.get(TERM_KEY)
-        before = _Term.decode(old.value if old else None)
-        mine = _Term(before.number + 1, self._cfg.vm, self._cfg.control, False)
+        previous = _Term.decode(old.value if old else None)
+        current = _Term(previous.number + 1, self._cfg.vm, self._cfg.control, False)
         conditions = [
             Condition(DUTY_KEY, 0),
             Condition(TERM_KEY, old.revision if old else 0),
         ]
-        value = mine.encode()
+        value = current.encode()
         writes = [Write(DUTY_KEY, value, lease), Write(TERM_KEY, value)]
         try:
             revision = await self._store.write(conditions, writes)
         except (Conflict, LeaseExpired):
             await asyncio.sleep(0.1)
             return
-        self.follows_itself = self.term == before.number and self.term > 0
-        self._lease, self._confirmed, self._duty_revision = lease, sent, revision
-        self._leased.set()
-        self._taken = sent
-        self.term = mine.number
-        self.prolongs = False
+        self.succeeds_itself = self.term == previous.number and self.term > 0
+        self._lease, self._lease_renewed_at, self._key_revision = lease, sent, revision
+        self._has_lease.set()
+        self._term_start = sent
+        self.term = current.number
+        self.extends_grants = False
         self._feed.take_written(Item(DUTY_KEY, value, revision))
         self._feed.take_written(Item(TERM_KEY, value, revision))
-        self.others_lapse = now()
-        if before.control and not (self.follows_itself and before.settled):
-            self.others_lapse = lapse_of(now(), self._longest())
+        self.other_grants_expire_at = now()
+        if previous.control and not (self.succeeds_itself and previous.settled):
+            self.other_grants_expire_at = compute_expiry(
+                now(), self._extended_grant_seconds()
+            )
         log.info(
             "duty taken",
             extra={
                 "term": self.term,
-                "former": before.control,
-                "settled": before.settled,
+                "former": previous.control,
+                "settled": previous.settled,
                 "revision": revision,
             },
         )
-        self._asking = asyncio.create_task(self._learn_of(before, mine))
+        self._takeover_task = asyncio.create_task(
+            self._await_earlier_grants(previous, current)
+        )
 
-    def _longest(self) -> float:
-        return longest_hold(self._cfg.bounds.longest_hold)
+    def _extended_grant_seconds(self) -> float:
+        return extended_grant_seconds(self._cfg.bounds.longest_hold)
 
-    async def _learn_of(self, before: _Term, mine: _Term) -> None:
-        """Find out how long to wait for what was ordered before, and write it down."""
-        began = now()
-        if before.control and not self.follows_itself:
-            steady, told = await asyncio.gather(
-                self._was_steady(before.control), self._hand_on(before)
+    async def _await_earlier_grants(self, previous: _Term, current: _Term) -> None:
+        """Determine when the grants of earlier terms expire, then store that fact."""
+        start_time = now()
+        if previous.control and not self.succeeds_itself:
+            had_contact, seconds_left = await asyncio.gather(
+                self._had_contact(previous.control), self._query_predecessor(previous)
             )
-            lapses = [self.others_lapse]
-            if before.settled and steady:
-                lapses.append(lapse_of(began, HOLD))
-            if before.settled and told is not None:
-                lapses.append(now() + told)
-            self.others_lapse = min(lapses)
+            expiries = [self.other_grants_expire_at]
+            if previous.settled and had_contact:
+                expiries.append(compute_expiry(start_time, GRANT_SECONDS))
+            if previous.settled and seconds_left is not None:
+                expiries.append(now() + seconds_left)
+            self.other_grants_expire_at = min(expiries)
             log.info(
                 "former holds",
                 extra={
-                    "steady": steady,
-                    "handed_on": told is not None,
-                    "lapse_in": round(self.others_lapse - now(), 2),
+                    "steady": had_contact,
+                    "handed_on": seconds_left is not None,
+                    "lapse_in": round(self.other_grants_expire_at - now(), 2),
                 },
             )
-        await asyncio.sleep(max(0.0, self.others_lapse - now()))
-        await self._write_settled(mine)
+        await asyncio.sleep(max(0.0, self.other_grants_expire_at - now()))
+        await self._store_settled(current)
 
-    async def _was_steady(self, former: str) -> bool:
-        """Tell whether half of all VMs had unbroken contact with the store of late."""
-        if self._feed.steady() < STEADY:
+    async def _had_contact(self, former: str) -> bool:
+        """Tell whether over half of the VMs had unbroken contact with the store."""
+        if self._feed.steady() < MIN_CONTACT_SECONDS:
             return False
-        # The former holder prolonged holds only if half of the VMs beside it had lost
+        # The former coordinator extended grants only if half of the other VMs had lost
         # the store. More than half of them with unbroken contact, this one included,
         # rule that out.
         addresses = [a for a in self._peers.others() if a != former]
         answers = await asyncio.gather(
             *(self._peers.ask(a, CONTACT_PATH) for a in addresses)
         )
-        steady = [a for a in answers if a is not None and float(a) >= STEADY]
-        return 2 * (len(steady) + 1) > len(answers) + 1
-
-    async def _hand_on(self, before: _Term) -> float | None:
-        """Return the seconds until nothing holds that the former holder ordered."""
-        for _ in range(ASKED):
-            term = str(before.number).encode()
-            answer = await self._peers.ask(before.control, HAND_ON_PATH, term)
+        in_contact = [
+            a for a in answers if a is not None and float(a) >= MIN_CONTACT_SECONDS
+        ]
+        return 2 * (len(in_contact) + 1) > len(answers) + 1
+
+    async def _query_predecessor(self, previous: _Term) -> float | None:
+        """Return the seconds until the former coordinator's grants expire."""
+        for _ in range(QUERY_ATTEMPTS):
+            term = str(previous.number).encode()
+            answer = await self._peers.ask(previous.control, HAND_ON_PATH, term)
             if answer:
                 return self.inherit(answer)
-            await asyncio.sleep(ASK_AGAIN)
+            await asyncio.sleep(QUERY_INTERVAL_SECONDS)
         return None
 
-    async def _write_settled(self, mine: _Term) -> None:
-        """Write that nothing holds any more that was ordered in the terms before."""
-        mine.settled = True
-        while self._lease and self.term == mine.number:
+    async def _store_settled(self, current: _Term) -> None:
+        """Store that all grants of earlier terms have expired."""
+        current.settled = True
+        while self._lease and self.term == current.number:
             try:
                 item = self._feed.own[TERM_KEY]
-                conditions = [self.condition(), Condition(TERM_KEY, item.revision)]
-                await self._store.write(conditions, [Write(TERM_KEY, mine.encode())])
+                conditions = [
+                    self.write_condition(),
+                    Condition(TERM_KEY, item.revision),
+                ]
+                await self._store.write(conditions, [Write(TERM_KEY, current.encode())])
                 return
             except Conflict:
-                # Its answer may have been lost, or this VM has the duty no more.
+                # The answer to an earlier attempt was lost, or another VM is
+                # coordinator now.
                 return
             except StoreError as exc:
-                log.info("term not written", extra={"cause": str(exc)})
-                await asyncio.sleep(ASK_AGAIN)
+                log.info("term not stored", extra={"cause": str(exc)})
+                await asyncio.sleep(QUERY_INTERVAL_SECONDS)
 
-    def _step_down(self, why: str) -> None:
+    def _step_down(self, reason: str) -> None:
         if self._lease:
-            log.info("duty given up", extra={"why": why, "term": self.term})
+            log.info("duty given up", extra={"why": reason, "term": self.term})
         self._lease = 0
-        self._leased.clear()
-        self.prolongs = False
-        self.others_lapse = float("inf")
+        self._has_lease.clear()
+        self.extends_grants = False
+        self.other_grants_expire_at = float("inf")
--- a/packages/entry/src/berylstage_entry/coordinator_watch.py
+++ b/packages/entry/src/berylstage_entry/coordinator_watch.py
@@ -1,4 +1,4 @@
-"""Watches the key of the duty of granting, so that a vacancy is known at once."""
+"""Watches the coordinator's key so that a vacancy is known at once."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
     from berylstage_entry.store import Store
     from berylstage_entry.store_watcher import StoreWatcher
 
-# Seconds that the watch of the duty's key waits for a change. One that has gone silent
-# is noticed after as long; meanwhile the reading of all keys brings the same news.
-DUTY_WAIT = 20.0
-# Seconds before a failed watch is tried again, at least. The reading of all keys brings
-# its news as well when the store is back; calls to a store that is away are paid for
-# like others.
-DUTY_RETRY = 1.0
-# Seconds between two looks whether this VM is one of those that watch.
-LOOK = 0.35
+# Seconds that the watch waits for a change. A broken watch is detected after this time;
+# until then the periodic read of all keys brings the same changes.
+WATCH_TIMEOUT_SECONDS = 20.0
+# Lower bound of the delay before a failed watch is retried. The periodic read of all
+# keys brings the changes as well once the store is back, and calls to an unavailable
+# store cost as much as others.
+MIN_RETRY_SECONDS = 1.0
+# Seconds between two checks whether this VM should watch.
+CHECK_INTERVAL_SECONDS = 0.35
 
 log = Logger(__name__)
 
 
 class CoordinatorWatch:
-    """A watch of one key, beside the paced reading of all keys.
+    """A watch of one key, beside the periodic read of all keys.
 
     Parameters
     ----------
@@ -40,32 +40,36 @@
     def __init__(self, store: Store, feed: StoreWatcher):
         self._store = store
         self._feed = feed
-        # Up to which the key is known, where that is more than of all keys.
+        # Revision up to which the key is known, if newer than that of all keys.
         self._revision = 0
 
     async def run(self) -> None:
-        """Watch for as long as this VM is one of those that do."""
-        # A duty without a holder is taken over before grants end, for which the paced
-        # reading would be too slow.
+        """Watch whenever this VM is one of those that should."""
+        # Another VM must become coordinator before grants expire, and the periodic
+        # read alone would be too slow for that.
         while True:
-            if not self._is_wanted():
-                await asyncio.sleep(LOOK)
+            if not self._should_watch():
+                await asyncio.sleep(CHECK_INTERVAL_SECONDS)
                 continue
             revision = max(self._feed.revision, self._revision)
             try:
-                while self._is_wanted():
-                    changes = await self._store.watch(DUTY_KEY, revision, DUTY_WAIT)
+                while self._should_watch():
+                    changes = await self._store.watch(
+                        DUTY_KEY, revision, WATCH_TIMEOUT_SECONDS
+                    )
                     for item in changes.items:
                         self._feed.take_own(item)
                     revision = max(revision, changes.revision)
             except RevisionCompacted:
                 await self._read()
             except StoreError as exc:
-                log.info("watch of the duty failed", extra={"cause": str(exc)})
-                await asyncio.sleep(max(DUTY_RETRY, self._feed.retry_pause()))
+                log.info(
+                    "watch of the coordinator's key failed", extra={"cause": str(exc)}
+                )
+                await asyncio.sleep(max(MIN_RETRY_SECONDS, self._feed.retry_pause()))
 
     async def _read(self) -> None:
-        """Read the duty's key, whose changes are no longer kept."""
+        """Read the coordinator's key, whose changes the store has compacted."""
         try:
             changes = await self._store.read(DUTY_KEY)
         except StoreError as exc:
@@ -73,17 +77,20 @@
             await asyncio.sleep(self._feed.retry_pause())
             return
         found = [item for item in changes.items if item.key == DUTY_KEY]
-        gone = Item(DUTY_KEY, None, changes.revision)
-        self._feed.take_own(found[0] if found else gone)
+        removed = Item(DUTY_KEY, None, changes.revision)
+        self._feed.take_own(found[0] if found else removed)
         self._revision = changes.revision
 
-    def _is_wanted(self) -> bool:
-        """Tell whether this VM is one of those that watch the duty's key.
+    def _should_watch(self) -> bool:
+        """Tell whether this VM should watch the coordinator's key.
 
-        While it is vacant all do that might take it: with its taking, the rest stop.
+        While there is no coordinator, all VMs that may become it watch. The rest stop
+        as soon as there is one.
         """
         if not self._feed.complete or self._feed.is_teller():
             return False
         item = self._feed.own.get(DUTY_KEY)
-        vacant = item is None or item.value is None
-        return self._feed.is_standby() or (vacant and not self._feed.leaves_duty())
+        no_coordinator = item is None or item.value is None
+        return self._feed.is_standby() or (
+            no_coordinator and not self._feed.leaves_duty()
+        )
--- a/packages/entry/src/berylstage_entry/grant_expiry.py
+++ b/packages/entry/src/berylstage_entry/grant_expiry.py
@@ -1,166 +1,183 @@
-"""Until when a target may hold keys by orders that anybody may have given it."""
+"""Determines until when targets may hold keys by grants of any VM."""
 
 from __future__ import annotations
 
-# Seconds for which a grant holds. A target that falls silent keeps its keys from others
-# for as long; three renewals fit in before it ends, and the duty of granting changes
-# hands within it (a lease of 2 s), so that a lost VM costs no key.
-HOLD = 3.0
-# Share of the longest hold that targets take which is used in an outage of the store.
-LONGEST_SHARE = 0.98
+# Duration of a grant. The keys of an unresponsive target stay unavailable for this
+# time. It covers three renewals and the election of a new coordinator (store lease of
+# 2 s), so that no key loses its owner when a VM fails.
+GRANT_SECONDS = 3.0
+# Share of the longest grant that targets accept, which is used during an outage of the
+# store.
+EXTENDED_GRANT_SHARE = 0.98
 # Seconds between two renewals.
-RENEWAL = 0.8
-# How much slower a target's clock may run.
-CLOCK_DRIFT = 0.02
-# Seconds that an order may take on its way to a target, beyond which it is broken off.
-ORDER_TIMEOUT = 0.4
-# Seconds that are kept for orders under way and the clock of this VM.
-MARGIN = 0.2
+GRANT_RENEWAL_INTERVAL_SECONDS = 0.8
+# Relative amount by which a target's clock may run slow.
+MAX_CLOCK_DRIFT = 0.02
+# Timeout in seconds of a grant call.
+GRANT_TIMEOUT_SECONDS = 0.4
+# Seconds added for grants in transit and the clock of this VM.
+SAFETY_MARGIN_SECONDS = 0.2
 
 
-# Seconds between two refused connections that show that a target's process is gone.
-REFUSED_FOR = 0.1
+# Seconds for which connections must be refused before a target's process counts as
+# terminated.
+MIN_REFUSAL_SECONDS = 0.1
 
 
-def longest_hold(bound: float) -> float:
-    """Return the seconds of a hold that is to outlast an outage of the store.
+def extended_grant_seconds(bound: float) -> float:
+    """Return the duration of a grant that is to outlast an outage of the store.
 
     Parameters
     ----------
     bound : float
-        Seconds for which targets take a grant at most.
+        Longest grant in seconds that targets accept.
     """
-    return max(HOLD, LONGEST_SHARE * bound)
+    return max(GRANT_SECONDS, EXTENDED_GRANT_SHARE * bound)
 
 
-def lapse_of(ordered: float, hold: float) -> float:
-    """Return when a hold is over that an order sent at a moment may have begun.
+def compute_expiry(sent_at: float, seconds: float) -> float:
+    """Return the time by which a grant has expired.
 
     Parameters
     ----------
-    ordered : float
-        Monotonic seconds.
-    hold : float
-        Seconds.
+    sent_at : float
+        Monotonic time in seconds at which the grant is sent.
+    seconds : float
+        Duration of the grant in seconds.
 
     Returns
     -------
     float
+        Monotonic time in seconds.
     """
-    return ordered + ORDER_TIMEOUT + hold * (1 + CLOCK_DRIFT) + MARGIN
+    return (
+        sent_at
+        + GRANT_TIMEOUT_SECONDS
+        + seconds * (1 + MAX_CLOCK_DRIFT)
+        + SAFETY_MARGIN_SECONDS
+    )
 
 
-class Order:
-    """An order to hold some keys that may reach a target.
+class SentGrant:
+    """A grant that may reach a target.
 
     Parameters
     ----------
     first, last : int
-        Keys, both included.
-    lapse : float
-        When nothing holds any more that it brought about.
+        Keys, both inclusive.
+    expires_at : float
+        Time by which the grant has expired.
     """
 
-    __slots__ = ("first", "lapse", "last")
+    __slots__ = ("expires_at", "first", "last")
 
-    def __init__(self, first: int, last: int, lapse: float):
+    def __init__(self, first: int, last: int, expires_at: float):
         self.first = first
         self.last = last
-        self.lapse = lapse
+        self.expires_at = expires_at
 
 
 class TargetGrants:
-    """What this VM knows of the holds of one life of a target."""
+    """Grants to one incarnation of a target, as known to this VM."""
 
-    __slots__ = ("_orders", "_refused_at", "has_ended", "probed_at", "silent_since")
+    __slots__ = (
+        "_grants",
+        "_refusing_since",
+        "is_terminated",
+        "probed_at",
+        "unresponsive_since",
+    )
 
     def __init__(self) -> None:
-        # Those that may hold.
-        self._orders: list[Order] = []
-        # Since when it has not answered; 0 while it answers.
-        self.silent_since = 0.0
-        # Since when connections to it have been refused; 0 while they are not.
-        self._refused_at = 0.0
-        # When it was asked last whether it is back.
+        # Grants that may still be valid.
+        self._grants: list[SentGrant] = []
+        # Time since which it has not answered; 0 if it answers.
+        self.unresponsive_since = 0.0
+        # Time since which it has refused connections; 0 if it does not.
+        self._refusing_since = 0.0
+        # Time of the last probe.
         self.probed_at = float("-inf")
-        # Whether its life is over for certain, so that it holds nothing.
-        self.has_ended = False
+        # Whether its process has certainly terminated, so that it holds no keys.
+        self.is_terminated = False
 
     @property
-    def lapse(self) -> float:
-        """When nothing holds any more that this VM ordered."""
-        return max((order.lapse for order in self._orders), default=float("-inf"))
-
-    def ordered(self, now: float, hold: float, first: int, last: int) -> Order:
-        """Note that an order for some keys is about to be sent."""
-        order = Order(first, last, lapse_of(now, hold))
-        self._orders = [known for known in self._orders if known.lapse > now]
-        self._orders.append(order)
-        return order
-
-    def unsent(self, order: Order) -> None:
-        """Note that an order never left, so that nothing holds by it.
-
-        No connection to a target that is cut off comes about. Counted all the same,
-        each further order would put off the moment at which its keys can go to another.
+    def expires_at(self) -> float:
+        """Time by which all grants of this VM have expired."""
+        return max((grant.expires_at for grant in self._grants), default=float("-inf"))
+
+    def record_sent(
+        self, now: float, seconds: float, first: int, last: int
+    ) -> SentGrant:
+        """Record that a grant is about to be sent."""
+        grant = SentGrant(first, last, compute_expiry(now, seconds))
+        self._grants = [known for known in self._grants if known.expires_at > now]
+        self._grants.append(grant)
+        return grant
+
+    def record_unsent(self, grant: SentGrant) -> None:
+        """Record that a grant was never sent, so that it has no effect.
+
+        No connection to an unreachable target can be established. If such grants
+        counted, each of them would delay the move of the target's keys.
         """
-        self._orders = [known for known in self._orders if known is not order]
+        self._grants = [known for known in self._grants if known is not grant]
 
-    def lapse_on(self, first: int, last: int) -> float:
-        """Return when nothing holds any of some keys that this VM ordered.
+    def expiry_for(self, first: int, last: int) -> float:
+        """Return when all grants of some keys by this VM have expired.
 
-        A target's other keys are renewed while some of its keys move, so the end of all
-        its holds never comes. What was known when the move was decided is not enough
-        either: renewals go on until the move is written, which takes as long as the
-        store is slow, and a silent target would keep what they brought it.
+        A target's other keys are renewed while some of its keys move, so there is no
+        time when all its grants have expired. The expiry known when the move was
+        decided would be too early: renewals continue until the move is stored, which
+        takes long if the store is slow, and an unresponsive target would still hold
+        keys by the last of them.
 
         Parameters
         ----------
         first, last : int
-            Keys, both included.
+            Keys, both inclusive.
 
         Returns
         -------
         float
-            Monotonic seconds; minus infinity when nothing was ordered.
+            Monotonic time in seconds; minus infinity if there are no such grants.
         """
-        ends = [
-            order.lapse
-            for order in self._orders
-            if order.first <= last and order.last >= first
+        expiries = [
+            grant.expires_at
+            for grant in self._grants
+            if grant.first <= last and grant.last >= first
         ]
-        return max(ends, default=float("-inf"))
+        return max(expiries, default=float("-inf"))
 
-    def answered(self) -> None:
-        """Note an answer."""
-        self.silent_since = 0.0
-        self._refused_at = 0.0
+    def record_answer(self) -> None:
+        """Record an answer."""
+        self.unresponsive_since = 0.0
+        self._refusing_since = 0.0
 
-    def refused(self, now: float) -> None:
-        """Note that nothing listened at its address.
+    def record_refusal(self, now: float) -> None:
+        """Record that the target's port refused a connection.
 
-        The process is gone, and what starts there holds nothing: its keys need not wait
-        for holds to end. It is asked twice, so that nothing hangs on one packet that
-        was answered by mistake. A target that is full accepts connections before it
-        resets them, which is not this.
+        The process has terminated, and one started in its place holds no keys, so its
+        keys can move before its grants expire. Two refusals are required so that one
+        stray packet does not decide. A target at its connection limit does not count:
+        it accepts connections before it resets them.
         """
-        self.failed(now)
-        if not self._refused_at:
-            self._refused_at = now
-        elif now - self._refused_at >= REFUSED_FOR:
-            self.ended(now)
-
-    def ended(self, now: float) -> None:
-        """Note that its life is over."""
-        self.has_ended = True
+        self.record_failure(now)
+        if not self._refusing_since:
+            self._refusing_since = now
+        elif now - self._refusing_since >= MIN_REFUSAL_SECONDS:
+            self.record_termination(now)
+
+    def record_termination(self, now: float) -> None:
+        """Record that the target's process has terminated."""
+        self.is_terminated = True
         self.probed_at = now
-        self.silent_since = self.silent_since or now
+        self.unresponsive_since = self.unresponsive_since or now
 
-    def came_back(self) -> None:
-        """Note that a life goes on that was taken for over."""
-        self.has_ended = False
-        self.answered()
+    def record_recovery(self) -> None:
+        """Record that a process is alive that was considered terminated."""
+        self.is_terminated = False
+        self.record_answer()
 
-    def failed(self, now: float) -> None:
-        """Note that an order brought no answer: it may be carried out later."""
-        self.silent_since = self.silent_since or now
+    def record_failure(self, now: float) -> None:
+        """Record that a grant was not answered; the target may still apply it later."""
+        self.unresponsive_since = self.unresponsive_since or now
--- a/packages/entry/src/berylstage_entry/key_loads.py
+++ b/packages/entry/src/berylstage_entry/key_loads.py
@@ -1,4 +1,4 @@
-"""How often each key is asked for, fading, and keys that go to another owner."""
+"""Request rates of keys, with exponential decay, and moves of keys."""
 
 from __future__ import annotations
 
@@ -10,55 +10,56 @@
 
     from berylstage_entry.assignment import Assignment, KeyRange
 
-# Seconds after which half of a key's counted requests are forgotten: long enough to
-# tell a busy key by a handful of requests, short enough for keys that are busy for 4 s.
-# With 1.5 s the worst seconds of 44 targets earn 0.87, with 0.7 s 0.90 of the credit
-# (`make bench-owned`).
+# Seconds after which a key's request count is halved: long enough to recognize a hot
+# key by a handful of requests, short enough for keys that are hot for 4 s. With 1.5 s
+# the worst seconds of 44 targets earn 0.87 of the credit, with 0.7 s 0.90 (`make
+# bench-owned`).
 HALF_LIFE = 0.7
-# Seconds for which requests are taken to have come, at least. Counts of a shorter time
-# tell little: one request of 0.2 s would count as five a second.
-LEAST_AGE = 0.7
-# Counts below which a key is forgotten.
-LEAST_WEIGHT = 0.05
+# Lower bound of the seconds over which a rate is computed. Shorter periods say little:
+# one request within 0.2 s would count as five per second.
+MIN_AGE_SECONDS = 0.7
+# Counts below which a key is dropped.
+MIN_WEIGHT = 0.05
 
 
 class KeyLoads:
-    """Requests for each key, fading."""
+    """Request counts of keys with exponential decay."""
 
-    __slots__ = ("_at", "_since", "weights")
+    __slots__ = ("_decayed_at", "_counting_since", "weights")
 
     def __init__(self, now: float):
         self.weights: dict[int, float] = {}
-        self._at = now
-        # Since when requests have been counted.
-        self._since = now
+        self._decayed_at = now
+        # Start of the counting.
+        self._counting_since = now
 
     def add(self, key: int, count: float) -> None:
-        """Count requests for a key."""
+        """Add requests for a key."""
         self.weights[key] = self.weights.get(key, 0.0) + count
 
     def fade(self, now: float) -> None:
-        """Forget what is old."""
+        """Apply the decay up to a time."""
         if not self.weights:
-            self._since = now
-        factor = 0.5 ** ((now - self._at) / HALF_LIFE)
-        self._at = now
-        faded = {key: weight * factor for key, weight in self.weights.items()}
-        self.weights = {k: w for k, w in faded.items() if w >= LEAST_WEIGHT}
+            self._counting_since = now
+        factor = 0.5 ** ((now - self._decayed_at) / HALF_LIFE)
+        self._decayed_at = now
+        decayed = {key: weight * factor for key, weight in self.weights.items()}
+        self.weights = {k: w for k, w in decayed.items() if w >= MIN_WEIGHT}
 
     def rates(self) -> list[tuple[int, float]]:
-        """Return all keys with their requests a second, in the order of the keys."""
-        # Counts have not yet grown to their full weight when they began a moment ago.
-        # Taken as if they had, targets with long queues seemed idle for a second after
-        # the first request, and after each change of the VM that deals out keys.
-        age = max(LEAST_AGE, self._at - self._since)
-        counted = 1 - 0.5 ** (age / HALF_LIFE)
-        scale = log(2) / HALF_LIFE / counted
+        """Return all keys in order, each with its requests per second."""
+        # Shortly after counting has started, the decayed counts are still far below
+        # their steady state. Without this correction, targets with long queues seemed
+        # idle for a second after the first request and after each change of the
+        # coordinator.
+        age = max(MIN_AGE_SECONDS, self._decayed_at - self._counting_since)
+        steady_state_share = 1 - 0.5 ** (age / HALF_LIFE)
+        scale = log(2) / HALF_LIFE / steady_state_share
         return sorted((key, weight * scale) for key, weight in self.weights.items())
 
 
 class KeyMove:
-    """Keys that go to another owner.
+    """Keys that move to another owner.
 
     Parameters
     ----------
@@ -78,12 +79,12 @@
     assignment: Assignment, rates: Sequence[tuple[int, float]]
 ) -> list[tuple[KeyRange, list[tuple[int, float]]]]:
     """Return each range with its keys and their rates."""
-    held: list[tuple[KeyRange, list[tuple[int, float]]]] = []
+    result: list[tuple[KeyRange, list[tuple[int, float]]]] = []
     i = 0
     for r in assignment.ranges:
         keys = []
         while i < len(rates) and rates[i][0] <= r.last:
             keys.append(rates[i])
             i += 1
-        held.append((r, keys))
-    return held
+        result.append((r, keys))
+    return result
--- a/packages/entry/src/berylstage_entry/key_moves.py
+++ b/packages/entry/src/berylstage_entry/key_moves.py
@@ -1,4 +1,4 @@
-"""What is known of the moves of keys under way, and the taking back of keys."""
+"""Tracks ongoing moves of keys, and revokes keys from their previous owners."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from berylstage_entry.assignment import KeyRange
 from berylstage_entry.clock import now
 from berylstage_entry.errors import TargetReplaced
-from berylstage_entry.grant_expiry import ORDER_TIMEOUT
+from berylstage_entry.grant_expiry import GRANT_TIMEOUT_SECONDS
 from berylstage_entry.protocols import GrantRequest
 
 if TYPE_CHECKING:
@@ -23,27 +23,28 @@
     from berylstage_entry.protocols import TargetProtocol
     from berylstage_entry.targets import Target
 
-# Seconds between two tries to take keys back.
-TICK = 0.05
-# Fences of one move: the highest gives the keys out, each of the others serves one try
-# to take them back. A try without an answer may be carried out later, and only a higher
-# fence than its own keeps it from bringing the keys back.
-FENCES = 8
-# Seconds that a release may take: it is answered when the work on the keys has ended.
-RELEASE_TIMEOUT = 2.0
+# Seconds between two attempts to revoke keys.
+RETRY_INTERVAL_SECONDS = 0.05
+# Fences of one move: the highest is for the grant to the new owner, each of the others
+# for one attempt to revoke the keys. An attempt without an answer may be applied later,
+# and only a higher fence prevents it from returning the keys to the previous owner.
+FENCES_PER_MOVE = 8
+# Timeout in seconds of a release, which is answered once requests for the keys are
+# complete.
+RELEASE_TIMEOUT_SECONDS = 2.0
 
 log = Logger(__name__)
 
 
 class KeyMoves:
-    """Takes keys back from their former owners while this VM has the duty.
+    """Revokes keys from their previous owners while this VM is the coordinator.
 
     Parameters
     ----------
     directory : Directory
     office : Office
     wire : TargetWire
-    renewals : Renewals
+    grant_renewer : Renewals
     """
 
     def __init__(
@@ -51,45 +52,45 @@
         directory: ClusterView,
         office: CoordinatorElection,
         wire: TargetProtocol,
-        renewals: GrantRenewer,
+        grant_renewer: GrantRenewer,
     ):
         self._directory = directory
         self._office = office
         self._wire = wire
-        self._renewals = renewals
-        # Moves whose former owner holds nothing any more, with what it handed over.
-        self._let_go: dict[tuple[int, int, int], str] = {}
-        # Fence of the last try to take keys back, by move.
-        self._tries: dict[tuple[int, int, int], int] = {}
-        # Fences of the moves that were begun in this term.
-        self._own_fences: set[int] = set()
-
-    def forget(self) -> None:
-        """Forget everything: another VM may have gone on with these moves."""
-        self._let_go.clear()
-        self._tries.clear()
-        self._own_fences.clear()
-
-    def handover(self, r: KeyRange) -> str | None:
-        """Return what the former owner handed over; None while it may hold keys."""
-        return self._let_go.get((r.first, r.last, r.fence))
-
-    def let_go(self, r: KeyRange, handover: str) -> None:
-        """Note that the former owner holds nothing of a moving range any more."""
-        self._let_go[r.first, r.last, r.fence] = handover
+        self._grant_renewer = grant_renewer
+        # Moves whose previous owner no longer holds the keys, with its handover.
+        self._released: dict[tuple[int, int, int], str] = {}
+        # Fence of the last attempt to revoke keys, by move.
+        self._last_fences: dict[tuple[int, int, int], int] = {}
+        # Fences of the moves that were started in this term.
+        self._term_fences: set[int] = set()
+
+    def reset(self) -> None:
+        """Discard all state, since another VM may have continued the moves."""
+        self._released.clear()
+        self._last_fences.clear()
+        self._term_fences.clear()
+
+    def get_handover(self, r: KeyRange) -> str | None:
+        """Return the previous owner's handover; None while it may hold keys."""
+        return self._released.get((r.first, r.last, r.fence))
+
+    def record_release(self, r: KeyRange, handover: str) -> None:
+        """Record that the previous owner no longer holds a moving range."""
+        self._released[r.first, r.last, r.fence] = handover
 
     def handed_on(self) -> bytes:
-        """Return what the next VM with the duty has to know of moves under way."""
+        """Return the state of ongoing moves for the next coordinator."""
         doc = {
-            "lapse_in": self._renewals.lapse_in(),
-            "own": sorted(self._own_fences),
-            "let_go": [[*move, handed] for move, handed in self._let_go.items()],
-            "tries": [[*move, fence] for move, fence in self._tries.items()],
+            "lapse_in": self._grant_renewer.seconds_until_expiry(),
+            "own": sorted(self._term_fences),
+            "let_go": [[*move, handover] for move, handover in self._released.items()],
+            "tries": [[*move, fence] for move, fence in self._last_fences.items()],
         }
         return json.dumps(doc).encode()
 
     def inherit(self, body: bytes) -> float | None:
-        """Take over what a former holder of the duty knew of moves under way.
+        """Import a former coordinator's state of ongoing moves.
 
         Parameters
         ----------
@@ -98,37 +99,43 @@
         Returns
         -------
         float or None
-            Seconds after which nothing holds that it ordered; None when unreadable.
+            Seconds until all its grants have expired; None if the state cannot be
+            parsed.
         """
         try:
             doc = json.loads(body)
-            lapse_in = float(doc["lapse_in"])
-            self._own_fences.update(doc["own"])
-            self._let_go |= {(r[0], r[1], r[2]): r[3] for r in doc["let_go"]}
-            self._tries |= {(r[0], r[1], r[2]): r[3] for r in doc["tries"]}
+            seconds_until_expiry = float(doc["lapse_in"])
+            self._term_fences.update(doc["own"])
+            self._released |= {(r[0], r[1], r[2]): r[3] for r in doc["let_go"]}
+            self._last_fences |= {(r[0], r[1], r[2]): r[3] for r in doc["tries"]}
         except (ValueError, KeyError, TypeError, IndexError) as exc:
-            # Without it the moves wait until all holds have lapsed.
-            log.warning("nothing inherited", extra={"cause": str(exc)})
+            # Without the state, moves wait until all grants have expired.
+            log.warning(
+                "state of the former coordinator not imported",
+                extra={"cause": str(exc)},
+            )
             return None
-        return lapse_in
-
-    def may_move_on(self, r: KeyRange) -> bool:
-        """Tell whether it is known who may still hold keys that were on the move."""
-        # Of a move that another VM began, nobody here knows whether the new owner has
-        # been granted the keys. The former owner is settled first; then the new one
-        # is the only one left that may hold them.
-        begun_here = r.fence in self._own_fences
-        return not r.former or begun_here or (r.first, r.last, r.fence) in self._let_go
-
-    def begun(
+        return seconds_until_expiry
+
+    def may_reassign(self, r: KeyRange) -> bool:
+        """Tell whether it is known which targets may hold keys that are being moved."""
+        # This VM cannot know whether a move that another VM started has granted the
+        # keys to the new owner. It deals with the previous owner first; then the new
+        # owner is the only one that may hold them.
+        started_here = r.fence in self._term_fences
+        return (
+            not r.former or started_here or (r.first, r.last, r.fence) in self._released
+        )
+
+    def start_move(
         self, r: KeyRange, first: int, last: int, owner: str, life: int, fence: int
     ) -> KeyRange:
-        """Return keys of a range as they are while they move to a new owner.
+        """Return part of a range as it is while it moves to a new owner.
 
         Parameters
         ----------
         r : KeyRange
-            That they are a part of.
+            The range before the move.
         first, last : int
         owner : str
         life : int
@@ -140,72 +147,75 @@
         KeyRange
         """
         former, former_life = r.owner, r.life
-        if r.former and (r.first, r.last, r.fence) not in self._let_go:
+        if r.former and (r.first, r.last, r.fence) not in self._released:
             former, former_life = r.former, r.former_life
-        self._own_fences.add(fence)
+        self._term_fences.add(fence)
         return KeyRange(first, last, owner, life, fence, former, former_life)
 
-    async def take_back(self, r: KeyRange) -> str | None:
-        """Return the handover once the former owner holds nothing; None if not yet."""
+    async def revoke(self, r: KeyRange) -> str | None:
+        """Return the handover once the previous owner holds no keys, else None."""
         identity = (r.former, r.former_life)
-        hold = self._renewals.hold(identity)
-        if r.fence not in self._own_fences:
-            return await self._waited_for(r)
+        grants = self._grant_renewer.get_grants(identity)
+        if r.fence not in self._term_fences:
+            return await self._wait_for_expiry(r)
         known = self._directory.known.get(r.former)
         target = known.target if known is not None else None
         if target is None:
-            target = self._renewals.past(identity)
-        if hold.has_ended or (hold.silent_since and self._lapsed(r)):
+            target = self._grant_renewer.get_granted_target(identity)
+        if grants.is_terminated or (
+            grants.unresponsive_since and self._have_grants_expired(r)
+        ):
             return ""
-        if target is not None and await self._renewals.is_back(target):
-            handover = await self._release(target, hold, r)
+        if target is not None and await self._grant_renewer.is_responsive(target):
+            handover = await self._release(target, grants, r)
             if handover is not None:
                 return handover
-        if self._lapsed(r):
+        if self._have_grants_expired(r):
             return ""
-        await asyncio.sleep(TICK)
+        await asyncio.sleep(RETRY_INTERVAL_SECONDS)
         return None
 
-    def _lapsed(self, r: KeyRange) -> bool:
-        """Tell whether nothing ordered by anybody can still hold moving keys."""
-        hold = self._renewals.hold((r.former, r.former_life))
-        ordered = hold.lapse_on(r.first, r.last)
-        return now() >= max(ordered, self._office.others_lapse)
+    def _have_grants_expired(self, r: KeyRange) -> bool:
+        """Tell whether all grants of moving keys by any VM have expired."""
+        grants = self._grant_renewer.get_grants((r.former, r.former_life))
+        expires_at = grants.expiry_for(r.first, r.last)
+        return now() >= max(expires_at, self._office.other_grants_expire_at)
 
-    async def _waited_for(self, r: KeyRange) -> str | None:
-        """Settle a move that another VM began and said nothing of.
+    async def _wait_for_expiry(self, r: KeyRange) -> str | None:
+        """Wait out a move that another VM started, and whose state is unknown.
 
-        Its new owner may have been granted the keys already. A grant to the former one,
-        which would fence it, could then give the keys to both; so nothing is granted
-        until all that the other VM may have ordered has lapsed.
+        Its new owner may already have been granted the keys. Granting them to the
+        previous owner in order to set a fence there could then give the keys to both,
+        so nothing is granted until all grants that the other VM may have made have
+        expired.
         """
-        if self._lapsed(r):
+        if self._have_grants_expired(r):
             return ""
-        await asyncio.sleep(TICK)
+        await asyncio.sleep(RETRY_INTERVAL_SECONDS)
         return None
 
     async def _release(
-        self, target: Target, hold: TargetGrants, r: KeyRange
+        self, target: Target, grants: TargetGrants, r: KeyRange
     ) -> str | None:
-        """Take keys back from a target that may answer; None when it does not."""
-        fence = self._next_try(r)
+        """Revoke keys from a target that may answer; None if it does not."""
+        fence = self._next_revocation_fence(r)
         if not fence or not self._office.holds():
             return None
         try:
-            # A renewal may still be on its way, from this VM or a former holder of the
-            # duty, and be carried out after the release: two targets would then hold
-            # the keys (seen for 2.5 s). A release leaves no fence behind, a grant does,
-            # and a target that has seen it refuses the renewal.
-            order = GrantRequest(r.first, r.last, fence, self._office.hold())
-            noted = hold.ordered(now(), order.hold, r.first, r.last)
+            # A renewal from this VM or a former coordinator may still be in transit and
+            # be applied after the release; two targets would then hold the keys (for
+            # 2.5 s in one case). Unlike a release, a grant sets a fence, so the target
+            # then rejects the renewal.
+            request = GrantRequest(r.first, r.last, fence, self._office.hold())
+            sent = grants.record_sent(now(), request.hold, r.first, r.last)
             try:
-                await self._wire.grant(target, order, ORDER_TIMEOUT)
+                await self._wire.grant(target, request, GRANT_TIMEOUT_SECONDS)
             except NeverSent:
-                hold.unsent(noted)
+                grants.record_unsent(sent)
                 raise
-            hold.answered()
+            grants.record_answer()
             handover = await self._wire.release(
-                target, r.first, r.last, fence, RELEASE_TIMEOUT
+                target, r.first, r.last, fence, RELEASE_TIMEOUT_SECONDS
             )
         except CallFailed as exc:
             log.info(
@@ -213,21 +223,21 @@
                 extra={"target": target.name, "first": r.first, "cause": str(exc)},
             )
             if isinstance(exc, NothingListens):
-                hold.refused(now())
-            hold.failed(now())
+                grants.record_refusal(now())
+            grants.record_failure(now())
             return None
         except TargetReplaced:
-            # Another target has the address, so this one has ended with all its holds.
-            # Its keys need not wait for them: 3.3 s for a data centre's targets that
-            # came back under other names.
-            hold.ended(now())
+            # Another target has the address, so this one has terminated and holds no
+            # keys. Waiting for its grants to expire would cost 3.3 s for a data
+            # centre's targets that restart under other names.
+            grants.record_termination(now())
             return ""
         return handover if target.life == r.former_life else ""
 
-    def _next_try(self, r: KeyRange) -> int:
-        """Return the fence for one more try to take keys back; 0 for no more tries."""
+    def _next_revocation_fence(self, r: KeyRange) -> int:
+        """Return the fence for the next attempt to revoke keys; 0 if none is left."""
         move = (r.first, r.last, r.fence)
-        first = r.fence - FENCES + 1
-        fence = self._tries.get(move, first - 1) + 1
-        self._tries[move] = fence
+        first = r.fence - FENCES_PER_MOVE + 1
+        fence = self._last_fences.get(move, first - 1) + 1
+        self._last_fences[move] = fence
         return fence if fence < r.fence else 0
--- a/packages/entry/src/berylstage_entry/rebalancing.py
+++ b/packages/entry/src/berylstage_entry/rebalancing.py
@@ -1,10 +1,10 @@
-"""Which keys go to which target, so that none is busier than it must be.
+"""Moves keys between targets so that none is busier than necessary.
 
-The load it answers: a few neighbouring keys that get a third of all requests, for a
-few seconds, before targets with two or three slots. An even division of the keys puts
-half of the requests on one target of twelve; one sees a queue there and idle slots
-elsewhere. Narrow stretches of busy keys are moved, since a move interrupts just their
-requests.
+The typical load is a few adjacent keys that get a third of all requests for a few
+seconds, at targets with two or three slots. With keys divided evenly, one target of
+twelve gets half of the requests: it has a queue while other targets have free slots.
+Narrow runs of hot keys are moved, because a move interrupts only the requests for its
+own keys.
 """
 
 from __future__ import annotations
@@ -18,46 +18,47 @@
 
     from berylstage_entry.assignment import Assignment, KeyRange
 
-# Share of its capacity above which a target is worth relieving, and by how much a move
-# must lower the busier of its two ends: less is chance among the few dozen requests
-# that a target gets in the time of the half-life.
+# Utilization from which a target may give keys away, and by how much a move must lower
+# the utilization of the busier of its two targets. Smaller differences are noise, given
+# the few dozen requests that a target gets within the half-life.
 RELIEVED_ABOVE = 0.4
 LEAST_GAIN = 0.12
-# Share of its capacity above which a target is relieved at once, and by how much that
-# must lower the busier end: a queue grows before it, and others have room. Otherwise a
-# round waits until this many seconds after the last one that moved something: each
-# costs two writes into the store and interrupts the requests of its keys. A single key
-# that asks for more than any target can do, or targets that are all full, would have
-# rounds all the time: with no such bounds 3 to 5 times the writes bring the same credit
-# (`make bench-owned`).
+# Utilization from which keys are moved at once, and by how much such a move must lower
+# the utilization of the busier target: it has a growing queue while others have free
+# capacity. Otherwise a round waits until this many seconds after the last one that
+# moved keys, because each round costs two writes to the store and interrupts requests.
+# A single key with more requests than any target can serve, or targets that are all
+# overloaded, would otherwise cause rounds all the time: without these bounds, 3 to 5
+# times the writes earn the same credit (`make bench-owned`).
 URGENT_ABOVE = 0.8
-URGENT_GAIN = 0.25
+MIN_URGENT_GAIN = 0.25
 CALM_PERIOD = 1.0
-# Moves in one round at least, and targets for each of them where there are many. Each
-# interrupts its keys for the time of the work under way there, a tenth of a second.
-LEAST_MOVES = 6
-TARGETS_A_MOVE = 10
-# Takers that are weighed for one move: the idlest, and the fastest for a single key
-# that asks for more than its owner can do.
-IDLEST = 3
-FASTEST = 2
-# Times the evening-out rate that a stretch of keys may bring.
-TOLERANCE = 1.05
-
-
-class _Keys:
-    """The busy keys of a range, with the rate of each and of all."""
+# Lower bound of the moves allowed per round, and the number of targets per move if
+# there are many targets. Each move interrupts its keys until the requests in progress
+# there are complete, a tenth of a second.
+MIN_MOVES_PER_ROUND = 6
+TARGETS_PER_MOVE = 10
+# Recipients considered for each move: the least utilized, and the fastest for a single
+# key with more requests than its owner can serve.
+LEAST_UTILIZED_RECIPIENTS = 3
+FASTEST_RECIPIENTS = 2
+# Factor by which a run of keys may exceed the rate that evens out two targets.
+MAX_RATE_FACTOR = 1.05
+
+
+class _HotRange:
+    """The hot keys of a range, with their rates and total rate."""
 
     __slots__ = ("keys", "range", "rate")
 
-    def __init__(self, of: KeyRange, keys: list[tuple[int, float]]):
-        self.range = of
+    def __init__(self, key_range: KeyRange, keys: list[tuple[int, float]]):
+        self.range = key_range
         self.keys = keys
         self.rate = sum(rate for _, rate in keys)
 
 
-class _Side:
-    """A target in a round of moves."""
+class _TargetLoad:
+    """A target as donor or recipient in a round of moves."""
 
     __slots__ = ("capacity", "name", "rate")
 
@@ -67,7 +68,7 @@
         self.rate = 0.0
 
     @property
-    def level(self) -> float:
+    def utilization(self) -> float:
         return self.rate / self.capacity
 
 
@@ -123,177 +124,188 @@
     ----------
     assignment : Assignment
     rates : sequence of tuple
-        Keys in order, each with its requests a second.
+        Keys in order, each with its requests per second.
     capacities : dict of str to float
-        Requests a second that each target can serve; only these give or take.
+        Requests per second that each target can serve. Other targets are left out.
     urgent : bool
-        Whether only moves count that end a queue which grows.
+        Whether to return only moves that stop a queue from growing.
 
     Returns
     -------
     list of KeyMove
-        At most as many as :func:`most_moves` says.
+        At most :func:`max_moves_per_round` of them.
     """
-    held = _by_owner(assignment, rates)
-    sides = _sides(held, capacities)
+    hot_ranges = _group_hot_ranges(assignment, rates)
+    loads = _compute_target_loads(hot_ranges, capacities)
     moves: list[KeyMove] = []
-    # Targets for which there is no move; a later move of a round finds none either.
-    passed: set[str] = set()
-    while len(moves) < most_moves(len(sides)) and len(sides) > 1:
-        found = _next_move(sides, held, moves, passed, urgent)
-        if found is None:
+    # Donors without a useful move, which later moves of the round do not change.
+    exhausted: set[str] = set()
+    while len(moves) < max_moves_per_round(len(loads)) and len(loads) > 1:
+        best = _next_move(loads, hot_ranges, moves, exhausted, urgent)
+        if best is None:
             break
-        moves.append(found.move)
-        found.giver.rate -= found.rate
-        found.taker.rate += found.rate
+        moves.append(best.move)
+        best.donor.rate -= best.rate
+        best.recipient.rate += best.rate
     return moves
 
 
-def most_moves(targets: int) -> int:
-    """Return the moves that one round may have.
+def max_moves_per_round(targets: int) -> int:
+    """Return the maximum number of moves in one round.
 
-    A stretch of busy keys wants as many new owners as it has of all requests, and so
-    more of them the more targets there are.
+    Hot keys need a share of the targets that equals their share of all requests, hence
+    more moves if there are more targets.
 
     Parameters
     ----------
     targets : int
-        That may take keys.
+        Number of targets that may own keys.
 
     Returns
     -------
     int
     """
-    return max(LEAST_MOVES, targets // TARGETS_A_MOVE)
+    return max(MIN_MOVES_PER_ROUND, targets // TARGETS_PER_MOVE)
 
 
-def _by_owner(
+def _group_hot_ranges(
     assignment: Assignment, rates: Sequence[tuple[int, float]]
-) -> dict[str, list[_Keys]]:
-    """Return the ranges of each owner that have busy keys."""
-    held: dict[str, list[_Keys]] = {}
+) -> dict[str, list[_HotRange]]:
+    """Return the ranges with hot keys, by owner."""
+    hot_ranges: dict[str, list[_HotRange]] = {}
     for r, keys in rates_by_range(assignment, rates):
         if keys:
-            held.setdefault(r.owner, []).append(_Keys(r, keys))
-    return held
+            hot_ranges.setdefault(r.owner, []).append(_HotRange(r, keys))
+    return hot_ranges
 
 
-def _sides(
-    held: dict[str, list[_Keys]], capacities: dict[str, float]
-) -> dict[str, _Side]:
-    """Return the targets that give or take, with what they are asked for."""
-    sides = {name: _Side(name, max(c, 0.1)) for name, c in capacities.items()}
-    for name, side in sides.items():
-        side.rate = sum(each.rate for each in held.get(name, ()))
-    return sides
+def _compute_target_loads(
+    hot_ranges: dict[str, list[_HotRange]], capacities: dict[str, float]
+) -> dict[str, _TargetLoad]:
+    """Return the targets that may give or receive keys, with their request rates."""
+    loads = {name: _TargetLoad(name, max(c, 0.1)) for name, c in capacities.items()}
+    for name, load in loads.items():
+        load.rate = sum(hot_range.rate for hot_range in hot_ranges.get(name, ()))
+    return loads
 
 
-class _Found:
-    """A move that would help, and by how much."""
+class _RatedMove:
+    """A useful move and its effect."""
 
-    __slots__ = ("giver", "level", "move", "rate", "taker")
+    __slots__ = ("donor", "move", "rate", "recipient", "utilization")
 
     def __init__(
-        self, move: KeyMove, giver: _Side, taker: _Side, rate: float, level: float
+        self,
+        move: KeyMove,
+        donor: _TargetLoad,
+        recipient: _TargetLoad,
+        rate: float,
+        utilization: float,
     ):
         self.move = move
-        self.giver = giver
-        self.taker = taker
+        self.donor = donor
+        self.recipient = recipient
         self.rate = rate
-        # Of the busier end after the move.
-        self.level = level
+        # Utilization of the busier target after the move.
+        self.utilization = utilization
 
     @property
     def is_urgent(self) -> bool:
-        """Whether it ends a queue that grows."""
-        before = self.giver.level
-        return before >= URGENT_ABOVE and before - self.level >= URGENT_GAIN
+        """Whether it stops a queue from growing."""
+        before = self.donor.utilization
+        return before >= URGENT_ABOVE and before - self.utilization >= MIN_URGENT_GAIN
 
 
 def _next_move(
-    sides: dict[str, _Side],
-    held: dict[str, list[_Keys]],
+    loads: dict[str, _TargetLoad],
+    hot_ranges: dict[str, list[_HotRange]],
     moves: list[KeyMove],
-    passed: set[str],
+    exhausted: set[str],
     urgent: bool,
-) -> _Found | None:
+) -> _RatedMove | None:
     """Return the best move from the busiest target that has one.
 
-    The busiest one of all may have a key that asks for more than any target can do, and
-    no move that helps it much. Those behind it must be relieved all the same: with
-    hundreds of targets there is one such at nearly any time, and queues would grow
-    before all others.
+    The busiest target may have a key with more requests than any target can serve, and
+    no useful move. The next busiest must be relieved nevertheless: with hundreds of
+    targets there is such a key nearly all the time, and queues would grow at all other
+    targets.
     """
-    least = URGENT_ABOVE if urgent else RELIEVED_ABOVE
-    by_level = sorted(sides.values(), key=lambda side: side.level)
-    fastest = sorted(by_level, key=lambda side: -side.capacity)[:FASTEST]
-    takers = list({id(s): s for s in by_level[:IDLEST] + fastest}.values())
-    for giver in reversed(by_level):
-        if giver.level < least:
+    threshold = URGENT_ABOVE if urgent else RELIEVED_ABOVE
+    by_utilization = sorted(loads.values(), key=lambda load: load.utilization)
+    fastest = sorted(by_utilization, key=lambda load: -load.capacity)[
+        :FASTEST_RECIPIENTS
+    ]
+    recipients = list(
+        {
+            id(s): s for s in by_utilization[:LEAST_UTILIZED_RECIPIENTS] + fastest
+        }.values()
+    )
+    for donor in reversed(by_utilization):
+        if donor.utilization < threshold:
             return None
-        if giver.name in passed:
+        if donor.name in exhausted:
             continue
-        found = _best_move(giver, takers, held.get(giver.name, ()), moves)
-        if found is not None and (found.is_urgent or not urgent):
-            return found
-        passed.add(giver.name)
+        best = _best_move(donor, recipients, hot_ranges.get(donor.name, ()), moves)
+        if best is not None and (best.is_urgent or not urgent):
+            return best
+        exhausted.add(donor.name)
     return None
 
 
 def _best_move(
-    giver: _Side,
-    takers: list[_Side],
-    held: Sequence[_Keys],
+    donor: _TargetLoad,
+    recipients: list[_TargetLoad],
+    hot_ranges: Sequence[_HotRange],
     moves: list[KeyMove],
-) -> _Found | None:
-    best: _Found | None = None
-    for each in held:
-        if each.range.former or _touches(each.range, moves):
+) -> _RatedMove | None:
+    best: _RatedMove | None = None
+    for hot_range in hot_ranges:
+        if hot_range.range.former or _overlaps(hot_range.range, moves):
             continue
-        for taker in takers:
-            if taker is giver:
+        for recipient in recipients:
+            if recipient is donor:
                 continue
-            for first, last, rate in _stretches(each.keys, giver, taker):
-                level = max(
-                    (giver.rate - rate) / giver.capacity,
-                    (taker.rate + rate) / taker.capacity,
+            for first, last, rate in _candidate_runs(hot_range.keys, donor, recipient):
+                utilization = max(
+                    (donor.rate - rate) / donor.capacity,
+                    (recipient.rate + rate) / recipient.capacity,
                 )
-                if best is None or level < best.level:
-                    move = KeyMove(first, last, taker.name)
-                    best = _Found(move, giver, taker, rate, level)
-    if best is None or best.level > giver.level - LEAST_GAIN:
+                if best is None or utilization < best.utilization:
+                    move = KeyMove(first, last, recipient.name)
+                    best = _RatedMove(move, donor, recipient, rate, utilization)
+    if best is None or best.utilization > donor.utilization - LEAST_GAIN:
         return None
     return best
 
 
-def _stretches(
-    keys: list[tuple[int, float]], giver: _Side, taker: _Side
+def _candidate_runs(
+    keys: list[tuple[int, float]], donor: _TargetLoad, recipient: _TargetLoad
 ) -> list[tuple[int, int, float]]:
-    """Return stretches of keys worth weighing: first key, last key and rate."""
-    both = giver.capacity + taker.capacity
-    wanted = (giver.rate * taker.capacity - taker.rate * giver.capacity) / both
-    found = []
+    """Return candidate runs of keys: first key, last key and rate."""
+    both = donor.capacity + recipient.capacity
+    wanted = (donor.rate * recipient.capacity - recipient.rate * donor.capacity) / both
+    runs = []
     if wanted > 0:
-        narrow = _narrowest(keys, 0.6 * wanted, TOLERANCE * wanted)
-        small = narrow or _narrowest(keys, 0.2 * wanted, 0.6 * wanted)
-        if small is not None:
-            found.append(small[1:])
-    busiest, rate = max(keys, key=lambda pair: pair[1])
-    found.append((busiest, busiest, rate))
-    return found
+        narrow = _find_narrowest_run(keys, 0.6 * wanted, MAX_RATE_FACTOR * wanted)
+        run = narrow or _find_narrowest_run(keys, 0.2 * wanted, 0.6 * wanted)
+        if run is not None:
+            runs.append(run[1:])
+    hottest, rate = max(keys, key=lambda pair: pair[1])
+    runs.append((hottest, hottest, rate))
+    return runs
 
 
-def _touches(r: KeyRange, moves: list[KeyMove]) -> bool:
+def _overlaps(r: KeyRange, moves: list[KeyMove]) -> bool:
     return any(m.first <= r.last and m.last >= r.first for m in moves)
 
 
-def _narrowest(
+def _find_narrowest_run(
     keys: list[tuple[int, float]], low: float, high: float
 ) -> tuple[float, int, int, float] | None:
-    """Return cost, first key, last key and rate of the best stretch within bounds.
+    """Return cost, first key, last key and rate of the best run within bounds.
 
-    The cost is the width for the rate that it brings, so that a stretch that brings
-    twice as much may be twice as wide.
+    The cost is the width divided by the rate, so a run with twice the rate may be twice
+    as wide.
     """
     best: tuple[float, int, int, float] | None = None
     start, total = 0, 0.0
--- a/packages/entry/tests/cluster_simulation.py
+++ b/packages/entry/tests/cluster_simulation.py
@@ -1,4 +1,4 @@
-"""VMs, targets and a store in virtual time, and everything that may befall them."""
+"""VMs, targets and a store in virtual time, with fault injection."""
 
 from __future__ import annotations
 
@@ -24,25 +24,25 @@
 
 VMS = ("vm-1", "vm-2", "vm-3")
 TARGETS = ("a", "b", "c", "d")
-# Keys that are looked at for an owner in the end.
-SAMPLES = (0, 20, 40, 60, 77, 9000, 20000, 40000, 65535)
-# Seconds after which everything must be well again: the longest hold, the lease, and
-# the time in which lapsed records may come back.
-HEALING = 20.0
+# Keys whose owners are checked.
+SAMPLED_KEYS = (0, 20, 40, 60, 77, 9000, 20000, 40000, 65535)
+# Seconds after which everything must have recovered: the longest grant, the store
+# lease, and the time in which missing records may return.
+RECOVERY_SECONDS = 20.0
 
 
-class _Peers:
-    """Other VMs, asked without a network."""
+class _FakePeers:
+    """Other VMs, called without a network."""
 
-    def __init__(self, world, own):
-        self._world = world
+    def __init__(self, cluster, own):
+        self._cluster = cluster
         self._own = own
 
     def others(self):
         return sorted(str(n) for n in VMS if n != self._own)
 
     async def ask(self, address, path, body=b""):
-        vm = self._world.vms.get(address)
+        vm = self._cluster.vms.get(address)
         if vm is None:
             return None
         if path == CONTACT_PATH:
@@ -53,35 +53,35 @@
         return [await self.ask(address, path) for address in self.others()]
 
 
-class WorldVm:
-    """The parts of one VM that have to do with grants."""
+class SimulatedVm:
+    """The parts of a VM that grant keys."""
 
-    def __init__(self, name, world):
-        self.view = StoreView(world.store)
+    def __init__(self, name, cluster):
+        self.view = StoreView(cluster.store)
         directory = ClusterView()
         self.feed = StoreWatcher(
             self.view, JsonRecords({1: configuration()}), directory
         )
         cfg = settings(name, 1)
-        # The address by which peers ask it.
+        # The address at which other VMs call it.
         cfg.control = name
-        peers = _Peers(world, name)
+        peers = _FakePeers(cluster, name)
         self.office = CoordinatorElection(
             cfg, self.view, self.feed, peers, Random(name)
         )
         self.granting = GrantController(
-            self.view, self.feed, directory, self.office, world.wire
+            self.view, self.feed, directory, self.office, cluster.wire
         )
         self.office.inherit = self.granting.inherit
         self.feed.is_teller = self.office.holds
-        self.feed.is_standby = lambda: self._stands_by(world, name)
+        self.feed.is_standby = lambda: self._stands_by(cluster, name)
         self.feed.start()
         self.office.start()
         self.granting.start()
 
-    def _stands_by(self, world, name):
+    def _stands_by(self, cluster, name):
         holder = self.office.holder_address()
-        others = [Candidate(vm, 1.0) for vm in world.vms if vm != holder]
+        others = [Candidate(vm, 1.0) for vm in cluster.vms if vm != holder]
         return stands_by(name, others)
 
     def kill(self):
@@ -90,8 +90,8 @@
         self.office._task.cancel()
 
 
-class World:
-    """Everything, in one event loop of virtual time.
+class ClusterSimulation:
+    """VMs, targets and a store in one event loop of virtual time.
 
     Parameters
     ----------
@@ -103,21 +103,22 @@
         self.store = MemoryStore()
         self.wire = FencedTargets()
         self.wire.delay = 0.02
-        self.lives = dict.fromkeys(TARGETS, 1)
+        self.incarnations = dict.fromkeys(TARGETS, 1)
         self.records: dict[str, dict] = {}
-        self.vms: dict[str, WorldVm] = {}
-        # Targets that have ended; what they held serves nobody.
-        self.dead: set[str] = set()
+        self.vms: dict[str, SimulatedVm] = {}
+        # Targets that have failed; no key counts as served by them.
+        self.failed_targets: set[str] = set()
         self.store.put("cfg", b"1")
         for name in TARGETS[:3]:
-            self.put(name)
+            self.write_record(name)
         for name in VMS:
             self.start(name)
-        # Long enough for VMs to count as steady when the lease of a lost one ends.
+        # Long enough for VMs to have had unbroken contact with the store when the lease
+        # of a failed one expires.
         self.run(4.0)
 
     def run(self, seconds):
-        """Let time pass, with the reports of targets that go on."""
+        """Advance the time; live targets report."""
 
         async def pass_time():
             end = now() + seconds
@@ -129,13 +130,13 @@
 
         self._loop.run_until_complete(pass_time())
 
-    def watch(self, seconds):
-        """Let time pass and return the longest time that a key had no live holder."""
+    def measure_unavailability(self, seconds):
+        """Advance the time and return the longest time that a key had no live owner."""
         worst, since = 0.0, {}
         end = now() + seconds
         while now() < end:
             self.run(0.02)
-            for key in SAMPLES:
+            for key in SAMPLED_KEYS:
                 if self.is_served(key):
                     since.pop(key, None)
                 else:
@@ -144,7 +145,7 @@
 
     def is_served(self, key):
         """Tell whether a live target holds a key and VMs send its requests there."""
-        holders = [n for n in self.wire.holder(key) if n not in self.dead]
+        holders = [n for n in self.wire.holder(key) if n not in self.failed_targets]
         ranges = [
             vm.feed.assignments["s"].find(key)
             for vm in self.vms.values()
@@ -155,65 +156,65 @@
         newest = max(ranges, key=lambda r: r.fence)
         return newest.owner in holders and not newest.former
 
-    def crash(self, name):
-        """Have a target end without a word; its record goes three reports later."""
-        self.dead.add(name)
+    def fail_target(self, name):
+        """Have a target fail silently; its record is removed three reports later."""
+        self.failed_targets.add(name)
         self.wire.silent.add(name)
 
-    def put(self, name, **fields):
-        """Have a target's record say something."""
-        self.records[name] = fields | {"life": self.lives[name]}
+    def write_record(self, name, **fields):
+        """Set fields of a target's record."""
+        self.records[name] = fields | {"life": self.incarnations[name]}
         self._write(name, self.records[name])
 
     def _write(self, name, fields):
         self.store.put(f"t/{name}", json.dumps(fields).encode())
 
-    def drop(self, name):
-        """Have a target's record go, though it may go on to serve."""
+    def remove_record(self, name):
+        """Remove a target's record, although the target may continue to serve."""
         if self.records.pop(name, None) is not None:
             self.store.put(f"t/{name}", None)
 
     def start(self, name):
-        """Start a VM that does not run."""
+        """Start a VM that is not running."""
         if name not in self.vms:
             self._loop.run_until_complete(self._start(name))
 
     async def _start(self, name):
-        self.vms[name] = WorldVm(name, self)
+        self.vms[name] = SimulatedVm(name, self)
 
     def kill(self, name):
-        """Kill a VM that runs."""
+        """Kill a running VM."""
         vm = self.vms.pop(name, None)
         if vm is not None:
             vm.kill()
 
     def stop(self, name):
-        """Stop a VM that runs in an orderly way."""
+        """Stop a running VM gracefully."""
         vm = self.vms.get(name)
         if vm is not None:
             self._loop.run_until_complete(vm.office.resign())
             self.kill(name)
 
     def stop_process(self, name):
-        """Have a target's process end: it holds nothing, and nothing listens."""
+        """End a target's process: it holds no keys, and its port is closed."""
         self.wire.process_ends(name)
 
-    def reborn(self, name):
-        """Have a target start again under its name: it holds and knows nothing."""
+    def restart_target(self, name):
+        """Restart a target under its name, without any state."""
         self.stop_process(name)
         self.wire.down.discard(name)
-        self.lives[name] += 1
+        self.incarnations[name] += 1
         if name in self.records:
-            self.put(name)
+            self.write_record(name)
 
-    def busy(self, first, count):
-        """Tell all VMs of busy neighbouring keys."""
+    def report_hot_keys(self, first, count):
+        """Report requests for adjacent hot keys to all VMs."""
         for vm in self.vms.values():
             counts = dict.fromkeys(range(first, first + 20 * count, 20), 30)
             vm.granting.counted("s", counts)
 
-    def heal(self):
-        """End all troubles."""
+    def clear_faults(self):
+        """Remove all injected faults."""
         self.store.away = False
         self.store.late_writes = 0.0
         self.wire.silent.clear()
@@ -225,13 +226,13 @@
             self.start(name)
             self.vms[name].view.away = False
         if not any(not r.get("leaving") for r in self.records.values()):
-            self.put("a")
-        self.run(HEALING)
+            self.write_record("a")
+        self.run(RECOVERY_SECONDS)
 
-    def faults(self):
-        """Return what must never be: two holders, or fences that do not grow."""
+    def violations(self):
+        """Return violations: keys with two holders, and fences that do not increase."""
         return [*self.wire.doubly_held(), *self.wire.low_fences]
 
-    def ownerless(self):
-        """Return the sampled keys that nobody holds."""
-        return [key for key in SAMPLES if len(self.wire.holder(key)) != 1]
+    def keys_without_holder(self):
+        """Return the checked keys that do not have exactly one holder."""
+        return [key for key in SAMPLED_KEYS if len(self.wire.holder(key)) != 1]
