--- a/packages/entry/src/berylstage_entry/announcements.py
+++ b/packages/entry/src/berylstage_entry/announcements.py
@@ -32,11 +32,11 @@
 # Path at which a VM is told.
 TOLD_PATH = "/told"
 # Seconds that one telling may take; the paced reading makes up for a lost one.
-TIMEOUT = 0.3
+PUSH_TIMEOUT_SECONDS = 0.3
 # Bytes of a compressed value that is told at most. A configuration of 12 routes takes
 # 500, one of 360 routes 6,800: to send that to 75 VMs keeps a link of 5 Mbit/s busy for
 # 0.8 s, in which the VM's callers wait for their answers.
-MOST_BYTES = 3000
+MAX_PUSHED_VALUE_BYTES = 3000
 
 log = Logger(__name__)
 
@@ -63,7 +63,9 @@
             _, body = self.news.popitem()
             url = f"http://{self.address}{TOLD_PATH}"
             try:
-                await self.client.call(Call("POST", url, {}, body, TIMEOUT))
+                await self.client.call(
+                    Call("POST", url, {}, body, PUSH_TIMEOUT_SECONDS)
+                )
             except CallFailed as exc:
                 log.info("not told", extra={"to": self.address, "cause": str(exc)})
 
@@ -114,17 +116,17 @@
         known = self._feed.revisions.get(change.service, 0)
         if known >= change.revision:
             return
-        change = self._joined(change)
+        change = self._merge_parts(change)
         if change.parts_left:
             return
         old = self._feed.assignments.get(change.service) or nobody()
-        new = change.apply(old) if known == change.before else None
+        new = change.apply(old) if known == change.base_revision else None
         if new is None:
             self._feed.hurry()
             return
         self._feed.take_assignment(change.service, new, change.revision)
 
-    def _joined(self, change: AssignmentChange) -> AssignmentChange:
+    def _merge_parts(self, change: AssignmentChange) -> AssignmentChange:
         """Return a change with all parts of it that have come."""
         if not change.parts_left:
             return change
@@ -143,15 +145,19 @@
         items : sequence of Item
             Those that are too large even for this are left to each VM's own reading.
         """
-        bodies = {item.key: _encode(item) for item in items}
-        small = {key: body for key, body in bodies.items() if len(body) <= MOST_BYTES}
+        bodies = {item.key: _encode_item(item) for item in items}
+        small = {
+            key: body
+            for key, body in bodies.items()
+            if len(body) <= MAX_PUSHED_VALUE_BYTES
+        }
         for key, body in small.items():
-            self._tell(key, body)
+            self._push(key, body)
         tasks = [peer.task for peer in self._peers.values() if peer.task is not None]
         if small and tasks:
-            await asyncio.wait(tasks, timeout=TIMEOUT)
+            await asyncio.wait(tasks, timeout=PUSH_TIMEOUT_SECONDS)
 
-    def _tell(self, key: str, body: bytes) -> None:
+    def _push(self, key: str, body: bytes) -> None:
         addresses = set(self._membership.addresses()) - {self._own_address}
         for address in [a for a in self._peers if a not in addresses]:
             self._peers.pop(address).close()
@@ -179,7 +185,7 @@
         self._peers.clear()
 
 
-def _encode(item: Item) -> bytes:
+def _encode_item(item: Item) -> bytes:
     """Return the body that tells of an item."""
     assert item.value is not None
     doc = {
--- a/packages/entry/src/berylstage_entry/belief_log.py
+++ b/packages/entry/src/berylstage_entry/change_log.py
@@ -16,21 +16,21 @@
 
 # Kinds of changes that come by the hundred, and the seconds for which they are gathered
 # after a line about one of them. Others have a line each, at once.
-GATHERED_KINDS = frozenset({"target", "gone"})
-GATHERED = 1.0
+BATCHED_KINDS = frozenset({"target", "gone"})
+BATCH_SECONDS = 1.0
 # Keys that a line names at most.
-MOST_KEYS = 500
+MAX_KEYS_PER_LINE = 500
 
 log = Logger(__name__)
 
 
-class _Kind:
+class _PendingChanges:
     """Changes of one kind since the last line about them."""
 
-    __slots__ = ("count", "keys", "revision", "said_at")
+    __slots__ = ("count", "keys", "revision", "written_at")
 
     def __init__(self) -> None:
-        self.said_at = float("-inf")
+        self.written_at = float("-inf")
         self.keys: list[str] = []
         self.count = 0
         self.revision = 0
@@ -38,17 +38,17 @@
     def add(self, item: Item) -> None:
         self.count += 1
         self.revision = item.revision
-        if len(self.keys) < MOST_KEYS:
+        if len(self.keys) < MAX_KEYS_PER_LINE:
             self.keys.append(item.key)
 
 
-class BeliefLog:
+class ChangeLog:
     """Writes a line for a change, and one a second for all that follow at once."""
 
-    __slots__ = ("_kinds",)
+    __slots__ = ("_pending",)
 
     def __init__(self) -> None:
-        self._kinds: dict[str, _Kind] = {}
+        self._pending: dict[str, _PendingChanges] = {}
 
     def changed(
         self, what: str, item: Item, configuration: int | None, now: float
@@ -66,27 +66,27 @@
         now : float
             Monotonic seconds.
         """
-        kind = self._kinds.setdefault(what, _Kind())
+        kind = self._pending.setdefault(what, _PendingChanges())
         kind.add(item)
-        if what not in GATHERED_KINDS or now - kind.said_at >= GATHERED:
+        if what not in BATCHED_KINDS or now - kind.written_at >= BATCH_SECONDS:
             self._write(what, kind, configuration, now)
 
-    def flush(self, configuration: int | None, now: float, every: bool = False) -> None:
+    def flush(self, configuration: int | None, now: float, force: bool = False) -> None:
         """Write what has been gathered for long enough.
 
         Parameters
         ----------
         configuration, now
             As for :meth:`changed`.
-        every : bool
+        force : bool
             Whether to write all that has been gathered, however short ago.
         """
-        for what, kind in self._kinds.items():
-            if kind.count and (every or now - kind.said_at >= GATHERED):
+        for what, kind in self._pending.items():
+            if kind.count and (force or now - kind.written_at >= BATCH_SECONDS):
                 self._write(what, kind, configuration, now)
 
     def _write(
-        self, what: str, kind: _Kind, configuration: int | None, now: float
+        self, what: str, kind: _PendingChanges, configuration: int | None, now: float
     ) -> None:
         first, *others = kind.keys
         log.info(
@@ -100,6 +100,6 @@
                 "configuration": configuration,
             },
         )
-        kind.said_at = now
+        kind.written_at = now
         kind.keys = []
         kind.count = 0
--- a/packages/entry/src/berylstage_entry/changes.py
+++ b/packages/entry/src/berylstage_entry/changes.py
@@ -22,9 +22,9 @@
 FORMAT = 18
 # Ranges in one datagram at most, so that it goes over the network in one packet: one
 # takes some 30 bytes compressed, mostly for the names of two targets.
-MOST_RANGES = 32
+MAX_RANGES_PER_DATAGRAM = 32
 # Datagrams of one change at most. What takes more is read from the store by each VM.
-MOST_PARTS = 16
+MAX_DATAGRAMS = 16
 
 
 class AssignmentChange:
@@ -33,7 +33,7 @@
     Parameters
     ----------
     service : str
-    before, revision : int
+    base_revision, revision : int
         Revisions of the assignments.
     next_fence : int
         Of the new one.
@@ -49,7 +49,7 @@
     """
 
     __slots__ = (
-        "before",
+        "base_revision",
         "checksum",
         "next_fence",
         "parts_left",
@@ -61,14 +61,14 @@
     def __init__(
         self,
         service: str,
-        before: int,
+        base_revision: int,
         revision: int,
         next_fence: int,
         ranges: list[KeyRange],
         checksum: int,
     ):
         self.service = service
-        self.before = before
+        self.base_revision = base_revision
         self.revision = revision
         self.next_fence = next_fence
         self.ranges = ranges
@@ -77,11 +77,18 @@
 
     @classmethod
     def between(
-        cls, service: str, before: int, old: Assignment, revision: int, new: Assignment
+        cls,
+        service: str,
+        base_revision: int,
+        old: Assignment,
+        revision: int,
+        new: Assignment,
     ) -> AssignmentChange:
         """Return the step from an old assignment to a new one."""
         ranges = new.differing(old)
-        return cls(service, before, revision, new.next_fence, ranges, new.digest())
+        return cls(
+            service, base_revision, revision, new.next_fence, ranges, new.digest()
+        )
 
     def apply(self, old: Assignment) -> Assignment | None:
         """Return the new assignment; None when it does not come out as it should."""
@@ -92,19 +99,19 @@
         """Return the datagrams; none when the step takes too many."""
         ranges = self.ranges
         parts = [
-            ranges[first : first + MOST_RANGES]
-            for first in range(0, len(ranges), MOST_RANGES)
+            ranges[first : first + MAX_RANGES_PER_DATAGRAM]
+            for first in range(0, len(ranges), MAX_RANGES_PER_DATAGRAM)
         ] or [[]]
-        if len(parts) > MOST_PARTS:
+        if len(parts) > MAX_DATAGRAMS:
             return []
-        return [self._part(part, len(parts)) for part in parts]
+        return [self._encode_part(part, len(parts)) for part in parts]
 
-    def _part(self, ranges: list[KeyRange], parts: int) -> bytes:
+    def _encode_part(self, ranges: list[KeyRange], parts: int) -> bytes:
         rows = [
             [r.first, r.last, r.owner, r.life, r.fence, r.former, r.former_life]
             for r in ranges
         ]
-        head = [self.service, self.before, self.revision]
+        head = [self.service, self.base_revision, self.revision]
         doc = [*head, self.next_fence, rows, self.checksum, parts]
         text = json.dumps(doc, separators=(",", ":")).encode()
         return bytes([FORMAT]) + zlib.compress(text)
@@ -127,13 +134,13 @@
             It is none.
         """
         try:
-            service, before, revision, next_fence, rows, checksum, parts = json.loads(
-                zlib.decompress(data[1:])
+            service, base_revision, revision, next_fence, rows, checksum, parts = (
+                json.loads(zlib.decompress(data[1:]))
             )
             ranges = [KeyRange(*row) for row in rows]
             change = cls(
                 str(service),
-                int(before),
+                int(base_revision),
                 int(revision),
                 int(next_fence),
                 ranges,
--- a/packages/entry/src/berylstage_entry/feed.py
+++ b/packages/entry/src/berylstage_entry/feed.py
@@ -9,15 +9,15 @@
 from logbook import Logger
 
 from berylstage_entry.assignment import Assignment
-from berylstage_entry.belief_log import BeliefLog
+from berylstage_entry.change_log import ChangeLog
 from berylstage_entry.clock import now
-from berylstage_entry.contact import StoreContact
 from berylstage_entry.duty_watch import DutyWatch
 from berylstage_entry.errors import HistoryLost, StoreError, UnreadableRecord
 from berylstage_entry.keys import DUTY_KEY, KEYS_PREFIX, OWN_PREFIX
-from berylstage_entry.named_values import NamedValues
-from berylstage_entry.news import LARGEST_VALUE, News
+from berylstage_entry.large_values import LargeValueFetcher
+from berylstage_entry.news import MAX_INLINE_VALUE_BYTES, News
 from berylstage_entry.store import Item
+from berylstage_entry.store_connectivity import StoreConnectivity
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -30,38 +30,38 @@
 # of one's own. Targets report about once a second each, so a watch without a pause
 # would be a call for each report; a pause of 1.2 s leaves 0.8 s of the two seconds
 # within which news must be in force.
-PACE = 1.2
+READ_INTERVAL_SECONDS = 1.2
 # The same for the VM that tells the others. Less than half of the pace, so that one
 # lost telling is made up for by the next before the others read for themselves.
-TELL_PACE = 0.45
+PUBLISHER_READ_INTERVAL_SECONDS = 0.45
 # The same for the one VM of a data centre that tells the others there what it reads
 # while nobody tells all. When the VM that tells is lost, hundreds would read for
 # themselves at the same moment, and again until another one has its part. This is
 # sooner than they do, and later than the next telling after one that was lost.
-DEPUTY_PACE = 0.7
+LOCAL_PUBLISHER_READ_INTERVAL_SECONDS = 0.7
 # The same while records have lapsed: whether they come back is known sooner.
-LAPSED_PACE = 0.25
+LAPSED_READ_INTERVAL_SECONDS = 0.25
 # The same while callers ask for keys whose owner this VM does not know. A VM that was
 # not told of an assignment, as one that has just started, refused these requests for up
 # to 0.9 s; four readings a second are a tenth of what the store lets 40 VMs do.
-HURRIED_PACE = 0.25
+REQUESTED_READ_INTERVAL_SECONDS = 0.25
 # Seconds for which changes are told again with what is told next: four tellings.
-TOLD_AGAIN = 2.0
+REPUBLISH_SECONDS = 2.0
 # Age in seconds of what a VM knows from which it reads all records rather than their
 # changes.
-FAR_BEHIND = 2.0
+FULL_READ_AGE_SECONDS = 2.0
 # Seconds that the watch of all keys waits: with any target alive it returns at once.
-ALL_WAIT = 1.0
+WATCH_WAIT_SECONDS = 1.0
 # Seconds for a call that finds out whether the store can be reached.
-CONTACT_TIMEOUT = 0.35
+PROBE_TIMEOUT_SECONDS = 0.35
 # Seconds before a failed call is made again, at least.
-RETRY = 0.35
+RETRY_SECONDS = 0.35
 # Seconds between two failed calls at most while others tell of what this VM has missed:
 # a third of the time in which it may handle requests by what it knew.
-HURRIED_RETRY = 1.0
+MAX_REQUESTED_RETRY_SECONDS = 1.0
 # Calls a second that all VMs together make to a store that does not answer. Each is
 # paid for like others, and one that answers again has more to do than that.
-RATE_AWAY = 30.0
+OUTAGE_CALLS_PER_SECOND = 30.0
 
 log = Logger(__name__)
 
@@ -82,22 +82,22 @@
         self._directory = directory
         self._tasks: list[asyncio.Task] = []
         self._revision = 0
-        self._contact = StoreContact(now())
+        self._connectivity = StoreConnectivity(now())
         self._unreadable: dict[str, bytes] = {}
-        self._changes = BeliefLog()
-        self._hurried = asyncio.Event()
+        self._change_log = ChangeLog()
+        self._read_requested = asyncio.Event()
         # Whether the store no longer has the changes since what this VM knows.
-        self._must_read_all = True
+        self._needs_full_read = True
         # Seconds between a failed reading and the next one at least, if it is hurried.
-        self._least_pause = RETRY
+        self._min_retry_delay = RETRY_SECONDS
         # When this VM read the store last, and when what it knows was last up to date.
-        self._read_at = float("-inf")
-        self._fresh_at = float("-inf")
-        self._named = NamedValues(self._read_named)
+        self._last_read_at = float("-inf")
+        self._up_to_date_at = float("-inf")
+        self._large_values = LargeValueFetcher(self._read_large_value)
         # All keys that the store has, as far as this VM knows.
-        self._keys: set[str] = set()
+        self._known_keys: set[str] = set()
         # What this VM told last, the newest first, with the moments.
-        self._told: deque[tuple[float, News]] = deque()
+        self._published: deque[tuple[float, News]] = deque()
         # Whether this VM tells the others what it reads, and how.
         self.is_teller: Callable[[], bool] = lambda: False
         self.tell: Callable[[News], None] = lambda news: None
@@ -120,20 +120,20 @@
     def start(self) -> None:
         """Begin to follow."""
         self._tasks = [
-            asyncio.create_task(self._follow_all()),
+            asyncio.create_task(self._run()),
             asyncio.create_task(DutyWatch(self._store, self).run()),
         ]
 
     def stop(self) -> None:
         """Stop following."""
-        self._changes.flush(self._version(), now(), every=True)
+        self._change_log.flush(self._configuration_version(), now(), force=True)
         for task in self._tasks:
             task.cancel()
-        self._named.stop()
+        self._large_values.stop()
 
     def steady(self) -> float:
         """Return the seconds of unbroken contact with the store up to now."""
-        return self._contact.steady(now())
+        return self._connectivity.unbroken_seconds(now())
 
     @property
     def revision(self) -> int:
@@ -148,17 +148,20 @@
         failed alone is soon made again: it may be the link of this VM that was full.
         """
         if self.is_teller() or self.is_standby():
-            return RETRY
-        away = self._contact.away(now())
-        return max(RETRY, min(away, self.vms / RATE_AWAY))
+            return RETRY_SECONDS
+        away = self._connectivity.outage_seconds(now())
+        return max(RETRY_SECONDS, min(away, self.vms / OUTAGE_CALLS_PER_SECOND))
 
     async def contact(self) -> float:
         """Try to reach the store and return the seconds of contact; 0 for none."""
-        if self._contact.is_lost() and now() - self._contact.failed_at < RETRY:
+        if (
+            self._connectivity.is_disconnected()
+            and now() - self._connectivity.last_failure_at < RETRY_SECONDS
+        ):
             # It has just been tried.
             return 0.0
         try:
-            async with asyncio.timeout(CONTACT_TIMEOUT):
+            async with asyncio.timeout(PROBE_TIMEOUT_SECONDS):
                 await self._store.read(DUTY_KEY)
         except (StoreError, TimeoutError) as exc:
             self.note_failure(exc)
@@ -167,7 +170,7 @@
 
     def in_outage(self) -> bool:
         """Tell whether the store is, or has just been, away from this VM."""
-        return self._contact.in_outage(now())
+        return self._connectivity.in_outage(now())
 
     def is_in_touch(self) -> bool:
         """Tell whether the store answers this VM, and nothing that it knows may be old.
@@ -175,11 +178,11 @@
         A VM that knows of no change for a while would renew grants as they were, if it
         had the duty.
         """
-        return not self._must_read_all and not self._contact.is_lost()
+        return not self._needs_full_read and not self._connectivity.is_disconnected()
 
     def hurry(self) -> None:
         """Have the next reading done soon: something known has turned out to be old."""
-        self._hurried.set()
+        self._read_requested.set()
 
     def take_news(self, news: News) -> bool:
         """Take in what another VM has read; False when it has to be read here.
@@ -195,32 +198,36 @@
         if news.revision < self._revision:
             # Told late: it says nothing of how things are now.
             return False
-        self._contact.told(now(), news.contact)
+        self._connectivity.mark_peer_contact(now(), news.contact)
         if not self.complete:
-            if self._contact.was_lost():
+            if self._connectivity.is_failing():
                 self.hurry()
             return False
         if news.after > self._revision:
             self.hurry()
             # Read alone it is here sooner than with all records.
-            self._named.named(
-                {k: at for k, at in news.named.items() if not k.startswith(OWN_PREFIX)}
+            self._large_values.fetch_newer(
+                {
+                    k: at
+                    for k, at in news.large_revisions.items()
+                    if not k.startswith(OWN_PREFIX)
+                }
             )
             return False
         for item in news.items:
             if item.revision > self._revision:
-                self._take(item)
-        self._named.named(news.named)
+                self._apply_item(item)
+        self._large_values.fetch_newer(news.large_revisions)
         self._revision = news.revision
-        self._must_read_all = False
-        self._fresh_at = max(self._fresh_at, now() - news.age)
+        self._needs_full_read = False
+        self._up_to_date_at = max(self._up_to_date_at, now() - news.age)
         # Told again with the first that this VM tells, should it be the next to tell:
         # other VMs may have missed the last that the former one told.
-        self._told.clear()
-        self._told.append((now(), news))
+        self._published.clear()
+        self._published.append((now(), news))
         return True
 
-    async def _read_named(self, key: str) -> bool:
+    async def _read_large_value(self, key: str) -> bool:
         """Read a value that was named; False when the store has failed."""
         try:
             changes = await self._store.read(key)
@@ -229,53 +236,59 @@
             await asyncio.sleep(self.retry_pause())
             return False
         for item in changes.items:
-            self._take(item)
+            self._apply_item(item)
         self.note_answer()
         return True
 
-    def _pace(self) -> float:
+    def _read_interval(self) -> float:
         if self._directory.has_lapsed():
-            return LAPSED_PACE
+            return LAPSED_READ_INTERVAL_SECONDS
         if self.is_teller():
-            return TELL_PACE
-        return DEPUTY_PACE if self.is_deputy() else PACE
+            return PUBLISHER_READ_INTERVAL_SECONDS
+        return (
+            LOCAL_PUBLISHER_READ_INTERVAL_SECONDS
+            if self.is_deputy()
+            else READ_INTERVAL_SECONDS
+        )
 
-    async def _pause(self) -> None:
+    async def _wait_for_next_read(self) -> None:
         """Wait until the next reading is due, or somebody needs it sooner."""
         while True:
-            self._drop_lapsed()
-            self._changes.flush(self._version(), now())
-            wait = self._fresh_at + self._pace() - now()
+            self._drop_expired_targets()
+            self._change_log.flush(self._configuration_version(), now())
+            wait = self._up_to_date_at + self._read_interval() - now()
             if wait <= 0:
                 return
             try:
                 async with asyncio.timeout(wait):
-                    await self._hurried.wait()
+                    await self._read_requested.wait()
             except TimeoutError:
                 # News may have come meanwhile and put the reading off.
                 continue
-            await asyncio.sleep(max(0.0, self._read_at + HURRIED_PACE - now()))
-            self._hurried.clear()
+            await asyncio.sleep(
+                max(0.0, self._last_read_at + REQUESTED_READ_INTERVAL_SECONDS - now())
+            )
+            self._read_requested.clear()
             return
 
-    async def _follow_all(self) -> None:
+    async def _run(self) -> None:
         while True:
             try:
-                if self._must_read_all or self._is_far_behind():
+                if self._needs_full_read or self._should_read_all():
                     await self._read_all()
                 else:
                     await self._watch_all()
-                self._read_at = self._fresh_at = now()
-                self._least_pause = RETRY
+                self._last_read_at = self._up_to_date_at = now()
+                self._min_retry_delay = RETRY_SECONDS
                 self.note_answer()
-                await self._pause()
+                await self._wait_for_next_read()
             except HistoryLost:
-                self._must_read_all = True
+                self._needs_full_read = True
             except StoreError as exc:
                 self.note_failure(exc)
-                await self._rest()
+                await self._wait_after_failure()
 
-    async def _rest(self) -> None:
+    async def _wait_after_failure(self) -> None:
         """Wait after a failed reading, until news show that something was missed.
 
         Who tells of it can be reached again, and so may the store. A VM that is cut off
@@ -283,49 +296,53 @@
         pauses.
         """
         most = self.retry_pause()
-        least = min(most, self._least_pause)
+        least = min(most, self._min_retry_delay)
         await asyncio.sleep(least)
         try:
             async with asyncio.timeout(most - least):
-                await self._hurried.wait()
+                await self._read_requested.wait()
         except TimeoutError:
             return
-        self._hurried.clear()
-        self._least_pause = min(2 * self._least_pause, HURRIED_RETRY)
+        self._read_requested.clear()
+        self._min_retry_delay = min(
+            2 * self._min_retry_delay, MAX_REQUESTED_RETRY_SECONDS
+        )
 
-    def _is_far_behind(self) -> bool:
+    def _should_read_all(self) -> bool:
         """Tell whether all records are fewer than their changes since.
 
         Each target reports about once a second. The changes of some seconds are many
         times the records themselves; on a small link they take longer than the time
         for which anybody would wait, and at the next try there are more of them.
         """
-        return not self.is_teller() and now() - self._fresh_at > FAR_BEHIND
+        return (
+            not self.is_teller() and now() - self._up_to_date_at > FULL_READ_AGE_SECONDS
+        )
 
-    def _drop_lapsed(self) -> None:
-        settled = self._contact.others_have_it(now())
+    def _drop_expired_targets(self) -> None:
+        settled = self._connectivity.has_peer_contact(now())
         for name in self._directory.expire(now(), settled):
             log.info(
                 "target dropped: its record did not come back", extra={"target": name}
             )
-            self._tell("targets")
+            self._notify_listeners("targets")
 
     async def _read_all(self) -> None:
         news, began = News(self._revision, 0, []), now()
         changes = await self._store.read("")
-        was_told = self._revision != news.after
-        if was_told and self._revision >= changes.revision:
+        was_updated = self._revision != news.after
+        if was_updated and self._revision >= changes.revision:
             # Older records must not undo what was told meanwhile.
             return
         names, closed, own = set(), set(), set()
         keys = {item.key for item in changes.items}
-        for key in self._keys - keys:
+        for key in self._known_keys - keys:
             news.add(Item(key, None, changes.revision))
-        self._keys = keys
+        self._known_keys = keys
         for item in changes.items:
-            if item.revision > news.after and self._is_new(item):
+            if item.revision > news.after and self._is_relevant(item):
                 news.add(item, item.key.startswith(KEYS_PREFIX))
-            record = self._take(item)
+            record = self._apply_item(item)
             if item.key.startswith(OWN_PREFIX):
                 own.add(item.key)
             if record is not None and record.target is not None:
@@ -335,12 +352,12 @@
         missing = self._directory.restrict(names, closed, now(), self.in_outage())
         for key in [key for key in self.own if key not in own]:
             del self.own[key]
-            self._tell(key)
+            self._notify_listeners(key)
         news.revision = self._revision = changes.revision
         self.complete = True
-        self._must_read_all = False
-        if not was_told:
-            self._tell_others(news, began)
+        self._needs_full_read = False
+        if not was_updated:
+            self._publish(news, began)
         log.info(
             "store read",
             extra={
@@ -349,32 +366,32 @@
                 "missing": missing,
             },
         )
-        self._tell("read")
+        self._notify_listeners("read")
 
     async def _watch_all(self) -> None:
         news, began = News(self._revision, 0, []), now()
         # A teller that stood still during a long wait could not tell how old the answer
         # is: a call that waits for nothing is as old as it took, on a clock that counts
         # suspended time.
-        tells = self._tells()
-        wait = 0.0 if tells else ALL_WAIT
+        is_publishing = self._is_publishing()
+        wait = 0.0 if is_publishing else WATCH_WAIT_SECONDS
         changes = await self._store.watch("", self._revision, wait)
-        was_told = self._revision != news.after
+        was_updated = self._revision != news.after
         for item in changes.items:
             # News may have come during the watch; older changes must not undo it.
-            if item.revision > self._revision and self._is_new(item):
+            if item.revision > self._revision and self._is_relevant(item):
                 news.add(item, item.key.startswith(KEYS_PREFIX))
             if item.revision > self._revision:
-                self._take(item)
+                self._apply_item(item)
         news.revision = self._revision = max(self._revision, changes.revision)
-        if tells and not was_told:
-            self._tell_others(news, began)
+        if is_publishing and not was_updated:
+            self._publish(news, began)
 
-    def _tells(self) -> bool:
+    def _is_publishing(self) -> bool:
         """Tell whether this VM tells others what it reads."""
         return self.is_teller() or self.is_deputy()
 
-    def _tell_others(self, news: News, began: float) -> None:
+    def _publish(self, news: News, began: float) -> None:
         """Tell the other VMs what was read, with what was told a moment ago.
 
         Not for a reading during which this VM was told something itself: what it knew
@@ -382,20 +399,20 @@
         believe to know everything up to their revision, and never hear of it.
         """
         moment = now()
-        while self._told and moment - self._told[-1][0] > TOLD_AGAIN:
-            self._told.pop()
-        if not self._tells() or not news.after:
+        while self._published and moment - self._published[-1][0] > REPUBLISH_SECONDS:
+            self._published.pop()
+        if not self._is_publishing() or not news.after:
             # What a first reading finds is not what has changed.
-            self._told.clear()
+            self._published.clear()
             return
-        if self._told and self._told[0][1].revision != news.after:
-            self._told.clear()
+        if self._published and self._published[0][1].revision != news.after:
+            self._published.clear()
         news.age = moment - began
         news.contact = self.steady()
-        self.tell(news.since(told for _, told in self._told))
-        self._told.appendleft((moment, news))
+        self.tell(news.with_earlier(told for _, told in self._published))
+        self._published.appendleft((moment, news))
 
-    def _is_new(self, item: Item) -> bool:
+    def _is_relevant(self, item: Item) -> bool:
         """Tell whether a change matters to VMs that know everything before it."""
         if item.value is None or item.key.startswith(OWN_PREFIX):
             return True
@@ -409,13 +426,13 @@
         known = self._directory.known.get(record.target.name)
         return known is None or known.differs(record.target, now())
 
-    def _take(self, item: Item):
+    def _apply_item(self, item: Item):
         if item.value is None:
-            self._keys.discard(item.key)
+            self._known_keys.discard(item.key)
         else:
-            self._keys.add(item.key)
-        if item.value is not None and len(item.value) > LARGEST_VALUE:
-            self._named.took(item.key, item.revision)
+            self._known_keys.add(item.key)
+        if item.value is not None and len(item.value) > MAX_INLINE_VALUE_BYTES:
+            self._large_values.note_revision(item.key, item.revision)
         if item.key.startswith(OWN_PREFIX):
             self.take_own(item)
             return None
@@ -436,13 +453,15 @@
             log.info("record gone, its target kept for now", extra={"key": item.key})
         if what:
             self._log_change(what, item)
-            self._tell("configuration" if what == "configuration" else "targets")
+            self._notify_listeners(
+                "configuration" if what == "configuration" else "targets"
+            )
         return record
 
     def _log_change(self, what: str, item: Item) -> None:
-        self._changes.changed(what, item, self._version(), now())
+        self._change_log.changed(what, item, self._configuration_version(), now())
 
-    def _version(self) -> int | None:
+    def _configuration_version(self) -> int | None:
         cfg = self._directory.configuration
         return cfg.version if cfg else None
 
@@ -455,7 +474,7 @@
             service = item.key.removeprefix(KEYS_PREFIX)
             self.assignments[service] = Assignment.decode(item.value)
             self.revisions[service] = item.revision
-        self._tell(item.key)
+        self._notify_listeners(item.key)
 
     def _is_newer(self, key: str, revision: int) -> bool:
         known = self.own.get(key)
@@ -476,18 +495,18 @@
         key = KEYS_PREFIX + service
         if not self._is_newer(key, revision):
             return
-        self._keys.add(key)
+        self._known_keys.add(key)
         # News names it by its revision. It need not be read, whatever its size.
-        self._named.took(key, revision)
+        self._large_values.note_revision(key, revision)
         # Its value is not kept: it is there in the form in which it is used.
         self.own[key] = Item(key, b"", revision)
         self.assignments[service] = assignment
         self.revisions[service] = revision
-        self._tell(key)
+        self._notify_listeners(key)
 
     def take_written(self, item: Item) -> None:
         """Take in an own key that this VM has just written."""
-        self._take(item)
+        self._apply_item(item)
 
     def take_told(self, item: Item) -> bool:
         """Take in a value that another VM tells ahead of its news.
@@ -503,12 +522,12 @@
         bool
             False for anything else.
         """
-        if not item.key.startswith(KEYS_PREFIX) and not self._configures(item):
+        if not item.key.startswith(KEYS_PREFIX) and not self._is_configuration(item):
             return False
-        self._take(item)
+        self._apply_item(item)
         return True
 
-    def _configures(self, item: Item) -> bool:
+    def _is_configuration(self, item: Item) -> bool:
         if item.key.startswith(OWN_PREFIX):
             return False
         try:
@@ -518,28 +537,28 @@
             return False
         return record is not None and record.configuration is not None
 
-    def _tell(self, what: str) -> None:
+    def _notify_listeners(self, what: str) -> None:
         for listener in self.listeners:
             listener(what)
 
     def note_answer(self) -> None:
         """Note that the store has answered a call of this VM."""
         moment = now()
-        if self._contact.was_lost():
-            away = round(self._contact.away(moment), 2)
+        if self._connectivity.is_failing():
+            away = round(self._connectivity.outage_seconds(moment), 2)
             log.info("store regained", extra={"away": away})
             self._postpone_expiry(moment)
-        self._contact.answered(moment)
+        self._connectivity.mark_success(moment)
 
     def note_failure(self, exc: Exception) -> None:
         """Note that the store has not answered a call of this VM."""
         moment = now()
-        if not self._contact.is_lost():
+        if not self._connectivity.is_disconnected():
             log.warning("store lost", extra={"cause": str(exc)})
-        self._contact.failed(moment)
+        self._connectivity.mark_failure(moment)
         self._postpone_expiry(moment)
 
     def _postpone_expiry(self, moment: float) -> None:
         """Let lapsed records keep their whole time while the store is away."""
-        if self._contact.in_outage(moment):
+        if self._connectivity.in_outage(moment):
             self._directory.postpone_expiry(moment)
--- a/packages/entry/src/berylstage_entry/membership.py
+++ b/packages/entry/src/berylstage_entry/membership.py
@@ -29,7 +29,7 @@
 # and by its own reading when nothing is told.
 KEEP = 5.0
 # Seconds before a failed call is made again.
-RETRY = 1.0
+RETRY_SECONDS = 1.0
 # VMs that are assumed beyond those that are known, for those that are just starting.
 UNKNOWN = 2
 
@@ -185,7 +185,7 @@
             except StoreError as exc:
                 self._feed.note_failure(exc)
                 log.info("own key not kept", extra={"cause": str(exc)})
-                await asyncio.sleep(max(RETRY, 2 * self._feed.retry_pause()))
+                await asyncio.sleep(max(RETRY_SECONDS, 2 * self._feed.retry_pause()))
 
     async def _enter(self) -> None:
         lease = await self._store.take_lease(LEASE)
--- a/packages/entry/src/berylstage_entry/news.py
+++ b/packages/entry/src/berylstage_entry/news.py
@@ -19,10 +19,10 @@
     from collections.abc import Iterable, Sequence
 
 # Bytes of news that fit into one datagram without being cut up on the way.
-MOST_BYTES = 1300
+MAX_DATAGRAM_BYTES = 1300
 # Bytes of a value above which it is named only. What fits into a few packets is told on
 # its own before, the rest is read by each VM itself.
-LARGEST_VALUE = 500
+MAX_INLINE_VALUE_BYTES = 500
 # First byte of a datagram with news.
 FORMAT = 16
 
@@ -38,7 +38,7 @@
         Revision up to which it knows everything with this.
     items : sequence of Item
         Changes in their order; reports that tell nothing new are left out.
-    named : dict of str to int
+    large_revisions : dict of str to int
         Keys with large values, and the revision of each.
     age : float
         Seconds since the reading began, when it is told.
@@ -51,44 +51,52 @@
         The values that are named, as far as this VM has read them itself.
     """
 
-    __slots__ = ("after", "age", "contact", "items", "large", "named", "revision")
+    __slots__ = (
+        "after",
+        "age",
+        "contact",
+        "items",
+        "large",
+        "large_revisions",
+        "revision",
+    )
 
     def __init__(
         self,
         after: int,
         revision: int,
         items: Sequence[Item],
-        named: dict[str, int] | None = None,
+        large_revisions: dict[str, int] | None = None,
         age: float = 0.0,
         contact: float = 0.0,
     ):
         self.after = after
         self.revision = revision
         self.items = list(items)
-        self.named = named or {}
+        self.large_revisions = large_revisions or {}
         self.age = age
         self.contact = contact
         self.large: list[Item] = []
 
-    def add(self, item: Item, is_told_apart: bool = False) -> None:
+    def add(self, item: Item, is_sent_separately: bool = False) -> None:
         """Add a change.
 
         Parameters
         ----------
         item : Item
-        is_told_apart : bool
+        is_sent_separately : bool
             Whether its value is told by whoever wrote it. It is named, so that a VM
             which missed that knows what to read.
         """
-        if is_told_apart:
-            self.named[item.key] = item.revision
-        elif item.value is not None and len(item.value) > LARGEST_VALUE:
-            self.named[item.key] = item.revision
+        if is_sent_separately:
+            self.large_revisions[item.key] = item.revision
+        elif item.value is not None and len(item.value) > MAX_INLINE_VALUE_BYTES:
+            self.large_revisions[item.key] = item.revision
             self.large.append(item)
         else:
             self.items.append(item)
 
-    def since(self, told: Iterable[News]) -> News:
+    def with_earlier(self, earlier: Iterable[News]) -> News:
         """Return these news with those told before, as far as it fits a datagram.
 
         A datagram may be lost, and a VM that lacks one change has to read for itself:
@@ -97,26 +105,30 @@
 
         Parameters
         ----------
-        told : iterable of News
+        earlier : iterable of News
             Without gaps, the newest first.
 
         Returns
         -------
         News
         """
-        joined = self._with(self.after, self.items, self.named)
-        for before in told:
+        joined = self._with_changes(self.after, self.items, self.large_revisions)
+        for before in earlier:
             items = [*before.items, *joined.items]
-            named = before.named | joined.named
-            wider = self._with(before.after, items, named)
+            large_revisions = before.large_revisions | joined.large_revisions
+            wider = self._with_changes(before.after, items, large_revisions)
             if wider.encode() is None:
                 break
             joined = wider
         return joined
 
-    def _with(self, after: int, items: Sequence[Item], named: dict[str, int]) -> News:
+    def _with_changes(
+        self, after: int, items: Sequence[Item], large_revisions: dict[str, int]
+    ) -> News:
         """Return the same news with other changes, from another revision on."""
-        news = News(after, self.revision, items, named, self.age, self.contact)
+        news = News(
+            after, self.revision, items, large_revisions, self.age, self.contact
+        )
         news.large = self.large
         return news
 
@@ -132,27 +144,31 @@
             Each begins where the one before it ends.
         """
         items = sorted(self.items, key=lambda item: item.revision)
-        cut = _middle(items)
+        cut = _split_index(items)
         if not cut or self.encode() is not None:
             return [self]
         until = items[cut].revision - 1
         # Each key is named in the part that reaches its revision. A VM that got the
         # first part only knows everything up to there: named later, a configuration
         # would never be read by it.
-        named = {key: at for key, at in self.named.items() if at <= until}
-        rest = {key: at for key, at in self.named.items() if at > until}
-        first = News(self.after, until, items[:cut], named, self.age, self.contact)
-        second = self._with(until, items[cut:], rest)
+        large_revisions = {
+            key: at for key, at in self.large_revisions.items() if at <= until
+        }
+        rest = {key: at for key, at in self.large_revisions.items() if at > until}
+        first = News(
+            self.after, until, items[:cut], large_revisions, self.age, self.contact
+        )
+        second = self._with_changes(until, items[cut:], rest)
         return [*first.parts(), *second.parts()]
 
     def encode(self) -> bytes | None:
         """Return the datagram; None when the news does not fit into one."""
-        rows = [(i.key, _text(i.value), i.revision) for i in self.items]
+        rows = [(i.key, _decode_value(i.value), i.revision) for i in self.items]
         times = [round(self.age, 3), round(self.contact, 1)]
-        doc = [self.after, self.revision, rows, self.named, *times]
+        doc = [self.after, self.revision, rows, self.large_revisions, *times]
         text = json.dumps(doc, separators=(",", ":")).encode()
         data = bytes([FORMAT]) + zlib.compress(text)
-        return data if len(data) <= MOST_BYTES else None
+        return data if len(data) <= MAX_DATAGRAM_BYTES else None
 
     @classmethod
     def decode(cls, data: bytes) -> News:
@@ -165,31 +181,33 @@
         """
         try:
             doc = json.loads(zlib.decompress(data[1:]))
-            after, revision, rows, named, age, contact = doc
-            items = [Item(key, _bytes(value), int(at)) for key, value, at in rows]
-            named = {str(key): int(at) for key, at in named.items()}
+            after, revision, rows, large_revisions, age, contact = doc
+            items = [
+                Item(key, _encode_value(value), int(at)) for key, value, at in rows
+            ]
+            large_revisions = {str(key): int(at) for key, at in large_revisions.items()}
             times = float(age), float(contact)
-            return cls(int(after), int(revision), items, named, *times)
+            return cls(int(after), int(revision), items, large_revisions, *times)
         except (zlib.error, ValueError, TypeError, AttributeError) as exc:
             raise UnreadableRecord(f"no news of the store: {exc}") from exc
 
 
-def _middle(items: Sequence[Item]) -> int:
+def _split_index(items: Sequence[Item]) -> int:
     """Return where to cut changes in two; 0 where all came with one revision.
 
     Changes of one revision stay together: a VM that has taken one of them in knows
     everything up to that revision, and would pass the others over.
     """
-    middle = len(items) // 2
+    half = len(items) // 2
     cuts = [
         n for n in range(1, len(items)) if items[n - 1].revision < items[n].revision
     ]
-    return min(cuts, key=lambda n: abs(n - middle), default=0)
+    return min(cuts, key=lambda n: abs(n - half), default=0)
 
 
-def _text(value: bytes | None) -> str | None:
+def _decode_value(value: bytes | None) -> str | None:
     return value.decode("latin-1") if value is not None else None
 
 
-def _bytes(value: str | None) -> bytes | None:
+def _encode_value(value: str | None) -> bytes | None:
     return value.encode("latin-1") if value is not None else None
--- a/packages/entry/tests/test_announcements.py
+++ b/packages/entry/tests/test_announcements.py
@@ -102,7 +102,7 @@
         teller.tell(self.change(two, 6, three, 7))
         taker.take_change(sent[1])
         assert feed.revisions["s"] == 5
-        assert feed._hurried.is_set()
+        assert feed._read_requested.is_set()
 
     def test_change_that_comes_late_is_passed_over(self):
         teller, sent, feed, taker = self.told_pair()
@@ -111,7 +111,7 @@
         feed.take_told(self.item(three, 7))
         taker.take_change(sent[0])
         assert feed.revisions["s"] == 7
-        assert not feed._hurried.is_set()
+        assert not feed._read_requested.is_set()
 
     def lost_data_centre(self):
         """Return an assignment, and one in which a third of the keys move."""
--- a/packages/entry/tests/test_belief_log.py
+++ b/packages/entry/tests/test_change_log.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from berylstage_entry.belief_log import GATHERED, MOST_KEYS, BeliefLog
+from berylstage_entry.change_log import BATCH_SECONDS, MAX_KEYS_PER_LINE, ChangeLog
 from berylstage_entry.store import Item
 from logbook import TestHandler as Recorder
 
@@ -10,15 +10,15 @@
 def lines(play):
     """Return the fields of the lines that are written while something is played."""
     with Recorder() as handler:
-        play(BeliefLog())
+        play(ChangeLog())
         return [record.extra for record in handler.records]
 
 
-class TestBeliefLog:
+class TestChangeLog:
     def test_single_changes_have_a_line_each_at_once(self):
-        def play(beliefs):
-            beliefs.changed("target", Item("t/a", b"", 5), 1, 10.0)
-            beliefs.changed("gone", Item("t/b", None, 6), 1, 10.1)
+        def play(changes):
+            changes.changed("target", Item("t/a", b"", 5), 1, 10.0)
+            changes.changed("gone", Item("t/b", None, 6), 1, 10.1)
 
         first, second = lines(play)
         assert (first["what"], first["key"], first["revision"]) == ("target", "t/a", 5)
@@ -27,32 +27,32 @@
     def test_hundreds_of_changes_have_a_line_a_second(self):
         # 400 targets start within two seconds, and each of 195 VMs learns of them all.
         # A line for each kept a small VM busy for the time of twenty requests.
-        def play(beliefs):
+        def play(changes):
             for n in range(400):
                 moment = 10.0 + n / 200
-                beliefs.changed("target", Item(f"t/{n}", b"", n), 1, moment)
-            beliefs.flush(1, 12.1)
+                changes.changed("target", Item(f"t/{n}", b"", n), 1, moment)
+            changes.flush(1, 12.1)
 
         written = lines(play)
-        assert len(written) <= 2 / GATHERED + 1
+        assert len(written) <= 2 / BATCH_SECONDS + 1
         assert sum(line["changes"] for line in written) == 400
-        assert all(len(line["others"]) < MOST_KEYS for line in written)
+        assert all(len(line["others"]) < MAX_KEYS_PER_LINE for line in written)
 
     def test_nothing_gathered_is_left_out_at_the_end(self):
-        def play(beliefs):
-            beliefs.changed("target", Item("t/a", b"", 5), 1, 10.0)
-            beliefs.changed("target", Item("t/b", b"", 6), 1, 10.1)
-            beliefs.flush(1, 10.2)
-            beliefs.flush(1, 10.2, every=True)
-            beliefs.flush(1, 10.3, every=True)
+        def play(changes):
+            changes.changed("target", Item("t/a", b"", 5), 1, 10.0)
+            changes.changed("target", Item("t/b", b"", 6), 1, 10.1)
+            changes.flush(1, 10.2)
+            changes.flush(1, 10.2, force=True)
+            changes.flush(1, 10.3, force=True)
 
         assert [line["key"] for line in lines(play)] == ["t/a", "t/b"]
 
     def test_each_configuration_has_its_line_at_once(self):
         # When a version came into force on a VM is what an engineer looks for first.
-        def play(beliefs):
+        def play(changes):
             for n in range(3):
                 item = Item("cfg", b"", 5 + n)
-                beliefs.changed("configuration", item, 7 + n, 10.0 + n / 10)
+                changes.changed("configuration", item, 7 + n, 10.0 + n / 10)
 
         assert [line["configuration"] for line in lines(play)] == [7, 8, 9]
--- a/packages/entry/tests/test_feed.py
+++ b/packages/entry/tests/test_feed.py
@@ -10,9 +10,9 @@
 from berylstage_entry.clock import now
 from berylstage_entry.directory import Directory
 from berylstage_entry.errors import StoreSilent
-from berylstage_entry.feed import RATE_AWAY, RETRY, Feed
+from berylstage_entry.feed import OUTAGE_CALLS_PER_SECOND, RETRY_SECONDS, Feed
 from berylstage_entry.keys import DUTY_KEY, KEYS_PREFIX
-from berylstage_entry.news import LARGEST_VALUE, News
+from berylstage_entry.news import MAX_INLINE_VALUE_BYTES, News
 from fakes import JsonRecords, MemoryStore, configuration
 from fleet import CountingView, Fleet
 from virtual_time import virtual_loop
@@ -53,15 +53,17 @@
         store.away = True
         before = len(calls)
         loop.run_until_complete(asyncio.sleep(10.0))
-        standbys = 3 * 2 * 10 / RETRY
-        assert len(calls) - before < 1.2 * (10 * RATE_AWAY + VMS + standbys)
+        standbys = 3 * 2 * 10 / RETRY_SECONDS
+        assert len(calls) - before < 1.2 * (
+            10 * OUTAGE_CALLS_PER_SECOND + VMS + standbys
+        )
 
     def test_vms_that_stand_by_know_soon_that_the_store_is_back(self, feeds):
         loop, store, _, found = feeds
         store.away = True
         loop.run_until_complete(asyncio.sleep(5.0))
         store.away = False
-        loop.run_until_complete(asyncio.sleep(RETRY + 0.05))
+        loop.run_until_complete(asyncio.sleep(RETRY_SECONDS + 0.05))
         assert all(feed.is_in_touch() for feed in found[:3])
 
     def test_all_know_in_the_end(self, feeds):
@@ -69,7 +71,7 @@
         store.away = True
         loop.run_until_complete(asyncio.sleep(5.0))
         store.away = False
-        loop.run_until_complete(asyncio.sleep(1.5 * VMS / RATE_AWAY))
+        loop.run_until_complete(asyncio.sleep(1.5 * VMS / OUTAGE_CALLS_PER_SECOND))
         assert all(feed.is_in_touch() for feed in found)
 
 
@@ -321,7 +323,7 @@
         fleet.heal()
         before = len(fleet.calls)
         fleet.run(2.0)
-        assert len(fleet.calls) - before <= 3 * 33 + 2 * 2 / RETRY + 2 / 0.45
+        assert len(fleet.calls) - before <= 3 * 33 + 2 * 2 / RETRY_SECONDS + 2 / 0.45
 
 
 class TestCallThatFailsAlone:
@@ -334,7 +336,7 @@
         fleet = make_fleet(195)
         feed, view = fleet.feeds[7], fleet.views[7]
         # Configurations are large: they are named, and each VM reads them.
-        fleet.store.put("cfg", b"2" + b" " * LARGEST_VALUE)
+        fleet.store.put("cfg", b"2" + b" " * MAX_INLINE_VALUE_BYTES)
         read, failures = view.read, []
 
         async def read_once_in_vain(prefix):
@@ -349,7 +351,7 @@
             return feed._directory.configuration.version == 2
 
         fleet.until(is_known, 10.0)
-        assert now() - failures[0] <= 2 * RETRY
+        assert now() - failures[0] <= 2 * RETRY_SECONDS
 
     def test_configuration_does_not_wait_for_another_value(self, make_fleet):
         # Guards against a configuration that is in force late, since the value that was
@@ -365,7 +367,7 @@
             return await read(prefix)
 
         view.read = slow_for_assignments
-        large = b" " * LARGEST_VALUE
+        large = b" " * MAX_INLINE_VALUE_BYTES
         fleet.store.put(KEYS_PREFIX + "s", nobody().encode() + large)
         fleet.run(0.6)
         fleet.store.put("cfg", b"2" + large)
@@ -391,7 +393,7 @@
         fleet.run(4.0)
         fleet.heal()
         view.watch = lambda prefix, *rest: watch(prefix, *rest) if prefix else slow()
-        fleet.store.put("cfg", b"2" + b" " * LARGEST_VALUE)
+        fleet.store.put("cfg", b"2" + b" " * MAX_INLINE_VALUE_BYTES)
 
         def is_known():
             return feed._directory.configuration.version == 2
@@ -428,7 +430,7 @@
 
         view.read = slow_for_all
         self.forget(fleet)
-        fleet.store.put("cfg", b"2" + b" " * LARGEST_VALUE)
+        fleet.store.put("cfg", b"2" + b" " * MAX_INLINE_VALUE_BYTES)
 
         def is_known():
             return feed._directory.configuration.version == 2
--- a/packages/entry/tests/test_membership.py
+++ b/packages/entry/tests/test_membership.py
@@ -54,7 +54,7 @@
             doc = {"control": f"10.0.0.{n}:1", "data_centre": "dc-1", "power": 1.0}
             value = json.dumps(doc).encode()
             feed.take_written(Item(f"{VMS_PREFIX}vm-{n}", value, n + 1))
-        feed._tell("read")
+        feed._notify_listeners("read")
         assert len(membership.members()) == 200
         assert len(read) == 200
 
@@ -66,7 +66,7 @@
         item = Item(VMS_PREFIX + "vm-1", json.dumps(doc).encode(), 1)
         feed.take_written(item)
         before = membership.revision
-        feed._tell("read")
+        feed._notify_listeners("read")
         assert membership.revision == before
         feed.take_written(Item(item.key, None, 2))
         assert membership.members() == []
--- a/packages/entry/tests/test_news.py
+++ b/packages/entry/tests/test_news.py
@@ -326,7 +326,9 @@
             revision = store.revision
             for n in range(200):
                 put_target(store, f"b{n:03}x{n**20}")
-            await until(lambda: told.feed._named.known("t/large") == revision)
+            await until(
+                lambda: told.feed._large_values.known_revision("t/large") == revision
+            )
 
         play(steps, lambda: next(lost))
 
@@ -349,7 +351,7 @@
         assert parts[-1].revision == newest
         for part in parts:
             reaches = part.after < named <= part.revision
-            assert part.named == ({"k": named} if reaches else {})
+            assert part.large_revisions == ({"k": named} if reaches else {})
         for one, other in pairwise(parts):
             assert one.revision == other.after
             assert all(item.revision <= one.revision for item in one.items)
