--- a/packages/entry/src/berylstage_entry/feed.py
+++ b/packages/entry/src/berylstage_entry/feed.py
@@ -1,4 +1,4 @@
-"""Follows the store and brings this VM's beliefs up to date."""
+"""Watches the store and keeps this VM's view of the cluster up to date."""
 
 from __future__ import annotations
 
@@ -26,48 +26,48 @@
     from berylstage_entry.store import Store
     from berylstage_entry.wire import RecordReader
 
-# Seconds between two readings of all changes, or from what another VM told to a reading
-# of one's own. Targets report about once a second each, so a watch without a pause
-# would be a call for each report; a pause of 1.2 s leaves 0.8 s of the two seconds
-# within which news must be in force.
+# Interval between two reads of all changes, or between an update from another VM and a
+# read of one's own. Each target reports about once a second, so a watch without a pause
+# would cost one call per report. 1.2 s leaves 0.8 s of the two seconds within which a
+# change must be in force.
 READ_INTERVAL_SECONDS = 1.2
-# The same for the VM that tells the others. Less than half of the pace, so that one
-# lost telling is made up for by the next before the others read for themselves.
+# Read interval of the publisher. It is less than half of the normal interval, so that
+# the update after a lost one arrives before the other VMs read the store themselves.
 PUBLISHER_READ_INTERVAL_SECONDS = 0.45
-# The same for the one VM of a data centre that tells the others there what it reads
-# while nobody tells all. When the VM that tells is lost, hundreds would read for
-# themselves at the same moment, and again until another one has its part. This is
-# sooner than they do, and later than the next telling after one that was lost.
+# Read interval of the local publisher, which serves its data centre while there is no
+# publisher. Without it, the loss of the publisher makes hundreds of VMs read the store
+# at the same moment, again and again until there is a new one. The interval is shorter
+# than theirs, and longer than the gap that one lost update of the publisher leaves.
 LOCAL_PUBLISHER_READ_INTERVAL_SECONDS = 0.7
-# The same while records have lapsed: whether they come back is known sooner.
+# Read interval while records have expired, so that their return is noticed sooner.
 LAPSED_READ_INTERVAL_SECONDS = 0.25
-# The same while callers ask for keys whose owner this VM does not know. A VM that was
-# not told of an assignment, as one that has just started, refused these requests for up
-# to 0.9 s; four readings a second are a tenth of what the store lets 40 VMs do.
+# Read interval while callers ask for keys whose owner this VM does not know. At the
+# normal interval, a VM that missed an assignment, such as one that has just started,
+# refuses these requests for up to 0.9 s. Four reads a second are a tenth of what the
+# store allows 40 VMs.
 REQUESTED_READ_INTERVAL_SECONDS = 0.25
-# Seconds for which changes are told again with what is told next: four tellings.
+# Time for which changes are published again with each new update: four updates.
 REPUBLISH_SECONDS = 2.0
-# Age in seconds of what a VM knows from which it reads all records rather than their
-# changes.
+# Age of this VM's view above which it reads all records rather than their changes.
 FULL_READ_AGE_SECONDS = 2.0
-# Seconds that the watch of all keys waits: with any target alive it returns at once.
+# Longest wait of the watch on all keys. With any target alive it returns at once.
 WATCH_WAIT_SECONDS = 1.0
-# Seconds for a call that finds out whether the store can be reached.
+# Timeout of a call that checks whether the store can be reached.
 PROBE_TIMEOUT_SECONDS = 0.35
-# Seconds before a failed call is made again, at least.
+# Shortest delay before a failed call is retried.
 RETRY_SECONDS = 0.35
-# Seconds between two failed calls at most while others tell of what this VM has missed:
-# a third of the time in which it may handle requests by what it knew.
+# Longest retry delay while other VMs publish changes that this VM has missed: a third
+# of the time for which it may serve requests from an outdated view.
 MAX_REQUESTED_RETRY_SECONDS = 1.0
-# Calls a second that all VMs together make to a store that does not answer. Each is
-# paid for like others, and one that answers again has more to do than that.
+# Calls per second that all VMs together make to a store that does not answer. These
+# calls are billed like others, and a store that recovers has other work to do.
 OUTAGE_CALLS_PER_SECOND = 30.0
 
 log = Logger(__name__)
 
 
 class Feed:
-    """Reads and watches the store.
+    """Lists and watches the store, and applies and publishes its changes.
 
     Parameters
     ----------
@@ -86,46 +86,46 @@
         self._unreadable: dict[str, bytes] = {}
         self._change_log = ChangeLog()
         self._read_requested = asyncio.Event()
-        # Whether the store no longer has the changes since what this VM knows.
+        # Whether the store has compacted the changes after this VM's revision.
         self._needs_full_read = True
-        # Seconds between a failed reading and the next one at least, if it is hurried.
+        # Seconds from a failed read to the next one if a refresh is requested.
         self._min_retry_delay = RETRY_SECONDS
-        # When this VM read the store last, and when what it knows was last up to date.
+        # When this VM last read the store, and when its view was last up to date.
         self._last_read_at = float("-inf")
         self._up_to_date_at = float("-inf")
         self._large_values = LargeValueFetcher(self._read_large_value)
-        # All keys that the store has, as far as this VM knows.
+        # All keys in the store, as far as this VM knows.
         self._known_keys: set[str] = set()
-        # What this VM told last, the newest first, with the moments.
+        # Recently published updates and their times, newest first.
         self._published: deque[tuple[float, News]] = deque()
-        # Whether this VM tells the others what it reads, and how.
+        # Whether this VM publishes what it reads to all others, and how.
         self.is_teller: Callable[[], bool] = lambda: False
         self.tell: Callable[[News], None] = lambda news: None
-        # VMs that follow the store, as far as is known.
+        # Number of VMs that watch the store, as far as is known.
         self.vms = 1
-        # Whether this VM is to hear of a vacant duty at once.
+        # Whether this VM must learn at once that there is no coordinator.
         self.is_standby: Callable[[], bool] = lambda: True
-        # Whether this VM tells those of its data centre while nobody tells all.
+        # Whether this VM publishes within its data centre while nobody serves all.
         self.is_deputy: Callable[[], bool] = lambda: False
-        # Whether a VM is known that had better have a vacant duty than this one.
+        # Whether another VM is a better coordinator, should there be none.
         self.leaves_duty: Callable[[], bool] = lambda: False
-        # Assignment of each service and the revision of its key.
+        # Assignment of each service, and the revision of its key.
         self.assignments: dict[str, Assignment] = {}
         self.revisions: dict[str, int] = {}
-        # Other own keys, by key.
+        # Items that the VMs keep for themselves, by key.
         self.own: dict[str, Item] = {}
         self.listeners: list[Callable[[str], None]] = []
         self.complete = False
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start watching the store."""
         self._tasks = [
             asyncio.create_task(self._run()),
             asyncio.create_task(DutyWatch(self._store, self).run()),
         ]
 
     def stop(self) -> None:
-        """Stop following."""
+        """Stop watching the store."""
         self._change_log.flush(self._configuration_version(), now(), force=True)
         for task in self._tasks:
             task.cancel()
@@ -137,28 +137,28 @@
 
     @property
     def revision(self) -> int:
-        """Revision of the store up to which this VM knows everything."""
+        """Store revision up to which this VM knows every change."""
         return self._revision
 
     def retry_pause(self) -> float:
-        """Return the seconds before a call is made again that the store has failed.
+        """Return the seconds to wait before a failed call to the store is retried.
 
-        The VM with the duty and those that stand by for it have to know at once when
-        the store is back. The others are told by the first of them. A call that has
-        failed alone is soon made again: it may be the link of this VM that was full.
+        The coordinator and its standbys must know at once when the store recovers. The
+        other VMs learn it from the first of them. A single failed call is retried soon,
+        since the cause may be a saturated link of this VM.
         """
         if self.is_teller() or self.is_standby():
             return RETRY_SECONDS
-        away = self._connectivity.outage_seconds(now())
-        return max(RETRY_SECONDS, min(away, self.vms / OUTAGE_CALLS_PER_SECOND))
+        seconds = self._connectivity.outage_seconds(now())
+        return max(RETRY_SECONDS, min(seconds, self.vms / OUTAGE_CALLS_PER_SECOND))
 
     async def contact(self) -> float:
-        """Try to reach the store and return the seconds of contact; 0 for none."""
+        """Call the store and return the seconds of unbroken contact; 0 on failure."""
         if (
             self._connectivity.is_disconnected()
             and now() - self._connectivity.last_failure_at < RETRY_SECONDS
         ):
-            # It has just been tried.
+            # A call has just failed.
             return 0.0
         try:
             async with asyncio.timeout(PROBE_TIMEOUT_SECONDS):
@@ -169,23 +169,22 @@
         return max(0.001, self.steady())
 
     def in_outage(self) -> bool:
-        """Tell whether the store is, or has just been, away from this VM."""
+        """Return whether the store is, or has just been, unavailable."""
         return self._connectivity.in_outage(now())
 
     def is_in_touch(self) -> bool:
-        """Tell whether the store answers this VM, and nothing that it knows may be old.
+        """Return whether the store answers this VM and its view has no known gap.
 
-        A VM that knows of no change for a while would renew grants as they were, if it
-        had the duty.
+        A coordinator with an outdated view would renew grants that have moved since.
         """
         return not self._needs_full_read and not self._connectivity.is_disconnected()
 
     def hurry(self) -> None:
-        """Have the next reading done soon: something known has turned out to be old."""
+        """Request an early read, because this VM's view has proved outdated."""
         self._read_requested.set()
 
     def take_news(self, news: News) -> bool:
-        """Take in what another VM has read; False when it has to be read here.
+        """Apply a delta that another VM has published.
 
         Parameters
         ----------
@@ -194,9 +193,10 @@
         Returns
         -------
         bool
+            False when this VM has to read the changes itself.
         """
         if news.revision < self._revision:
-            # Told late: it says nothing of how things are now.
+            # A delayed delta says nothing about the present state.
             return False
         self._connectivity.mark_peer_contact(now(), news.contact)
         if not self.complete:
@@ -205,7 +205,7 @@
             return False
         if news.after > self._revision:
             self.hurry()
-            # Read alone it is here sooner than with all records.
+            # A value that is read by itself arrives sooner than one among all records.
             self._large_values.fetch_newer(
                 {
                     k: at
@@ -221,14 +221,14 @@
         self._revision = news.revision
         self._needs_full_read = False
         self._up_to_date_at = max(self._up_to_date_at, now() - news.age)
-        # Told again with the first that this VM tells, should it be the next to tell:
-        # other VMs may have missed the last that the former one told.
+        # If this VM becomes the next publisher, it publishes this delta again with its
+        # first one: other VMs may have missed the last delta of its predecessor.
         self._published.clear()
         self._published.append((now(), news))
         return True
 
     async def _read_large_value(self, key: str) -> bool:
-        """Read a value that was named; False when the store has failed."""
+        """Read and apply a large value; return False when the call failed."""
         try:
             changes = await self._store.read(key)
         except StoreError as exc:
@@ -252,7 +252,7 @@
         )
 
     async def _wait_for_next_read(self) -> None:
-        """Wait until the next reading is due, or somebody needs it sooner."""
+        """Wait until the next read is due or requested."""
         while True:
             self._drop_expired_targets()
             self._change_log.flush(self._configuration_version(), now())
@@ -263,7 +263,7 @@
                 async with asyncio.timeout(wait):
                     await self._read_requested.wait()
             except TimeoutError:
-                # News may have come meanwhile and put the reading off.
+                # A delta may have arrived meanwhile and deferred the read.
                 continue
             await asyncio.sleep(
                 max(0.0, self._last_read_at + REQUESTED_READ_INTERVAL_SECONDS - now())
@@ -289,17 +289,17 @@
                 await self._wait_after_failure()
 
     async def _wait_after_failure(self) -> None:
-        """Wait after a failed reading, until news show that something was missed.
+        """Wait after a failed read; return early when a delta shows a gap.
 
-        Who tells of it can be reached again, and so may the store. A VM that is cut off
-        from the store alone hears such news all the time, and tries it with growing
-        pauses.
+        The VM that published the delta can be reached again, so the store may be too. A
+        VM that is cut off from the store alone sees such deltas all the time, so its
+        retry delay grows.
         """
-        most = self.retry_pause()
-        least = min(most, self._min_retry_delay)
-        await asyncio.sleep(least)
+        max_delay = self.retry_pause()
+        min_delay = min(max_delay, self._min_retry_delay)
+        await asyncio.sleep(min_delay)
         try:
-            async with asyncio.timeout(most - least):
+            async with asyncio.timeout(max_delay - min_delay):
                 await self._read_requested.wait()
         except TimeoutError:
             return
@@ -309,11 +309,11 @@
         )
 
     def _should_read_all(self) -> bool:
-        """Tell whether all records are fewer than their changes since.
+        """Return whether all records are less to read than their changes.
 
-        Each target reports about once a second. The changes of some seconds are many
-        times the records themselves; on a small link they take longer than the time
-        for which anybody would wait, and at the next try there are more of them.
+        Each target reports about once a second, so the changes of a few seconds are
+        many times the records themselves. On a slow link they take longer than the
+        timeout of the call, and each retry has more of them to read.
         """
         return (
             not self.is_teller() and now() - self._up_to_date_at > FULL_READ_AGE_SECONDS
@@ -323,16 +323,17 @@
         settled = self._connectivity.has_peer_contact(now())
         for name in self._directory.expire(now(), settled):
             log.info(
-                "target dropped: its record did not come back", extra={"target": name}
+                "target removed: its expired record was not renewed",
+                extra={"target": name},
             )
             self._notify_listeners("targets")
 
     async def _read_all(self) -> None:
-        news, began = News(self._revision, 0, []), now()
+        news, started_at = News(self._revision, 0, []), now()
         changes = await self._store.read("")
         was_updated = self._revision != news.after
         if was_updated and self._revision >= changes.revision:
-            # Older records must not undo what was told meanwhile.
+            # Older records must not overwrite a delta that arrived during the read.
             return
         names, closed, own = set(), set(), set()
         keys = {item.key for item in changes.items}
@@ -357,7 +358,7 @@
         self.complete = True
         self._needs_full_read = False
         if not was_updated:
-            self._publish(news, began)
+            self._publish(news, started_at)
         log.info(
             "store read",
             extra={
@@ -369,57 +370,57 @@
         self._notify_listeners("read")
 
     async def _watch_all(self) -> None:
-        news, began = News(self._revision, 0, []), now()
-        # A teller that stood still during a long wait could not tell how old the answer
-        # is: a call that waits for nothing is as old as it took, on a clock that counts
-        # suspended time.
+        news, started_at = News(self._revision, 0, []), now()
+        # A publisher suspended during a long wait could not tell how old the answer is.
+        # The answer to a call that does not wait is no older than the call took, by a
+        # clock that counts suspended time.
         is_publishing = self._is_publishing()
         wait = 0.0 if is_publishing else WATCH_WAIT_SECONDS
         changes = await self._store.watch("", self._revision, wait)
         was_updated = self._revision != news.after
         for item in changes.items:
-            # News may have come during the watch; older changes must not undo it.
+            # Older changes must not overwrite a delta that arrived during the watch.
             if item.revision > self._revision and self._is_relevant(item):
                 news.add(item, item.key.startswith(KEYS_PREFIX))
             if item.revision > self._revision:
                 self._apply_item(item)
         news.revision = self._revision = max(self._revision, changes.revision)
         if is_publishing and not was_updated:
-            self._publish(news, began)
+            self._publish(news, started_at)
 
     def _is_publishing(self) -> bool:
-        """Tell whether this VM tells others what it reads."""
+        """Return whether this VM publishes what it reads."""
         return self.is_teller() or self.is_deputy()
 
-    def _publish(self, news: News, began: float) -> None:
-        """Tell the other VMs what was read, with what was told a moment ago.
+    def _publish(self, news: News, started_at: float) -> None:
+        """Publish what was read, together with what was published just before.
 
-        Not for a reading during which this VM was told something itself: what it knew
-        already when the reading came back is not in these news. Whoever took them would
-        believe to know everything up to their revision, and never hear of it.
+        A read during which this VM applied a delta of another VM must not be published.
+        It lacks the changes of that delta, and a VM that applied it would consider
+        itself up to date without ever receiving them.
         """
         moment = now()
         while self._published and moment - self._published[-1][0] > REPUBLISH_SECONDS:
             self._published.pop()
         if not self._is_publishing() or not news.after:
-            # What a first reading finds is not what has changed.
+            # A first read returns the whole state rather than changes.
             self._published.clear()
             return
         if self._published and self._published[0][1].revision != news.after:
             self._published.clear()
-        news.age = moment - began
+        news.age = moment - started_at
         news.contact = self.steady()
         self.tell(news.with_earlier(told for _, told in self._published))
         self._published.appendleft((moment, news))
 
     def _is_relevant(self, item: Item) -> bool:
-        """Tell whether a change matters to VMs that know everything before it."""
+        """Return whether a change matters to VMs that know every earlier one."""
         if item.value is None or item.key.startswith(OWN_PREFIX):
             return True
         try:
             record = self._reader.read(item)
         except UnreadableRecord:
-            # It names nothing that could be used; each reader logs it when it takes it.
+            # The record cannot be used. Each VM that reads it logs that.
             return False
         if record is None or record.target is None:
             return record is not None
@@ -442,7 +443,8 @@
             if self._unreadable.get(item.key) != item.value:
                 self._unreadable[item.key] = item.value or b""
                 log.warning(
-                    "record passed over", extra={"key": item.key, "cause": str(exc)}
+                    "invalid record ignored",
+                    extra={"key": item.key, "cause": str(exc)},
                 )
             return None
         if record is None:
@@ -450,7 +452,10 @@
         in_outage = self.in_outage()
         what = self._directory.apply(record, now(), in_outage)
         if record.gone and in_outage and record.gone in self._directory.known:
-            log.info("record gone, its target kept for now", extra={"key": item.key})
+            log.info(
+                "record removed during a store outage; target kept until it expires",
+                extra={"key": item.key},
+            )
         if what:
             self._log_change(what, item)
             self._notify_listeners(
@@ -466,7 +471,7 @@
         return cfg.version if cfg else None
 
     def take_own(self, item: Item) -> None:
-        """Take in a key that the VMs keep for themselves, unless it is known newer."""
+        """Apply an item that the VMs keep for themselves, unless it is outdated."""
         if not self._is_newer(item.key, item.revision):
             return
         self.own[item.key] = item
@@ -483,44 +488,44 @@
     def take_assignment(
         self, service: str, assignment: Assignment, revision: int
     ) -> None:
-        """Take in an assignment that this VM has written, or worked out from a change.
+        """Apply an assignment that this VM has written, or computed from a delta.
 
         Parameters
         ----------
         service : str
         assignment : Assignment
         revision : int
-            Of its key in the store.
+            Revision of the assignment's key in the store.
         """
         key = KEYS_PREFIX + service
         if not self._is_newer(key, revision):
             return
         self._known_keys.add(key)
-        # News names it by its revision. It need not be read, whatever its size.
+        # Deltas list it by revision only. It need not be read, whatever its size.
         self._large_values.note_revision(key, revision)
-        # Its value is not kept: it is there in the form in which it is used.
+        # The encoded value is not kept, since the decoded assignment is.
         self.own[key] = Item(key, b"", revision)
         self.assignments[service] = assignment
         self.revisions[service] = revision
         self._notify_listeners(key)
 
     def take_written(self, item: Item) -> None:
-        """Take in an own key that this VM has just written."""
+        """Apply an item that this VM has just written."""
         self._apply_item(item)
 
     def take_told(self, item: Item) -> bool:
-        """Take in a value that another VM tells ahead of its news.
+        """Apply a value that another VM pushes ahead of its delta.
 
         Parameters
         ----------
         item : Item
-            An assignment or a configuration. Both say how new they are; of anything
-            else an older state that was told late would replace a newer one.
+            Assignment or configuration. Both carry a version; of any other item a
+            delayed older value would replace a newer one.
 
         Returns
         -------
         bool
-            False for anything else.
+            False if the item is neither, and was ignored.
         """
         if not item.key.startswith(KEYS_PREFIX) and not self._is_configuration(item):
             return False
@@ -533,7 +538,7 @@
         try:
             record = self._reader.read(item)
         except UnreadableRecord:
-            # Whoever reads it in the store logs it.
+            # Each VM that reads the record in the store logs it.
             return False
         return record is not None and record.configuration is not None
 
@@ -542,16 +547,16 @@
             listener(what)
 
     def note_answer(self) -> None:
-        """Note that the store has answered a call of this VM."""
+        """Record that the store has answered a call of this VM."""
         moment = now()
         if self._connectivity.is_failing():
-            away = round(self._connectivity.outage_seconds(moment), 2)
-            log.info("store regained", extra={"away": away})
+            seconds = round(self._connectivity.outage_seconds(moment), 2)
+            log.info("store regained", extra={"away": seconds})
             self._postpone_expiry(moment)
         self._connectivity.mark_success(moment)
 
     def note_failure(self, exc: Exception) -> None:
-        """Note that the store has not answered a call of this VM."""
+        """Record that the store has not answered a call of this VM."""
         moment = now()
         if not self._connectivity.is_disconnected():
             log.warning("store lost", extra={"cause": str(exc)})
@@ -559,6 +564,6 @@
         self._postpone_expiry(moment)
 
     def _postpone_expiry(self, moment: float) -> None:
-        """Let lapsed records keep their whole time while the store is away."""
+        """Restart the grace period of expired records during an outage."""
         if self._connectivity.in_outage(moment):
             self._directory.postpone_expiry(moment)
--- a/packages/entry/tests/fleet.py
+++ b/packages/entry/tests/fleet.py
@@ -1,4 +1,4 @@
-"""VMs that follow one store and tell each other, in virtual time."""
+"""VMs that watch one store and publish changes to each other, in virtual time."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class CountingView(StoreView):
-    """The store as one VM sees it, with the calls of all VMs counted."""
+    """The store as one VM sees it; records the time of every call of all VMs."""
 
     def __init__(self, store, calls):
         super().__init__(store)
@@ -26,12 +26,13 @@
 
 
 class Fleet:
-    """VMs of which the first tells the others, and any may be cut off.
+    """VMs of which the first is the publisher, and any may be partitioned.
 
     Parameters
     ----------
     loop : VirtualLoop
     vms : int
+        Number of VMs.
     """
 
     def __init__(self, loop, vms):
@@ -40,8 +41,8 @@
         self.calls = []
         self.store.put("cfg", b"1")
         self.store.put(DUTY_KEY, b'{"control": "vm-0:1"}')
-        # VMs that neither reach the store nor hear others.
-        self.cut = set()
+        # VMs that neither reach the store nor receive updates.
+        self.partitioned = set()
         self.reports = {}
         self.views, self.feeds = [], []
         records = JsonRecords({1: configuration(1), 2: configuration(2)})
@@ -57,19 +58,19 @@
 
     def tell(self, told):
         for n, feed in enumerate(self.feeds):
-            if n and n not in self.cut:
+            if n and n not in self.partitioned:
                 for part in told.parts():
                     feed.take_news(News.decode(part.encode()))
 
-    def cut_off(self, numbers, but_told=False):
-        """Cut VMs off from the store, and from the others unless they are told."""
-        for n in numbers:
+    def cut_off(self, indexes, gets_updates=False):
+        """Cut VMs off from the store, and by default from the publisher as well."""
+        for n in indexes:
             self.views[n].away = True
-        if not but_told:
-            self.cut |= set(numbers)
+        if not gets_updates:
+            self.partitioned |= set(indexes)
 
     def heal(self):
-        self.cut.clear()
+        self.partitioned.clear()
         for view in self.views:
             view.away = False
 
@@ -90,24 +91,24 @@
         self.store.put(f"t/{name}", None)
 
     def run(self, seconds):
-        """Let time pass, in which targets report."""
+        """Run for some seconds, in which targets report."""
 
-        async def pass_time():
+        async def report_and_sleep():
             end = now() + seconds
             while now() < end:
                 await asyncio.sleep(min(0.2, end - now()))
-                # Other parts of a VM make calls of their own, as for its lease.
+                # Other parts of a VM call the store too, for example for its lease.
                 for view, feed in zip(self.views, self.feeds, strict=True):
                     if view.away:
                         await feed.contact()
                 for name, fields in self.reports.items():
                     self.put(name, **fields)
 
-        self.loop.run_until_complete(pass_time())
+        self.loop.run_until_complete(report_and_sleep())
 
-    def until(self, holds, most):
-        """Return the seconds until something holds."""
+    def seconds_until(self, condition, max_seconds):
+        """Return the seconds until a condition holds, or until the time limit."""
         began = now()
-        while not holds() and now() - began < most:
+        while not condition() and now() - began < max_seconds:
             self.run(0.05)
         return now() - began
--- a/packages/entry/tests/test_feed.py
+++ b/packages/entry/tests/test_feed.py
@@ -1,4 +1,4 @@
-"""Tests of following the store."""
+"""Tests of the store watcher."""
 
 from __future__ import annotations
 
@@ -46,19 +46,19 @@
 
 
 class TestOutage:
-    def test_calls_to_a_store_that_is_away_do_not_grow_with_the_vms(self, feeds):
-        # The store is down for ten seconds. When each of 63 VMs tries three times a
-        # second, the calls of this time are more than all others of the day.
+    def test_calls_to_an_unavailable_store_do_not_grow_with_the_vms(self, feeds):
+        # Guards against a load that grows with the number of VMs: 63 VMs that retry
+        # three times a second make more calls in ten seconds than in the rest of a day.
         loop, store, calls, _ = feeds
         store.away = True
         before = len(calls)
         loop.run_until_complete(asyncio.sleep(10.0))
-        standbys = 3 * 2 * 10 / RETRY_SECONDS
+        standby_calls = 3 * 2 * 10 / RETRY_SECONDS
         assert len(calls) - before < 1.2 * (
-            10 * OUTAGE_CALLS_PER_SECOND + VMS + standbys
+            10 * OUTAGE_CALLS_PER_SECOND + VMS + standby_calls
         )
 
-    def test_vms_that_stand_by_know_soon_that_the_store_is_back(self, feeds):
+    def test_standbys_notice_soon_that_the_store_has_recovered(self, feeds):
         loop, store, _, found = feeds
         store.away = True
         loop.run_until_complete(asyncio.sleep(5.0))
@@ -66,7 +66,7 @@
         loop.run_until_complete(asyncio.sleep(RETRY_SECONDS + 0.05))
         assert all(feed.is_in_touch() for feed in found[:3])
 
-    def test_all_know_in_the_end(self, feeds):
+    def test_all_vms_notice_that_the_store_has_recovered(self, feeds):
         loop, store, _, found = feeds
         store.away = True
         loop.run_until_complete(asyncio.sleep(5.0))
@@ -76,9 +76,9 @@
 
 
 class TestContact:
-    def test_store_that_has_just_failed_is_not_asked_again(self):
-        # The holder of the duty has lost the store and asks all VMs whether they have.
-        # Most of them have just found that out for themselves.
+    def test_store_that_has_just_failed_is_not_called_again(self):
+        # The coordinator has lost the store and asks all VMs whether they have too.
+        # Most of them have just made a call that failed.
         with virtual_loop() as loop:
             store, calls = MemoryStore(), []
             feed = Feed(CountingView(store, calls), JsonRecords(), Directory())
@@ -87,79 +87,83 @@
             assert calls == []
 
 
-class TestDeputies:
-    """One VM of each data centre, while the one that tells all is lost."""
+class TestLocalPublishers:
+    """One VM of each data centre publishes while the publisher is lost."""
 
-    CENTRES = 3
+    DATA_CENTRES = 3
 
-    def centre(self, n):
-        return n % self.CENTRES
+    def data_centre(self, n):
+        return n % self.DATA_CENTRES
 
     @pytest.fixture
-    def told_feeds(self, feeds):
-        """Return VMs of which the first tells all, and one each its data centre."""
+    def publishing_feeds(self, feeds):
+        """Return VMs with one publisher and one local publisher per data centre."""
         _, _, _, found = feeds
-        found[0].is_teller = lambda: self.alive
+        found[0].is_teller = lambda: self.has_publisher
 
-        def tell(teller, told):
+        def tell(publisher, told):
             for n, feed in enumerate(found):
-                near = self.centre(n) == self.centre(teller)
-                if n != teller and (found[teller].is_teller() or near):
+                same_data_centre = self.data_centre(n) == self.data_centre(publisher)
+                if n != publisher and (
+                    found[publisher].is_teller() or same_data_centre
+                ):
                     for part in told.parts():
                         feed.take_news(News.decode(part.encode()))
 
         for n, feed in enumerate(found):
             feed.tell = lambda told, n=n: tell(n, told)
-            feed.is_deputy = lambda n=n: self.CENTRES <= n < 2 * self.CENTRES
-            # The watch of the duty's key is not what is counted here.
+            feed.is_deputy = lambda n=n: self.DATA_CENTRES <= n < 2 * self.DATA_CENTRES
+            # The watch of the coordinator key is not counted here.
             feed.is_standby = lambda: False
-        self.alive = True
+        self.has_publisher = True
         return feeds
 
     def report(self, store, seconds):
-        async def go_on():
+        async def report_for_a_while():
             for n in range(int(seconds / 0.1)):
                 store.put("t/a", json.dumps({"life": n}).encode())
                 await asyncio.sleep(0.1)
 
-        return go_on()
+        return report_for_a_while()
 
-    def test_loss_of_the_vm_that_tells_sends_nobody_else_to_the_store(self, told_feeds):
-        # Nobody tells for three seconds. 63 VMs that read the store for themselves make
-        # two calls each, in the moment in which it is wanted for the duty.
-        loop, store, calls, found = told_feeds
+    def test_loss_of_the_publisher_causes_no_rush_to_the_store(self, publishing_feeds):
+        # Guards against 63 VMs that each read the store twice while there is no
+        # publisher, which is when the election of a coordinator needs the store.
+        loop, store, calls, found = publishing_feeds
         loop.run_until_complete(self.report(store, 3.0))
-        self.alive = False
+        self.has_publisher = False
         found[0].stop()
         before = len(calls)
         loop.run_until_complete(self.report(store, 3.0))
-        assert len(calls) - before <= self.CENTRES * (3.0 / 0.7 + 1)
+        assert len(calls) - before <= self.DATA_CENTRES * (3.0 / 0.7 + 1)
         newest = max(feed._revision for feed in found)
         assert min(feed._revision for feed in found[1:]) > newest - 10
 
-    def test_next_vm_that_tells_leaves_no_gap(self, told_feeds):
-        # The last telling of the lost VM did not reach all. The next one tells of that
-        # time as well, or all who missed it read the store.
-        loop, store, calls, found = told_feeds
+    def test_next_publisher_leaves_no_gap(self, publishing_feeds):
+        # The last update of the lost publisher did not reach all VMs. Unless the next
+        # publisher includes these changes, every VM that missed them reads the store.
+        loop, store, calls, found = publishing_feeds
         loop.run_until_complete(self.report(store, 1.0))
-        missing, successor = found[10], found[4]
-        taken = missing.take_news
+        missing, next_publisher = found[10], found[4]
+        original = missing.take_news
         missing.take_news = lambda news: False
         loop.run_until_complete(self.report(store, 0.5))
-        missing.take_news = taken
-        self.alive = False
+        missing.take_news = original
+        self.has_publisher = False
         found[0].stop()
-        successor.is_teller = lambda: True
+        next_publisher.is_teller = lambda: True
         before = len(calls)
         loop.run_until_complete(self.report(store, 1.0))
-        assert missing._revision >= successor._revision - 5
-        assert len(calls) - before <= 2 * self.CENTRES + 3
+        assert missing._revision >= next_publisher._revision - 5
+        assert len(calls) - before <= 2 * self.DATA_CENTRES + 3
 
-    def test_data_centre_without_a_deputy_reads_for_itself(self, told_feeds):
-        loop, store, _, found = told_feeds
+    def test_data_centre_without_a_local_publisher_reads_the_store(
+        self, publishing_feeds
+    ):
+        loop, store, _, found = publishing_feeds
         for feed in found:
             feed.is_deputy = lambda: False
-        self.alive = False
+        self.has_publisher = False
         found[0].stop()
         loop.run_until_complete(self.report(store, 1.5))
         store.put("t/b", b"{}")
@@ -167,12 +171,11 @@
         assert all("b" in feed._directory.known for feed in found[1:])
 
 
-class TestToldWhileReading:
-    def test_reading_is_not_told_that_lacks_what_came_meanwhile(self):
-        # The store is slow. A VM reads it, and is told meanwhile of a configuration
-        # and of a target that leaves. Its own reading has nothing new then; told as all
-        # that has changed, it kept both from the others of its data centre for eight
-        # seconds.
+class TestUpdateDuringRead:
+    def test_read_that_lacks_a_concurrent_update_is_not_published(self):
+        # During a slow read, a VM receives a configuration and a draining target from
+        # another VM. Its own read then has nothing new. Published as the complete list
+        # of changes, it hides both from the data centre's other VMs for eight seconds.
         with virtual_loop() as loop:
             store = MemoryStore()
             store.put("cfg", b"1")
@@ -185,7 +188,7 @@
 
             async def step():
                 await feed._read_all()
-                begin = feed._revision
+                first_revision = feed._revision
                 watch = store.watch
 
                 async def slow_watch(*args):
@@ -198,8 +201,8 @@
                 store.put("t/a", json.dumps({"leaving": True}).encode())
                 reading = asyncio.create_task(feed._watch_all())
                 await asyncio.sleep(0.1)
-                items = [item for item in store.log if item.revision > begin]
-                feed.take_news(News(begin, store.revision, items))
+                items = [item for item in store.log if item.revision > first_revision]
+                feed.take_news(News(first_revision, store.revision, items))
                 await reading
                 assert told == []
                 store.put("t/b", b"{}")
@@ -211,7 +214,7 @@
 
 @pytest.fixture
 def make_fleet():
-    """Return how to make VMs that tell each other, with three targets."""
+    """Return a factory of fleets with three targets."""
     with virtual_loop() as loop:
         fleets = []
 
@@ -229,45 +232,45 @@
             feed.stop()
 
 
-class TestCutOff:
-    """VMs that lose the store alone, while others have it."""
+class TestPartition:
+    """Some VMs lose the store while others still reach it."""
 
-    # Seconds after the end of a cut within which a VM must know what it missed: a third
-    # of the time in which it may handle requests by what it knew.
-    CAUGHT_UP = 1.0
+    # Time after the end of a partition within which a VM must apply what it missed: a
+    # third of the time for which it may serve requests from an outdated view.
+    CATCH_UP_SECONDS = 1.0
 
     @pytest.fixture
     def cut(self):
         return range(3, 8)
 
-    def users_of(self, fleet, name):
+    def vms_using(self, fleet, name):
         return [n for n, f in enumerate(fleet.feeds) if f._directory.may_use(name)]
 
-    def test_target_that_left_is_used_no_more_by_vms_that_are_told(
+    def test_vms_that_receive_updates_stop_using_a_removed_target(
         self, make_fleet, cut
     ):
-        # Guards against requests to a target that left 12 s ago: its record was taken
-        # for one that had lapsed, by VMs that had lost the store, though not others.
+        # Guards against requests to a target that left 12 s ago. VMs that had lost the
+        # store, though not their peers, considered its record merely expired.
         fleet = make_fleet(9)
-        fleet.cut_off(cut, but_told=True)
+        fleet.cut_off(cut, gets_updates=True)
         fleet.run(4.0)
         fleet.drop("a")
         fleet.run(1.0)
-        assert self.users_of(fleet, "a") == []
+        assert self.vms_using(fleet, "a") == []
 
-    def test_record_that_lapses_in_an_outage_is_kept(self, make_fleet, cut):
-        # Guards against dropping all targets when the store was away for everybody.
+    def test_target_whose_record_expires_in_an_outage_is_kept(self, make_fleet, cut):
+        # Guards against dropping all targets when no VM reached the store.
         fleet = make_fleet(9)
         fleet.store.away = True
         fleet.run(4.0)
         fleet.store.away = False
         fleet.drop("a")
         fleet.run(1.0)
-        assert len(self.users_of(fleet, "a")) == 9
+        assert len(self.vms_using(fleet, "a")) == 9
 
-    def test_late_news_tell_nothing_of_the_store(self, make_fleet):
-        # Guards against dropping targets in an outage, because a telling from before it
-        # was held up on its way.
+    def test_delayed_delta_says_nothing_about_the_store(self, make_fleet):
+        # Guards against dropping targets in an outage because a delta from before the
+        # outage arrived late.
         fleet = make_fleet(9)
         late = News(0, 1, [], contact=60.0)
         fleet.store.away = True
@@ -276,27 +279,28 @@
         feed.take_news(late)
         assert feed.in_outage()
 
-    def test_gaps_for_hours_do_not_end_the_reading(self, make_fleet):
-        # Guards against a VM that never reads again: the pause that doubled with each
-        # failed reading was more than a number holds.
+    def test_gaps_for_hours_do_not_stop_the_reads(self, make_fleet):
+        # Guards against a VM that never reads again because the delay that doubles with
+        # each failed read overflows.
         fleet = make_fleet(9)
         fleet.views[7].away = True
         feed = fleet.feeds[7]
 
-        async def miss_something(times):
+        async def deliver_gaps(times):
             for n in range(times):
                 feed.take_news(News(10_000 + n, 20_000 + n, []))
                 await asyncio.sleep(1.0)
 
-        fleet.loop.run_until_complete(miss_something(1200))
+        fleet.loop.run_until_complete(deliver_gaps(1200))
         fleet.heal()
         fleet.run(3.0)
         assert feed.is_in_touch()
 
     @pytest.mark.parametrize("vms", [9, 63, 195])
-    def test_what_was_missed_is_known_soon_after_the_cut(self, make_fleet, cut, vms):
-        # Guards against VMs that go on with what they last knew for seconds after they
-        # are back in touch.
+    def test_missed_changes_are_applied_soon_after_a_partition(
+        self, make_fleet, cut, vms
+    ):
+        # Guards against VMs that use an outdated view for seconds after they reconnect.
         fleet = make_fleet(vms)
         fleet.cut_off(cut)
         fleet.run(4.0)
@@ -306,17 +310,15 @@
         fleet.run(8.0)
         fleet.heal()
 
-        def is_known():
+        def is_applied():
             versions = {f._directory.configuration.version for f in fleet.feeds}
-            users = self.users_of(fleet, "a") + self.users_of(fleet, "b")
+            users = self.vms_using(fleet, "a") + self.vms_using(fleet, "b")
             return not users and versions == {2}
 
-        assert fleet.until(is_known, 8.0) <= self.CAUGHT_UP
+        assert fleet.seconds_until(is_applied, 8.0) <= self.CATCH_UP_SECONDS
 
-    def test_data_centre_that_is_back_asks_the_store_no_more_than_it_bears(
-        self, make_fleet
-    ):
-        # Guards against a rush: 33 VMs learn in the same moment that they may read.
+    def test_reconnecting_data_centre_does_not_overload_the_store(self, make_fleet):
+        # Guards against a thundering herd of 33 VMs that reconnect at the same moment.
         fleet = make_fleet(195)
         fleet.cut_off(range(3, 36))
         fleet.run(12.0)
@@ -326,60 +328,60 @@
         assert len(fleet.calls) - before <= 3 * 33 + 2 * 2 / RETRY_SECONDS + 2 / 0.45
 
 
-class TestCallThatFailsAlone:
-    """A call of a VM that makes few, since others tell it what they read."""
+class TestSingleFailedCall:
+    """A VM that makes few calls, since it receives updates, loses one of them."""
 
-    def test_named_configuration_is_read_again_soon(self, make_fleet):
-        # Guards against a configuration that is in force 5 s late: one call was lost on
-        # a link that was full, and the pause after it was as long as the time since the
-        # last call, which had gone well.
+    def test_failed_read_of_a_configuration_is_retried_soon(self, make_fleet):
+        # Guards against a configuration that is in force 5 s late. One call was lost on
+        # a saturated link, and the retry delay was as long as the time since the last
+        # call, which had succeeded.
         fleet = make_fleet(195)
         feed, view = fleet.feeds[7], fleet.views[7]
-        # Configurations are large: they are named, and each VM reads them.
+        # A configuration is too large for the delta, so each VM reads it itself.
         fleet.store.put("cfg", b"2" + b" " * MAX_INLINE_VALUE_BYTES)
         read, failures = view.read, []
 
-        async def read_once_in_vain(prefix):
+        async def fail_first_read(prefix):
             if prefix == "cfg" and not failures:
                 failures.append(now())
-                raise StoreSilent("the link is full")
+                raise StoreSilent("the link is saturated")
             return await read(prefix)
 
-        view.read = read_once_in_vain
+        view.read = fail_first_read
 
-        def is_known():
+        def is_applied():
             return feed._directory.configuration.version == 2
 
-        fleet.until(is_known, 10.0)
+        fleet.seconds_until(is_applied, 10.0)
         assert now() - failures[0] <= 2 * RETRY_SECONDS
 
-    def test_configuration_does_not_wait_for_another_value(self, make_fleet):
-        # Guards against a configuration that is in force late, since the value that was
-        # named before it takes as long as a call may, on a connection that went silent.
+    def test_configuration_does_not_wait_for_another_large_value(self, make_fleet):
+        # Guards against a configuration that is in force late because it waits for the
+        # read of another value, which hangs until the timeout on a dead connection.
         fleet = make_fleet(63)
         feed, view = fleet.feeds[7], fleet.views[7]
         read = view.read
 
-        async def slow_for_assignments(prefix):
+        async def read_assignments_slowly(prefix):
             if prefix.startswith(KEYS_PREFIX):
                 await asyncio.sleep(2.5)
                 raise StoreSilent("timed out")
             return await read(prefix)
 
-        view.read = slow_for_assignments
+        view.read = read_assignments_slowly
         large = b" " * MAX_INLINE_VALUE_BYTES
         fleet.store.put(KEYS_PREFIX + "s", nobody().encode() + large)
         fleet.run(0.6)
         fleet.store.put("cfg", b"2" + large)
 
-        def is_known():
+        def is_applied():
             return feed._directory.configuration.version == 2
 
-        assert fleet.until(is_known, 5.0) <= 1.0
+        assert fleet.seconds_until(is_applied, 5.0) <= 1.0
 
     def test_configuration_does_not_wait_for_all_records(self, make_fleet):
         # Guards against a configuration that is in force late at a VM that has missed
-        # something: it waited until all records were read over a link that is full.
+        # changes, because it waits until all records are read over a saturated link.
         fleet = make_fleet(63)
         feed, view = fleet.feeds[7], fleet.views[7]
         read, watch = view.read, view.watch
@@ -395,52 +397,52 @@
         view.watch = lambda prefix, *rest: watch(prefix, *rest) if prefix else slow()
         fleet.store.put("cfg", b"2" + b" " * MAX_INLINE_VALUE_BYTES)
 
-        def is_known():
+        def is_applied():
             return feed._directory.configuration.version == 2
 
-        assert fleet.until(is_known, 5.0) <= 1.0
+        assert fleet.seconds_until(is_applied, 5.0) <= 1.0
 
 
-class TestLostHistory:
-    """The store forgets what it had kept of its changes."""
+class TestCompactedHistory:
+    """The store compacts its history."""
 
-    def forget(self, fleet, heals=True):
-        """Have it forget what one VM has not been told yet, and that VM read it."""
-        fleet.cut.add(7)
+    def compact_history(self, fleet, reconnects=True):
+        """Compact changes that one VM has not received, and have that VM read."""
+        fleet.partitioned.add(7)
         fleet.run(0.5)
         fleet.store.compacted = fleet.store.revision
         fleet.feeds[7].hurry()
         fleet.run(0.3)
-        if heals:
+        if reconnects:
             fleet.heal()
 
-    def test_vm_that_is_told_needs_no_reading(self, make_fleet):
-        # Guards against a configuration that is in force 5 s late: a VM that found the
-        # history gone took nothing from others until it had read all records, which
-        # takes seconds on a link that is full.
+    def test_vm_that_receives_updates_needs_no_full_read(self, make_fleet):
+        # Guards against a configuration that is in force 5 s late. A VM that found the
+        # history compacted ignored all deltas until it had read all records, which
+        # takes seconds on a saturated link.
         fleet = make_fleet(63)
         feed, view = fleet.feeds[7], fleet.views[7]
         read = view.read
 
-        async def slow_for_all(prefix):
+        async def read_all_slowly(prefix):
             if not prefix:
                 await asyncio.sleep(2.5)
                 raise StoreSilent("timed out")
             return await read(prefix)
 
-        view.read = slow_for_all
-        self.forget(fleet)
+        view.read = read_all_slowly
+        self.compact_history(fleet)
         fleet.store.put("cfg", b"2" + b" " * MAX_INLINE_VALUE_BYTES)
 
-        def is_known():
+        def is_applied():
             return feed._directory.configuration.version == 2
 
         assert feed.complete
-        assert fleet.until(is_known, 5.0) <= 1.0
+        assert fleet.seconds_until(is_applied, 5.0) <= 1.0
 
-    def test_vm_that_must_read_all_takes_no_duty(self, make_fleet):
-        # Guards against keys that go back to a former owner: a VM that does not know of
-        # the last moves takes the duty and renews grants as they were.
+    def test_vm_that_needs_a_full_read_does_not_become_coordinator(self, make_fleet):
+        # Guards against keys that return to a previous owner: a VM that does not know
+        # the latest moves becomes coordinator and renews the old grants.
         fleet = make_fleet(9)
         feed, view = fleet.feeds[7], fleet.views[7]
 
@@ -448,27 +450,27 @@
             raise StoreSilent("timed out")
 
         view.read = fail
-        self.forget(fleet, heals=False)
-        # Another call of this VM goes well.
+        self.compact_history(fleet, reconnects=False)
+        # Another call of this VM succeeds.
         feed.note_answer()
         assert feed.complete
         assert not feed.is_in_touch()
 
-    def test_reading_does_not_undo_what_was_told_meanwhile(self, make_fleet):
-        # Guards against a target that is used again after it said that it leaves, since
-        # a slow reading of all records was older than what was told.
+    def test_full_read_does_not_overwrite_a_concurrent_update(self, make_fleet):
+        # Guards against a draining target that is used again, because a slow read of
+        # all records returned an older state than the delta applied meanwhile.
         fleet = make_fleet(9)
         feed, view = fleet.feeds[7], fleet.views[7]
         read = view.read
 
-        async def slowly(prefix):
+        async def read_slowly(prefix):
             changes = await read(prefix)
             if not prefix:
                 await asyncio.sleep(1.0)
             return changes
 
-        view.read = slowly
-        self.forget(fleet)
+        view.read = read_slowly
+        self.compact_history(fleet)
         fleet.put("a", leaving=True)
         fleet.run(0.6)
         assert not feed._directory.may_use("a")
