--- a/packages/entry/src/berylstage_entry/announcements.py
+++ b/packages/entry/src/berylstage_entry/announcements.py
@@ -1,9 +1,9 @@
-"""Tells the other VMs at once what this one has written into the store, or read there.
+"""Sends the other VMs what this one has written to the store, or has read from it.
 
-The store tells them too, but a watch that returns at each change costs a call of each
-VM for each change; what is told here leaves the store to the paced reading. So do
-values that are too large for a datagram: 76 VMs read three configurations by 228
-calls.
+The other VMs could watch the store instead, but a watch that returns at each change
+costs one call per VM and change. With the changes sent from here, VMs need to read the
+store only at their read interval. Values that are too large for a datagram are sent as
+well: without that, 76 VMs needed 228 calls to read three configurations.
 """
 
 from __future__ import annotations
@@ -29,62 +29,65 @@
     from berylstage_entry.feed import Feed
     from berylstage_entry.membership import Membership
 
-# Path at which a VM is told.
+# Path at which a VM receives pushed values.
 TOLD_PATH = "/told"
-# Seconds that one telling may take; the paced reading makes up for a lost one.
+# Timeout of one push. A VM that misses a push reads the value at its next read.
 PUSH_TIMEOUT_SECONDS = 0.3
-# Bytes of a compressed value that is told at most. A configuration of 12 routes takes
-# 500, one of 360 routes 6,800: to send that to 75 VMs keeps a link of 5 Mbit/s busy for
-# 0.8 s, in which the VM's callers wait for their answers.
+# Largest compressed value that is pushed. A configuration of 12 routes takes 500 bytes,
+# one of 360 routes takes 6,800. Sending the latter to 75 VMs occupies a link of
+# 5 Mbit/s for 0.8 s, during which the VM's callers wait for their answers.
 MAX_PUSHED_VALUE_BYTES = 3000
 
 log = Logger(__name__)
 
 
 class _Peer:
-    """One other VM: what it has yet to be told, the newest of each key only."""
+    """Another VM, with the newest value of each key that is yet to be pushed to it."""
 
-    __slots__ = ("address", "client", "news", "task")
+    __slots__ = ("address", "client", "pending", "task")
 
     def __init__(self, address: str):
         self.address = address
         self.client = CallClient(1)
-        self.news: dict[str, bytes] = {}
+        self.pending: dict[str, bytes] = {}
         self.task: asyncio.Task | None = None
 
     def tell(self, key: str, body: bytes) -> None:
-        """Tell the VM as soon as it has taken what it was told before."""
-        self.news[key] = body
+        """Push a value to the VM once the previous pushes are done."""
+        self.pending[key] = body
         if self.task is None or self.task.done():
             self.task = asyncio.create_task(self._run())
 
     async def _run(self) -> None:
-        while self.news:
-            _, body = self.news.popitem()
+        while self.pending:
+            _, body = self.pending.popitem()
             url = f"http://{self.address}{TOLD_PATH}"
             try:
                 await self.client.call(
                     Call("POST", url, {}, body, PUSH_TIMEOUT_SECONDS)
                 )
             except CallFailed as exc:
-                log.info("not told", extra={"to": self.address, "cause": str(exc)})
+                log.info(
+                    "value not pushed to VM",
+                    extra={"to": self.address, "cause": str(exc)},
+                )
 
     def close(self) -> None:
-        """Tell nothing more."""
+        """Cancel all pushes and close the connection."""
         if self.task is not None:
             self.task.cancel()
         self.client.close()
 
 
 class Announcements:
-    """Tells and takes in what VMs have written.
+    """Sends and receives what VMs have written to the store.
 
     Parameters
     ----------
     feed : Feed
     membership : Membership
     own_address : str
-        Where this VM listens for others.
+        Address at which this VM listens for the others.
     """
 
     def __init__(self, feed: Feed, membership: Membership, own_address: str):
@@ -94,24 +97,26 @@
         self._peers: dict[str, _Peer] = {}
         # Sends a datagram to all other VMs.
         self.send: Callable[[bytes], None] = lambda data: None
-        # The change of each service of which parts have come.
+        # Change of each service of which some parts are still missing.
         self._partial: dict[str, AssignmentChange] = {}
 
     def tell(self, change: AssignmentChange) -> None:
-        """Tell all other VMs of a change of an assignment that is in the store now."""
+        """Send all other VMs a change of an assignment that the store has accepted."""
         for data in change.encode():
             self.send(data)
 
     def take_change(self, data: bytes, host: str = "") -> None:
-        """Take in what another VM tells of a change.
+        """Apply a change of an assignment that another VM has sent.
 
-        What can't be read, or does not follow what this VM knows, is left to its next
-        reading of the store.
+        If it cannot be decoded or its base revision is not this VM's, the VM gets the
+        assignment with its next read of the store.
         """
         try:
             change = AssignmentChange.decode(data)
         except UnreadableRecord as exc:
-            log.warning("change passed over", extra={"cause": str(exc)})
+            log.warning(
+                "invalid change of an assignment ignored", extra={"cause": str(exc)}
+            )
             return
         known = self._feed.revisions.get(change.service, 0)
         if known >= change.revision:
@@ -127,7 +132,7 @@
         self._feed.take_assignment(change.service, new, change.revision)
 
     def _merge_parts(self, change: AssignmentChange) -> AssignmentChange:
-        """Return a change with all parts of it that have come."""
+        """Return a change merged with its other parts that have arrived."""
         if not change.parts_left:
             return change
         partial = self._partial.get(change.service)
@@ -138,12 +143,12 @@
         return partial
 
     async def tell_first(self, items: Sequence[Item]) -> None:
-        """Tell large values, and return when the other VMs have them.
+        """Push large values, and return when the other VMs have them.
 
         Parameters
         ----------
         items : sequence of Item
-            Those that are too large even for this are left to each VM's own reading.
+            Values to push. Those above the size limit are left for each VM to read.
         """
         bodies = {item.key: _encode_item(item) for item in items}
         small = {
@@ -168,31 +173,31 @@
             peer.tell(key, body)
 
     def take(self, body: bytes) -> bool:
-        """Take in what another VM tells; False when it can't be read."""
+        """Apply a value that another VM has pushed; return False if it is invalid."""
         try:
             doc = json.loads(zlib.decompress(body))
             value = doc["value"].encode("latin-1")
             item = Item(doc["key"], value, int(doc["revision"]))
         except (zlib.error, ValueError, KeyError, TypeError, AttributeError) as exc:
-            log.warning("telling passed over", extra={"cause": str(exc)})
+            log.warning("invalid pushed value ignored", extra={"cause": str(exc)})
             return False
         return self._feed.take_told(item)
 
     def close(self) -> None:
-        """Tell nothing more."""
+        """Cancel all pushes and close all connections."""
         for peer in self._peers.values():
             peer.close()
         self._peers.clear()
 
 
 def _encode_item(item: Item) -> bytes:
-    """Return the body that tells of an item."""
+    """Return the body that pushes an item."""
     assert item.value is not None
     doc = {
         "key": item.key,
         "revision": item.revision,
         "value": item.value.decode("latin-1"),
     }
-    # An assignment of a hundred ranges is 5 KB, and a fifth of it compressed; most of
-    # the other VMs are in other data centres.
+    # An assignment of a hundred ranges takes 5 KB, and a fifth of that compressed. Most
+    # of the other VMs are in other data centres.
     return zlib.compress(json.dumps(doc).encode())
--- a/packages/entry/src/berylstage_entry/changes.py
+++ b/packages/entry/src/berylstage_entry/changes.py
@@ -1,9 +1,9 @@
-"""What has changed in an assignment, in as few datagrams as it takes.
+"""Changes of an assignment, encoded in as few datagrams as possible.
 
-A round of moves changes a handful of ranges of a hundred, and a lost data centre a
-third of them. Told whole, by a call to each of 62 VMs, an assignment fills the link of
-the VM with the duty, whose grants then come late; targets count as silent for that, and
-more keys move.
+A rebalancing changes a handful of a hundred ranges, and the loss of a data centre a
+third of them. Sending the whole assignment by a call to each of 62 VMs saturates the
+coordinator's link and delays its grants. Targets then seem unresponsive, and more keys
+move.
 """
 
 from __future__ import annotations
@@ -18,34 +18,34 @@
 if TYPE_CHECKING:
     from berylstage_entry.assignment import Assignment
 
-# First byte of a datagram.
+# First byte of a datagram that contains a change.
 FORMAT = 18
-# Ranges in one datagram at most, so that it goes over the network in one packet: one
-# takes some 30 bytes compressed, mostly for the names of two targets.
+# Keeps a datagram within one packet: a range takes some 30 bytes compressed, mostly for
+# the names of two targets.
 MAX_RANGES_PER_DATAGRAM = 32
-# Datagrams of one change at most. What takes more is read from the store by each VM.
+# A change that needs more datagrams is read from the store by each VM.
 MAX_DATAGRAMS = 16
 
 
 class AssignmentChange:
-    """A step from one assignment of a service to the next.
+    """The difference between two assignments of a service.
 
     Parameters
     ----------
     service : str
     base_revision, revision : int
-        Revisions of the assignments.
+        Revisions of the old and the new assignment.
     next_fence : int
-        Of the new one.
+        Next fence of the new assignment.
     ranges : list of KeyRange
-        That differ.
+        Ranges of the new assignment that differ.
     checksum : int
         Digest of the new assignment.
 
     Attributes
     ----------
     parts_left : int
-        Datagrams of the change that have yet to come.
+        Number of datagrams of the change that have not arrived yet.
     """
 
     __slots__ = (
@@ -84,19 +84,19 @@
         revision: int,
         new: Assignment,
     ) -> AssignmentChange:
-        """Return the step from an old assignment to a new one."""
+        """Return the change from an old assignment to a new one."""
         ranges = new.differing(old)
         return cls(
             service, base_revision, revision, new.next_fence, ranges, new.digest()
         )
 
     def apply(self, old: Assignment) -> Assignment | None:
-        """Return the new assignment; None when it does not come out as it should."""
+        """Return the new assignment, or None if its checksum does not match."""
         new = old.replace(self.ranges, self.next_fence)
         return new if new.digest() == self.checksum else None
 
     def encode(self) -> list[bytes]:
-        """Return the datagrams; none when the step takes too many."""
+        """Return the datagrams; an empty list if the change needs too many."""
         ranges = self.ranges
         parts = [
             ranges[first : first + MAX_RANGES_PER_DATAGRAM]
@@ -126,12 +126,12 @@
 
     @classmethod
     def decode(cls, data: bytes) -> AssignmentChange:
-        """Read a datagram, which may be one of several parts.
+        """Decode a datagram, which may be one of several parts of a change.
 
         Raises
         ------
         UnreadableRecord
-            It is none.
+            If the datagram is not a valid change.
         """
         try:
             service, base_revision, revision, next_fence, rows, checksum, parts = (
@@ -149,4 +149,6 @@
             change.parts_left = int(parts) - 1
             return change
         except (zlib.error, ValueError, TypeError) as exc:
-            raise UnreadableRecord(f"no change of an assignment: {exc}") from exc
+            raise UnreadableRecord(
+                f"datagram is not a valid change of an assignment: {exc}"
+            ) from exc
--- a/packages/entry/src/berylstage_entry/news.py
+++ b/packages/entry/src/berylstage_entry/news.py
@@ -1,9 +1,8 @@
-"""What the VM with the duty of granting tells the others of its reading of the store.
+"""Changes of the store that the coordinator reads and publishes to the other VMs.
 
-Each VM that reads for itself once a second costs the store a call a second, whatever
-the number of VMs that read the same. One of them reads, and tells the rest which
-changes it found. A VM that was told reads only to close a gap, or when nothing was told
-for a while.
+If every VM read the store once a second, the load on the store would grow with the
+number of VMs, though all of them read the same. Instead, one VM reads and publishes the
+changes. The others read only to close a gap, or when no delta has arrived for a while.
 """
 
 from __future__ import annotations
@@ -18,37 +17,37 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
-# Bytes of news that fit into one datagram without being cut up on the way.
+# Largest encoded delta that is sent without IP fragmentation.
 MAX_DATAGRAM_BYTES = 1300
-# Bytes of a value above which it is named only. What fits into a few packets is told on
-# its own before, the rest is read by each VM itself.
+# Values above this size are listed by key and revision only. Values that fit into a few
+# packets are pushed before the delta; each VM reads larger ones from the store.
 MAX_INLINE_VALUE_BYTES = 500
-# First byte of a datagram with news.
+# First byte of a datagram that contains a delta.
 FORMAT = 16
 
 
 class News:
-    """The changes of the store between two revisions, as far as they matter.
+    """The relevant changes of the store between two revisions.
 
     Parameters
     ----------
     after : int
-        Revision up to which a VM must know everything already.
+        Revision that the receiver must have reached to apply the delta.
     revision : int
-        Revision up to which it knows everything with this.
+        Revision that the receiver has reached after it.
     items : sequence of Item
-        Changes in their order; reports that tell nothing new are left out.
+        Changes in order of revision, without reports that change nothing.
     large_revisions : dict of str to int
-        Keys with large values, and the revision of each.
+        Revision of each key whose value is too large to be included.
     age : float
-        Seconds since the reading began, when it is told.
+        Seconds from the start of the read to the publication.
     contact : float
-        Seconds for which the store has answered the VM that tells, without a break.
+        Seconds for which the store has answered the publisher without a failure.
 
     Attributes
     ----------
     large : list of Item
-        The values that are named, as far as this VM has read them itself.
+        Values behind `large_revisions`, as far as this VM has read them itself.
     """
 
     __slots__ = (
@@ -85,8 +84,8 @@
         ----------
         item : Item
         is_sent_separately : bool
-            Whether its value is told by whoever wrote it. It is named, so that a VM
-            which missed that knows what to read.
+            Whether the VM that wrote the value sends it itself. Only the revision is
+            listed then, so that a VM which missed the value knows what to read.
         """
         if is_sent_separately:
             self.large_revisions[item.key] = item.revision
@@ -97,35 +96,35 @@
             self.items.append(item)
 
     def with_earlier(self, earlier: Iterable[News]) -> News:
-        """Return these news with those told before, as far as it fits a datagram.
+        """Return this delta merged with earlier ones, as far as a datagram holds them.
 
-        A datagram may be lost, and a VM that lacks one change has to read for itself:
-        all reports of all targets since, which a small link takes a second for. Told
-        again with what comes next, a lost change costs nothing.
+        A VM that misses a datagram would have to read all reports of all targets since,
+        which takes a second on a slow link. Repeating recent changes makes the loss of
+        a datagram harmless.
 
         Parameters
         ----------
         earlier : iterable of News
-            Without gaps, the newest first.
+            Deltas without gaps between them, newest first.
 
         Returns
         -------
         News
         """
-        joined = self._with_changes(self.after, self.items, self.large_revisions)
+        merged = self._with_changes(self.after, self.items, self.large_revisions)
         for before in earlier:
-            items = [*before.items, *joined.items]
-            large_revisions = before.large_revisions | joined.large_revisions
-            wider = self._with_changes(before.after, items, large_revisions)
-            if wider.encode() is None:
+            items = [*before.items, *merged.items]
+            large_revisions = before.large_revisions | merged.large_revisions
+            extended = self._with_changes(before.after, items, large_revisions)
+            if extended.encode() is None:
                 break
-            joined = wider
-        return joined
+            merged = extended
+        return merged
 
     def _with_changes(
         self, after: int, items: Sequence[Item], large_revisions: dict[str, int]
     ) -> News:
-        """Return the same news with other changes, from another revision on."""
+        """Return this delta with other changes and another base revision."""
         news = News(
             after, self.revision, items, large_revisions, self.age, self.contact
         )
@@ -133,37 +132,37 @@
         return news
 
     def parts(self) -> list[News]:
-        """Return news that fit into a datagram each and together tell the same.
+        """Return equivalent consecutive deltas that fit into one datagram each.
 
-        What was left out because it is too much, as when hundreds of targets start,
-        each VM would read in the store for itself.
+        Without the split, a delta too large for a datagram, such as after the start of
+        hundreds of targets, would make each VM read the store itself.
 
         Returns
         -------
         list of News
-            Each begins where the one before it ends.
+            Each one starts at the revision at which the previous one ends.
         """
         items = sorted(self.items, key=lambda item: item.revision)
-        cut = _split_index(items)
-        if not cut or self.encode() is not None:
+        split_at = _split_index(items)
+        if not split_at or self.encode() is not None:
             return [self]
-        until = items[cut].revision - 1
-        # Each key is named in the part that reaches its revision. A VM that got the
-        # first part only knows everything up to there: named later, a configuration
-        # would never be read by it.
+        until = items[split_at].revision - 1
+        # Each key is listed in the part that reaches its revision. A VM that gets only
+        # the first part considers itself up to date at the end of that part, and would
+        # never read a configuration that is listed later.
         large_revisions = {
             key: at for key, at in self.large_revisions.items() if at <= until
         }
-        rest = {key: at for key, at in self.large_revisions.items() if at > until}
+        later = {key: at for key, at in self.large_revisions.items() if at > until}
         first = News(
-            self.after, until, items[:cut], large_revisions, self.age, self.contact
+            self.after, until, items[:split_at], large_revisions, self.age, self.contact
         )
-        second = self._with_changes(until, items[cut:], rest)
+        second = self._with_changes(until, items[split_at:], later)
         return [*first.parts(), *second.parts()]
 
     def encode(self) -> bytes | None:
-        """Return the datagram; None when the news does not fit into one."""
-        rows = [(i.key, _decode_value(i.value), i.revision) for i in self.items]
+        """Return the datagram, or None if the delta is too large for one."""
+        rows = [(i.key, _bytes_to_text(i.value), i.revision) for i in self.items]
         times = [round(self.age, 3), round(self.contact, 1)]
         doc = [self.after, self.revision, rows, self.large_revisions, *times]
         text = json.dumps(doc, separators=(",", ":")).encode()
@@ -172,42 +171,42 @@
 
     @classmethod
     def decode(cls, data: bytes) -> News:
-        """Read a datagram.
+        """Decode a datagram.
 
         Raises
         ------
         UnreadableRecord
-            It is none.
+            If the datagram is not a valid delta.
         """
         try:
             doc = json.loads(zlib.decompress(data[1:]))
             after, revision, rows, large_revisions, age, contact = doc
             items = [
-                Item(key, _encode_value(value), int(at)) for key, value, at in rows
+                Item(key, _text_to_bytes(value), int(at)) for key, value, at in rows
             ]
             large_revisions = {str(key): int(at) for key, at in large_revisions.items()}
             times = float(age), float(contact)
             return cls(int(after), int(revision), items, large_revisions, *times)
         except (zlib.error, ValueError, TypeError, AttributeError) as exc:
-            raise UnreadableRecord(f"no news of the store: {exc}") from exc
+            raise UnreadableRecord(f"datagram is not a valid delta: {exc}") from exc
 
 
 def _split_index(items: Sequence[Item]) -> int:
-    """Return where to cut changes in two; 0 where all came with one revision.
+    """Return the index at which to split changes; 0 if all have one revision.
 
-    Changes of one revision stay together: a VM that has taken one of them in knows
-    everything up to that revision, and would pass the others over.
+    Changes of one revision stay together: a VM that has applied one of them considers
+    itself up to date at that revision, and would ignore the others.
     """
     half = len(items) // 2
-    cuts = [
+    candidates = [
         n for n in range(1, len(items)) if items[n - 1].revision < items[n].revision
     ]
-    return min(cuts, key=lambda n: abs(n - half), default=0)
+    return min(candidates, key=lambda n: abs(n - half), default=0)
 
 
-def _decode_value(value: bytes | None) -> str | None:
+def _bytes_to_text(value: bytes | None) -> str | None:
     return value.decode("latin-1") if value is not None else None
 
 
-def _encode_value(value: str | None) -> bytes | None:
+def _text_to_bytes(value: str | None) -> bytes | None:
     return value.encode("latin-1") if value is not None else None
--- a/packages/entry/tests/test_news.py
+++ b/packages/entry/tests/test_news.py
@@ -1,4 +1,4 @@
-"""Tests of telling other VMs what one has read in the store."""
+"""Tests of publishing the changes of the store to other VMs."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 class CountingView(StoreView):
-    """The store as one VM sees it, with the readings counted."""
+    """The store as one VM sees it; counts watches and records reads."""
 
     def __init__(self, store):
         super().__init__(store)
-        self.readings = 0
-        self.duty_watches = 0
+        self.watch_calls = 0
+        self.coordinator_watches = 0
         self.read_prefixes = []
 
     async def read(self, prefix):
@@ -35,14 +35,14 @@
 
     async def watch(self, prefix, after, wait):
         if not prefix:
-            self.readings += 1
+            self.watch_calls += 1
         if prefix == DUTY_KEY:
-            self.duty_watches += 1
+            self.coordinator_watches += 1
         return await super().watch(prefix, after, wait)
 
 
 class Vm:
-    """A feed with its own view of the store."""
+    """A store watcher with its own connection to the store."""
 
     def __init__(self, store):
         self.store = CountingView(store)
@@ -58,287 +58,295 @@
     store.put(f"t/{name}", json.dumps(changes).encode())
 
 
-def play(steps, lose=lambda: False, set_up=lambda feed: None):
-    """Run steps with one VM that tells and one that is told."""
+def run_scenario(scenario, is_lost=lambda: False, set_up=lambda feed: None):
+    """Run a scenario with a publisher and a receiver."""
 
     async def run():
         store = MemoryStore()
         store.put("cfg", b"1")
         put_target(store, "a")
-        teller, told = Vm(store), Vm(store)
-        teller.feed.is_teller = lambda: True
+        publisher, receiver = Vm(store), Vm(store)
+        publisher.feed.is_teller = lambda: True
 
         def tell(news):
             for part in news.parts():
                 data = part.encode()
-                if data is not None and not lose():
-                    told.feed.take_news(News.decode(data))
+                if data is not None and not is_lost():
+                    receiver.feed.take_news(News.decode(data))
 
-        teller.feed.tell = tell
-        set_up(told.feed)
-        teller.feed.start()
-        told.feed.start()
+        publisher.feed.tell = tell
+        set_up(receiver.feed)
+        publisher.feed.start()
+        receiver.feed.start()
         await asyncio.sleep(0.5)
-        reporting = asyncio.create_task(report(store))
-        await steps(store, teller, told)
-        reporting.cancel()
-        teller.feed.stop()
-        told.feed.stop()
+        reporter = asyncio.create_task(report_forever(store))
+        await scenario(store, publisher, receiver)
+        reporter.cancel()
+        publisher.feed.stop()
+        receiver.feed.stop()
 
     asyncio.run(run())
 
 
-async def report(store):
-    """A target's reports go on, as they do on the platform."""
+async def report_forever(store):
+    """Repeat a target's reports, as on the platform."""
     while True:
         put_target(store, "a")
         await asyncio.sleep(0.1)
 
 
-async def until(condition, seconds=2.0):
+async def wait_until(condition, seconds=2.0):
     end = now() + seconds
     while not condition():
-        assert now() < end, "it did not come about in time"
+        assert now() < end, "condition did not hold in time"
         await asyncio.sleep(0.02)
 
 
-class TestNews:
-    def test_vm_that_is_told_does_not_read(self):
-        async def steps(store, teller, told):
-            before = told.store.readings
+class TestDeltas:
+    def test_vm_that_receives_deltas_does_not_read(self):
+        async def scenario(store, publisher, receiver):
+            before = receiver.store.watch_calls
             put_target(store, "b")
-            await until(lambda: "b" in told.directory.known)
+            await wait_until(lambda: "b" in receiver.directory.known)
             put_target(store, "b", leaving=True)
-            await until(lambda: told.directory.known["b"].target.leaving)
+            await wait_until(lambda: receiver.directory.known["b"].target.leaving)
             store.put("t/b", None)
-            await until(lambda: "b" not in told.directory.known)
-            assert told.store.readings - before <= 1
+            await wait_until(lambda: "b" not in receiver.directory.known)
+            assert receiver.store.watch_calls - before <= 1
 
-        play(steps)
+        run_scenario(scenario)
 
-    def test_vm_reads_for_itself_when_nothing_is_told(self):
-        # The VM that tells is lost. A target begins to leave, and a VM that went on
-        # waiting for news would send work to it until it is gone.
-        async def steps(store, teller, told):
+    def test_vm_reads_the_store_when_no_delta_arrives(self):
+        # Guards against a VM that waits for deltas after the publisher is lost, and
+        # sends requests to a draining target until it is gone.
+        async def scenario(store, publisher, receiver):
             await asyncio.sleep(1.0)
-            teller.feed.stop()
+            publisher.feed.stop()
             put_target(store, "b", leaving=True)
-            await until(lambda: "b" in told.directory.known, 1.3)
+            await wait_until(lambda: "b" in receiver.directory.known, 1.3)
 
-        play(steps)
+        run_scenario(scenario)
 
-    def test_gap_in_what_is_told_is_closed_by_reading(self):
-        # One datagram in two is lost. A change that was told in a lost one must be
-        # known as soon as the next one shows the gap.
+    def test_gap_between_deltas_is_closed_by_a_read(self):
+        # Every second datagram is lost. The changes of a lost one must be applied as
+        # soon as the next one reveals the gap.
         lost = iter([False, True] * 100)
 
-        async def steps(store, teller, told):
+        async def scenario(store, publisher, receiver):
             for n in range(4):
                 put_target(store, f"b{n}")
                 name = f"b{n}"
-                await until(lambda name=name: name in told.directory.known, 1.3)
+                await wait_until(
+                    lambda name=name: name in receiver.directory.known, 1.3
+                )
 
-        play(steps, lambda: next(lost))
+        run_scenario(scenario, lambda: next(lost))
 
-    def test_lost_datagram_is_made_up_for_by_the_next(self):
-        # One datagram in two is lost, as on a link that is full. A VM that reads for
-        # itself at each gap gets all reports of all targets since, on the same link:
-        # it took seconds, and the changes came into force as late.
+    def test_next_datagram_repeats_the_changes_of_a_lost_one(self):
+        # Every second datagram is lost, as on a saturated link. A VM that reads the
+        # store at each gap gets all reports of all targets over the same link, which
+        # takes seconds and delays the changes as long.
         lost = iter([False, True] * 100)
 
-        async def steps(store, teller, told):
-            before = told.store.readings
+        async def scenario(store, publisher, receiver):
+            before = receiver.store.watch_calls
             for n in range(4):
                 name = f"b{n}"
                 put_target(store, name)
-                await until(lambda name=name: name in told.directory.known, 1.5)
-            assert told.store.readings - before <= 1
+                await wait_until(
+                    lambda name=name: name in receiver.directory.known, 1.5
+                )
+            assert receiver.store.watch_calls - before <= 1
 
-        play(steps, lambda: next(lost))
+        run_scenario(scenario, lambda: next(lost))
 
-    def test_what_is_found_after_history_is_lost_is_told(self):
-        # The store forgets its history, and the VM that tells reads everything anew.
-        # When it tells nothing of that, each of 63 VMs has to, on whatever link it has.
-        async def steps(store, teller, told):
+    def test_changes_found_after_a_compaction_are_published(self):
+        # The store compacts its history, and the publisher reads all records. Unless it
+        # publishes what has changed, each of 63 VMs reads all records over its link.
+        async def scenario(store, publisher, receiver):
             put_target(store, "c")
-            await until(lambda: "c" in told.directory.known)
-            readings = told.store.readings, list(told.store.read_prefixes)
+            await wait_until(lambda: "c" in receiver.directory.known)
+            watch_calls = receiver.store.watch_calls, list(receiver.store.read_prefixes)
             put_target(store, "b")
             store.put("t/c", None)
             store.compacted = store.revision + 1
             store.revision += 2
-            await until(lambda: "b" in told.directory.known)
-            await until(lambda: "c" not in told.directory.known)
-            assert told.store.readings == readings[0]
-            assert "" not in told.store.read_prefixes[len(readings[1]) :]
+            await wait_until(lambda: "b" in receiver.directory.known)
+            await wait_until(lambda: "c" not in receiver.directory.known)
+            assert receiver.store.watch_calls == watch_calls[0]
+            assert "" not in receiver.store.read_prefixes[len(watch_calls[1]) :]
 
-        play(steps)
+        run_scenario(scenario)
 
-    def test_named_value_is_read_alone(self):
-        # An assignment has changed, and the datagram that told how was lost. Read with
-        # all records, it comes with 100 kB that this VM knows already.
-        async def steps(store, teller, told):
+    def test_large_value_is_read_by_itself(self):
+        # The datagram with the change of an assignment is lost. Reading the assignment
+        # with all records transfers 100 kB that this VM already has.
+        async def scenario(store, publisher, receiver):
             await asyncio.sleep(0.6)
-            before = told.store.readings
+            before = receiver.store.watch_calls
             store.put("cfg", b"2" + b" " * 600)
-            await until(lambda: told.version() == 2, 1.3)
-            assert told.store.readings == before
-            assert told.store.read_prefixes[1:] == ["cfg"]
+            await wait_until(lambda: receiver.version() == 2, 1.3)
+            assert receiver.store.watch_calls == before
+            assert receiver.store.read_prefixes[1:] == ["cfg"]
 
-        play(steps)
+        run_scenario(scenario)
 
-    def test_vm_that_is_far_behind_reads_records_rather_than_changes(self):
-        # A VM was cut off for some seconds. All reports since are many times as much as
-        # the records, and more at each try.
-        async def steps(store, teller, told):
+    def test_vm_with_an_old_view_reads_records_rather_than_changes(self):
+        # A VM was partitioned for some seconds. All reports since are many times the
+        # size of the records, and grow with each retry.
+        async def scenario(store, publisher, receiver):
             await asyncio.sleep(0.3)
-            teller.feed.stop()
-            told.store.away = True
+            publisher.feed.stop()
+            receiver.store.away = True
             put_target(store, "b")
             await asyncio.sleep(3.0)
-            told.store.away = False
-            reads = len(told.store.read_prefixes)
-            await until(lambda: "b" in told.directory.known)
-            assert told.store.read_prefixes[reads:] == [""]
+            receiver.store.away = False
+            reads = len(receiver.store.read_prefixes)
+            await wait_until(lambda: "b" in receiver.directory.known)
+            assert receiver.store.read_prefixes[reads:] == [""]
 
-        play(steps)
+        run_scenario(scenario)
 
-    def test_record_that_lapsed_and_came_back_is_told(self):
-        # The VM that tells is just out of an outage and keeps a target whose record has
-        # lapsed; another VM has dropped it. The record comes back unchanged.
-        async def steps(store, teller, told):
+    def test_record_that_expired_and_returned_is_published(self):
+        # After an outage the publisher keeps a target whose record has expired, while
+        # another VM has dropped it. The record then returns unchanged.
+        async def scenario(store, publisher, receiver):
             put_target(store, "b")
-            await until(lambda: "b" in told.directory.known)
-            teller.feed.note_failure(OSError("an outage"))
+            await wait_until(lambda: "b" in receiver.directory.known)
+            publisher.feed.note_failure(OSError("an outage"))
             store.put("t/b", None)
-            await until(lambda: "b" not in told.directory.known)
+            await wait_until(lambda: "b" not in receiver.directory.known)
             put_target(store, "b")
-            await until(lambda: "b" in told.directory.known)
+            await wait_until(lambda: "b" in receiver.directory.known)
 
-        play(steps)
+        run_scenario(scenario)
 
-    def test_large_value_is_read_where_it_is_needed(self):
-        async def steps(store, teller, told):
+    def test_receiver_reads_a_large_value(self):
+        async def scenario(store, publisher, receiver):
             await asyncio.sleep(0.6)
             store.put("cfg", b"2" + b" " * 600)
-            await until(lambda: told.version() == 2, 1.3)
+            await wait_until(lambda: receiver.version() == 2, 1.3)
 
-        play(steps)
+        run_scenario(scenario)
 
-    def test_large_value_that_is_told_before_is_not_read(self):
-        # A configuration changes. When each of 76 VMs reads it for itself, the store is
-        # called 76 times within half a second.
-        async def steps(store, teller, told):
+    def test_large_value_that_was_pushed_is_not_read(self):
+        # Guards against 76 calls to the store within half a second, when each of 76 VMs
+        # reads a new configuration itself.
+        async def scenario(store, publisher, receiver):
             def tell(news):
                 for item in news.large:
-                    assert told.feed.take_told(item)
-                told.feed.take_news(News.decode(news.encode()))
+                    assert receiver.feed.take_told(item)
+                receiver.feed.take_news(News.decode(news.encode()))
 
-            teller.feed.tell = tell
+            publisher.feed.tell = tell
             await asyncio.sleep(0.6)
-            before = told.store.readings
+            before = receiver.store.watch_calls
             store.put("cfg", b"2" + b" " * 600)
-            await until(lambda: told.version() == 2, 1.3)
+            await wait_until(lambda: receiver.version() == 2, 1.3)
             await asyncio.sleep(1.0)
-            assert told.store.readings == before
+            assert receiver.store.watch_calls == before
 
-        play(steps)
+        run_scenario(scenario)
 
-    def test_late_news_does_not_count_as_fresh(self):
-        # A VM stood still between its reading and its telling. What it tells then is
-        # older than what the other one has read meanwhile.
-        async def steps(store, teller, told):
-            teller.feed.stop()
+    def test_delayed_delta_is_not_applied(self):
+        # A VM was suspended between its read and the publication. Its delta is older
+        # than what the receiver has read meanwhile.
+        async def scenario(store, publisher, receiver):
+            publisher.feed.stop()
             late = News(0, 3, [Item("t/a", None, 3)])
             await asyncio.sleep(1.2)
-            assert not told.feed.take_news(late)
-            assert "a" in told.directory.known
+            assert not receiver.feed.take_news(late)
+            assert "a" in receiver.directory.known
 
-        play(steps)
+        run_scenario(scenario)
 
-    def test_what_was_told_long_after_its_reading_does_not_put_off_the_next(self):
-        # The VM that tells stood still for seconds in the midst of a call. The store
-        # has not changed for the other VM, so the news fits, but it is old.
-        async def steps(store, teller, told):
-            teller.feed.stop()
-            readings = told.store.readings
+    def test_delta_published_long_after_its_read_does_not_defer_the_next_read(self):
+        # The publisher was suspended for seconds during a call. The receiver has the
+        # delta's base revision, so the delta applies, but it is old.
+        async def scenario(store, publisher, receiver):
+            publisher.feed.stop()
+            watch_calls = receiver.store.watch_calls
             end = now() + 1.5
             while now() < end:
-                told.feed.take_news(News(0, told.feed._revision, [], {}, 3.0))
+                receiver.feed.take_news(News(0, receiver.feed._revision, [], {}, 3.0))
                 await asyncio.sleep(0.1)
-            assert told.store.readings > readings
+            assert receiver.store.watch_calls > watch_calls
 
-        play(steps)
+        run_scenario(scenario)
 
-    def test_vm_that_is_told_of_no_change_does_not_read(self):
-        async def steps(store, teller, told):
-            before = told.store.readings
+    def test_vm_that_receives_empty_deltas_does_not_read(self):
+        async def scenario(store, publisher, receiver):
+            before = receiver.store.watch_calls
             end = now() + 2.0
             while now() < end:
-                news = News(0, told.feed._revision, [], {}, 0.01)
-                told.feed.take_news(news)
+                news = News(0, receiver.feed._revision, [], {}, 0.01)
+                receiver.feed.take_news(news)
                 await asyncio.sleep(0.1)
-            assert told.store.readings == before
+            assert receiver.store.watch_calls == before
 
-        play(steps)
+        run_scenario(scenario)
 
-    def test_damaged_datagram_is_told_from_news(self):
+    def test_damaged_datagram_is_rejected(self):
         data = News(1, 2, []).encode()
         for damaged in (data[:-3], data[:1], b"\x10" + b"[]"):
             with pytest.raises(UnreadableRecord):
                 News.decode(damaged)
 
-    def test_news_too_large_for_a_datagram_is_not_sent(self):
+    def test_delta_too_large_for_a_datagram_is_not_encoded(self):
         items = [Item(f"t/{n}", str(n**99).encode(), n) for n in range(60)]
         assert News(1, 99, items).encode() is None
 
-    def test_many_changes_at_once_are_told_in_several_datagrams(self):
-        # Hundreds of targets start within a moment. What did not fit into one datagram
-        # was not told at all, and every VM read all records in the store, for 1.2 s in
-        # the last case and one call each in any.
-        async def steps(store, teller, told):
-            before = told.store.readings
+    def test_many_changes_at_once_are_split_into_several_datagrams(self):
+        # Hundreds of targets start at once. Guards against dropping a delta too large
+        # for one datagram: every VM then read all records, which cost one call each
+        # and took up to 1.2 s.
+        async def scenario(store, publisher, receiver):
+            before = receiver.store.watch_calls
             for n in range(200):
                 put_target(store, f"b{n:03}x{n**20}")
-            await until(lambda: len(told.directory.known) == 201)
-            assert told.store.readings == before
+            await wait_until(lambda: len(receiver.directory.known) == 201)
+            assert receiver.store.watch_calls == before
 
-        play(steps)
+        run_scenario(scenario)
 
-    def test_lost_part_is_made_up_for_by_reading(self):
+    def test_lost_part_is_recovered_by_a_read(self):
         lost = iter([False, True] + [False] * 999)
 
-        async def steps(store, teller, told):
+        async def scenario(store, publisher, receiver):
             for n in range(200):
                 put_target(store, f"b{n:03}x{n**20}")
-            await until(lambda: len(told.directory.known) == 201)
+            await wait_until(lambda: len(receiver.directory.known) == 201)
 
-        play(steps, lambda: next(lost))
+        run_scenario(scenario, lambda: next(lost))
 
-    def test_named_value_is_not_missed_with_a_lost_part(self):
-        # A configuration of 230 routes comes among many changes of targets, and the
-        # last datagram is lost. The VM went on with the configuration before, for as
-        # long as no other came: it believed to know everything up to that moment.
+    def test_large_value_listed_in_a_lost_part_is_not_missed(self):
+        # A configuration of 230 routes arrives among many changes of targets, and the
+        # last datagram is lost. Guards against a VM that considers itself up to date
+        # and uses the previous configuration until the next one arrives.
         lost = iter([False, False, False, True] + [False] * 999)
 
-        async def steps(store, teller, told):
+        async def scenario(store, publisher, receiver):
             put_target(store, "large", address="x" * 900)
             revision = store.revision
             for n in range(200):
                 put_target(store, f"b{n:03}x{n**20}")
-            await until(
-                lambda: told.feed._large_values.known_revision("t/large") == revision
+            await wait_until(
+                lambda: (
+                    receiver.feed._large_values.known_revision("t/large") == revision
+                )
             )
 
-        play(steps, lambda: next(lost))
+        run_scenario(scenario, lambda: next(lost))
 
     @given(st.lists(st.integers(1, 9), max_size=60), st.integers(5, 300))
-    def test_parts_tell_the_same_in_order(self, steps, at):
-        # Changes that one write brought must not be torn apart: a VM that knows one of
-        # them takes the others for known.
-        # Nor may a key be named later than with its revision: whoever misses that part
-        # believes to know it.
-        revisions = list(accumulate(steps, lambda at, step: at + (step > 4), initial=5))
+    def test_parts_contain_the_same_changes_in_order(self, revision_steps, at):
+        # Changes of one write must stay in one part: a VM that has applied one of them
+        # considers the others applied.
+        # A key must not be listed later than in the part that reaches its revision: a
+        # VM that misses the later part considers the value applied.
+        revisions = list(
+            accumulate(revision_steps, lambda at, step: at + (step > 4), initial=5)
+        )
         newest = revisions[-1] + 3
         named = min(at, newest)
         items = [
@@ -357,70 +365,70 @@
             assert all(item.revision <= one.revision for item in one.items)
             assert all(item.revision > other.after for item in other.items)
 
-    def test_assignments_are_told_once(self):
-        # The VM that writes an assignment tells what has changed in it. Told again with
-        # the news, three of them filled a datagram, nothing was told, and every VM read
-        # the store at each round of moves.
-        async def steps(store, teller, told):
+    def test_assignments_are_published_once(self):
+        # The VM that writes an assignment sends its change. If the delta contained the
+        # assignment as well, three of them would fill a datagram, nothing would be
+        # published, and every VM would read the store at each rebalancing.
+        async def scenario(store, publisher, receiver):
             put_target(store, "a")
             await asyncio.sleep(0.5)
-            before = told.store.readings
+            before = receiver.store.watch_calls
             assignment = nobody()
             for n in range(12):
                 moved = [KeyRange(n * 9, n * 9 + 8, f"t{n**30}", 1, n + 1)]
                 assignment = assignment.replace(moved, n + 2)
                 revision = store.put("berylstage/keys/s", assignment.encode())
-                for vm in (teller, told):
+                for vm in (publisher, receiver):
                     vm.feed.take_assignment("s", assignment, revision)
                 await asyncio.sleep(0.1)
-            assert told.store.readings == before
-            assert told.store.read_prefixes == [""]
+            assert receiver.store.watch_calls == before
+            assert receiver.store.read_prefixes == [""]
 
-        play(steps)
+        run_scenario(scenario)
 
 
-class TestDutyWatch:
-    def test_vm_that_does_not_stand_by_watches_only_while_the_duty_is_vacant(self):
-        # Every VM watches the duty's key. Each change of its holder, and each end of a
-        # watch's wait, costs a call of every VM.
-        async def steps(store, teller, told):
-            told.feed.is_standby = lambda: False
+class TestCoordinatorWatch:
+    def test_vm_that_is_no_standby_watches_only_while_there_is_no_coordinator(self):
+        # Guards against a watch of the coordinator key by every VM: each change of the
+        # coordinator, and each timeout of a watch, would cost one call per VM.
+        async def scenario(store, publisher, receiver):
+            receiver.feed.is_standby = lambda: False
             store.put(DUTY_KEY, b"{}")
-            await until(lambda: DUTY_KEY in told.feed.own)
+            await wait_until(lambda: DUTY_KEY in receiver.feed.own)
             await asyncio.sleep(0.5)
-            before = told.store.duty_watches
+            before = receiver.store.coordinator_watches
             await asyncio.sleep(1.0)
-            assert told.store.duty_watches == before
+            assert receiver.store.coordinator_watches == before
             store.put(DUTY_KEY, None)
-            await until(lambda: told.feed.own[DUTY_KEY].value is None)
-            await until(lambda: told.store.duty_watches > before)
+            await wait_until(lambda: receiver.feed.own[DUTY_KEY].value is None)
+            await wait_until(lambda: receiver.store.coordinator_watches > before)
 
-        play(steps)
+        run_scenario(scenario)
 
-    def test_small_vm_leaves_a_vacant_duty_to_larger_ones(self):
-        # 195 VMs start together, and the duty is vacant. Each that watches its key
-        # makes a call for it, though eighteen of them are large enough to have it.
-        async def steps(store, teller, told):
+    def test_small_vm_leaves_the_election_to_larger_ones(self):
+        # 195 VMs start together without a coordinator. Guards against a watch of the
+        # coordinator key by all of them, though only 18 are large enough for it.
+        async def scenario(store, publisher, receiver):
             store.put(DUTY_KEY, b"{}")
-            await until(lambda: DUTY_KEY in told.feed.own)
-            watches = told.store.duty_watches
+            await wait_until(lambda: DUTY_KEY in receiver.feed.own)
+            watches = receiver.store.coordinator_watches
             store.put(DUTY_KEY, None)
-            await until(lambda: told.feed.own[DUTY_KEY].value is None)
+            await wait_until(lambda: receiver.feed.own[DUTY_KEY].value is None)
             await asyncio.sleep(0.6)
-            assert told.store.duty_watches == watches
+            assert receiver.store.coordinator_watches == watches
 
-        def small(feed):
+        def make_small(feed):
             feed.is_standby = lambda: False
             feed.leaves_duty = lambda: True
 
-        play(steps, set_up=small)
+        run_scenario(scenario, set_up=make_small)
 
-    def test_holder_of_the_duty_does_not_watch_it(self):
-        async def steps(store, teller, told):
+    def test_coordinator_does_not_watch_its_own_key(self):
+        async def scenario(store, publisher, receiver):
             store.put(DUTY_KEY, b"{}")
             await asyncio.sleep(0.5)
-            before = teller.store.duty_watches
+            before = publisher.store.coordinator_watches
             await asyncio.sleep(1.0)
-            assert teller.store.duty_watches == before
+            assert publisher.store.coordinator_watches == before
 
-        play(steps)
+        run_scenario(scenario)
