--- a/packages/entry/src/berylstage_entry/datagrams.py
+++ b/packages/entry/src/berylstage_entry/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between the VMs: small messages of which any may be lost."""
+"""UDP messages between the VMs, any of which may be lost."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 
 class Datagrams(asyncio.DatagramProtocol):
-    """Sends datagrams, and hands those that come to who reads them.
+    """Sends datagrams, and dispatches received ones to their handlers.
 
     Parameters
     ----------
     membership : Membership
     host : str
-        This VM's address.
+        Host address of this VM.
     port : int
-        The same on all VMs.
+        Port that all VMs use.
     """
 
     def __init__(self, membership: Membership, host: str, port: int):
@@ -33,7 +33,7 @@
         self._port = port
         self._transport: asyncio.DatagramTransport | None = None
         self._task: asyncio.Task | None = None
-        # Those that read datagrams, by the first byte; they are told the sender's host.
+        # Handlers by first byte; they get the datagram and the sender's host.
         self.takers: dict[int, Callable[[bytes, str], None]] = {}
 
     def start(self) -> None:
@@ -41,20 +41,23 @@
         self._task = asyncio.create_task(self._open())
 
     def close(self) -> None:
-        """Close the socket; what is sent after that is left out."""
+        """Close the socket; datagrams sent after that are dropped."""
         if self._transport is not None:
             self._transport.close()
 
     def datagram_received(self, data: bytes, addr: tuple) -> None:
-        """Hand a datagram to who reads it."""
+        """Dispatch a datagram to its handler."""
         taker = self.takers.get(data[0]) if data else None
         if taker is None:
-            log.info("datagram passed over", extra={"from": addr, "bytes": len(data)})
+            log.info(
+                "datagram of unknown type ignored",
+                extra={"from": addr, "bytes": len(data)},
+            )
             return
         taker(data, addr[0])
 
     def error_received(self, exc: Exception) -> None:
-        """Pass over a VM that is not there: it will be, or its record will go."""
+        """Ignore an unreachable VM: it will come up, or its record will expire."""
         log.debug("datagram not delivered", extra={"cause": str(exc)})
 
     def send(self, data: bytes, near: bool = False) -> None:
@@ -64,7 +67,7 @@
         ----------
         data : bytes
         near : bool
-            Whether to send it to those of this data centre only.
+            Whether to send it within this data centre only.
         """
         members = self._membership.members()
         home = {m.data_centre for m in members if m.host == self._host}
--- a/packages/entry/src/berylstage_entry/directory.py
+++ b/packages/entry/src/berylstage_entry/directory.py
@@ -1,4 +1,4 @@
-"""What this VM believes: the configuration, the targets and the closed data centres."""
+"""The VM's view of the cluster: configuration, targets and closed data centres."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
     from berylstage_entry.targets import Target
     from berylstage_entry.wire import Record
 
-# Seconds after the store's return within which records that lapsed in an outage come
-# back if their targets live. A VM that was cut off alone waits as long, since it cannot
-# tell the two apart, and must have dropped a target that left meanwhile 3 s after it is
-# back in touch.
-LAPSE_GRACE = 2.1
+# Time after the store's recovery within which a live target renews a record that
+# expired in the outage. A VM that alone was cut off waits as long, since it cannot
+# distinguish the two cases. It must drop a target that left meanwhile within 3 s after
+# it has reconnected.
+EXPIRY_GRACE_SECONDS = 2.1
 
 
-# Seconds by which the end of a target's cold time may differ from what was reckoned
-# with: more than its reports wait to be read (0.45 s), less than lies between two of
-# them (0.87 s), so that one that stays cold for longer than it said is noticed.
-COLD_DRIFT = 0.6
+# Tolerated shift of the end of a target's cold start. It is longer than a report waits
+# to be read (0.45 s) and shorter than the report interval (0.87 s), so that a target
+# which stays cold for longer than reported is noticed.
+COLD_END_TOLERANCE_SECONDS = 0.6
 
 
 class KnownTarget:
-    """A target with what this VM has learned of it.
+    """A target and when its cold start ends and its record expired.
 
     Parameters
     ----------
@@ -33,24 +33,25 @@
         Monotonic seconds.
     """
 
-    __slots__ = ("cold_until", "lapsed_at", "target")
+    __slots__ = ("cold_until", "expired_at", "target")
 
     def __init__(self, target: Target, now: float):
         self.target = target
         self.cold_until = now + target.cold_left if target.cold_left else 0.0
-        # When its record went in a way that may be an outage's doing; 0 for not.
-        self.lapsed_at = 0.0
+        # When its record was removed, if an outage may be the cause; otherwise 0.
+        self.expired_at = 0.0
 
     def differs(self, target: Target, now: float) -> bool:
-        """Tell whether a report of a target changes what is known of it.
+        """Return whether a report changes what is known of the target.
 
-        A cold target says in each report how long it stays so. That it goes on as it
-        said is no news: told of dozens of cold targets each time, VMs with small links
-        would get nothing else.
+        A cold target reports each time how long it will stay cold. A target that warms
+        up as reported has not changed: publishing each report of dozens of cold targets
+        would leave no room for anything else on slow links.
 
         Parameters
         ----------
         target : Target
+            The target as reported.
         now : float
             Monotonic seconds.
 
@@ -58,8 +59,12 @@
         -------
         bool
         """
-        stays_cold = now + target.cold_left
-        if self.lapsed_at or abs(stays_cold - max(now, self.cold_until)) > COLD_DRIFT:
+        reported_cold_until = now + target.cold_left
+        if (
+            self.expired_at
+            or abs(reported_cold_until - max(now, self.cold_until))
+            > COLD_END_TOLERANCE_SECONDS
+        ):
             return True
         fields = ("life", "service", "address", "data_centre", "slots", "leaving")
         return any(getattr(target, f) != getattr(self.target, f) for f in fields)
@@ -68,14 +73,14 @@
 class Directory:
     """Configuration, targets and closed data centres, as far as this VM knows them.
 
-    Nothing in it goes back: an older configuration than the one in force is passed
-    over, whoever brings it.
+    The view never goes back: a configuration older than the current one is ignored,
+    whatever its source.
     """
 
     __slots__ = (
         "_by_service",
-        "_numbers",
-        "_numbers_of",
+        "_names_by_checksum",
+        "_checksums_revision",
         "closed",
         "configuration",
         "known",
@@ -86,15 +91,15 @@
         self.configuration: Configuration | None = None
         self.known: dict[str, KnownTarget] = {}
         self.closed: set[str] = set()
-        # Grows with each change of the targets that may be used.
+        # Incremented at each change of the usable targets.
         self.revision = 0
         self._by_service: dict[str, list[str]] | None = None
-        # Names of targets by their checksums, and the revision that they are from.
-        self._numbers: dict[int, str] = {}
-        self._numbers_of = -1
+        # Names of targets by checksum, and the revision of the view they belong to.
+        self._names_by_checksum: dict[int, str] = {}
+        self._checksums_revision = -1
 
     def apply(self, record: Record, now: float, outage: bool) -> str:
-        """Take in one record and return a word for what has changed, or nothing.
+        """Apply one record.
 
         Parameters
         ----------
@@ -102,98 +107,105 @@
         now : float
             Monotonic seconds.
         outage : bool
-            Whether the store is or has just been away, so that a record which is gone
-            may have lapsed although its target lives.
+            Whether the store is or has just been unavailable, so that a removed record
+            may have expired although its target lives.
 
         Returns
         -------
         str
+            Kind of the change; empty if nothing has changed.
         """
         if record.configuration is not None:
-            return self._configure(record.configuration)
+            return self._apply_configuration(record.configuration)
         if record.target is not None:
-            return self._report(record.target, now)
+            return self._apply_target(record.target, now)
         if record.gone:
-            return self._gone(record.gone, now, outage)
+            return self._apply_removal(record.gone, now, outage)
         if record.closed and record.closed not in self.closed:
             self.closed.add(record.closed)
-            return self._changed("closed")
+            return self._mark_changed("closed")
         if record.opened in self.closed:
             self.closed.discard(record.opened)
-            return self._changed("opened")
+            return self._mark_changed("opened")
         return ""
 
-    def restrict(
+    def drop_missing(
         self, names: set[str], closed: set[str], now: float, outage: bool
     ) -> list[str]:
-        """Drop what a whole reading of the store did not show.
+        """Drop what a full read of the store did not return.
 
         Parameters
         ----------
         names : set of str
-            Targets with a record.
+            Targets that have a record.
         closed : set of str
             Closed data centres.
         now : float
+            Monotonic seconds.
         outage : bool
             As for :meth:`apply`.
 
         Returns
         -------
         list of str
-            Targets that are without a record now.
+            Known targets that have no record any more.
         """
         missing = [name for name in self.known if name not in names]
         for name in missing:
-            self._gone(name, now, outage)
+            self._apply_removal(name, now, outage)
         if closed != self.closed:
             self.closed = set(closed)
-            self._changed("closed")
+            self._mark_changed("closed")
         return missing
 
-    def expire(self, now: float, settled: bool = False) -> list[str]:
-        """Drop the targets whose records did not come back, and return their names.
+    def drop_expired(self, now: float, no_more_renewals: bool = False) -> list[str]:
+        """Drop the targets whose expired records were not renewed.
 
         Parameters
         ----------
         now : float
-        settled : bool
-            Whether the store is known to have been there for long enough, so that no
-            record that lapsed is still to come back.
+            Monotonic seconds.
+        no_more_renewals : bool
+            Whether the store is known to have been available for long enough that no
+            expired record will be renewed any more.
 
         Returns
         -------
         list of str
+            Names of the dropped targets.
         """
-        over = [
+        expired = [
             name
             for name, known in self.known.items()
-            if known.lapsed_at and (settled or now - known.lapsed_at > LAPSE_GRACE)
+            if known.expired_at
+            and (no_more_renewals or now - known.expired_at > EXPIRY_GRACE_SECONDS)
         ]
-        for name in over:
+        for name in expired:
             del self.known[name]
-            self._changed("gone")
-        return over
+            self._mark_changed("gone")
+        return expired
 
-    def has_lapsed(self) -> bool:
-        """Tell whether a record has lapsed and may yet come back."""
-        return any(known.lapsed_at for known in self.known.values())
+    def has_expired_records(self) -> bool:
+        """Return whether an expired record may still be renewed."""
+        return any(known.expired_at for known in self.known.values())
 
-    def postpone_expiry(self, now: float) -> None:
-        """Let lapsed records keep their whole time, since the store is still away."""
+    def restart_expiry_grace(self, now: float) -> None:
+        """Restart the grace period of expired records during an outage."""
         for known in self.known.values():
-            if known.lapsed_at:
-                known.lapsed_at = now
-
-    def named(self, number: int) -> str:
-        """Return the name of a target by its checksum; empty when it is not known."""
-        if self._numbers_of != self.revision:
-            self._numbers_of = self.revision
-            self._numbers = {crc32(name.encode()): name for name in self.known}
-        return self._numbers.get(number, "")
+            if known.expired_at:
+                known.expired_at = now
+
+    def named(self, checksum: int) -> str:
+        """Return the name of the target with a checksum; empty if there is none."""
+        if self._checksums_revision != self.revision:
+            self._checksums_revision = self.revision
+            self._names_by_checksum = {
+                crc32(name.encode()): name for name in self.known
+            }
+        return self._names_by_checksum.get(checksum, "")
 
     def usable(self, service: str) -> list[str]:
-        """Return the targets of a service that may get new work."""
+        """Return the targets of a service that accept new requests."""
         if self._by_service is None:
             self._by_service = {}
             for name, known in self.known.items():
@@ -203,42 +215,42 @@
         return self._by_service.get(service, [])
 
     def may_use(self, name: str) -> bool:
-        """Tell whether a target may get new work."""
+        """Return whether a target accepts new requests."""
         known = self.known.get(name)
         if known is None or known.target.leaving:
             return False
         return known.target.data_centre not in self.closed
 
-    def _configure(self, cfg: Configuration) -> str:
+    def _apply_configuration(self, cfg: Configuration) -> str:
         old = self.configuration
         if old is not None and cfg.version <= old.version:
             return ""
         self.configuration = cfg
-        return self._changed("configuration")
+        return self._mark_changed("configuration")
 
-    def _report(self, target: Target, now: float) -> str:
+    def _apply_target(self, target: Target, now: float) -> str:
         old = self.known.get(target.name)
         if old is not None and old.target.life > target.life:
             return ""
         self.known[target.name] = KnownTarget(target, now)
         if old is None or old.target.life != target.life:
-            return self._changed("target")
+            return self._mark_changed("target")
         before = old.target
         if before.leaving != target.leaving or before.address != target.address:
-            return self._changed("target")
+            return self._mark_changed("target")
         return ""
 
-    def _gone(self, name: str, now: float, outage: bool) -> str:
+    def _apply_removal(self, name: str, now: float, outage: bool) -> str:
         known = self.known.get(name)
         if known is None:
             return ""
         if outage:
-            known.lapsed_at = known.lapsed_at or now
+            known.expired_at = known.expired_at or now
             return ""
         del self.known[name]
-        return self._changed("gone")
+        return self._mark_changed("gone")
 
-    def _changed(self, what: str) -> str:
+    def _mark_changed(self, what: str) -> str:
         self.revision += 1
         self._by_service = None
         return what
--- a/packages/entry/src/berylstage_entry/feed.py
+++ b/packages/entry/src/berylstage_entry/feed.py
@@ -40,7 +40,7 @@
 # than theirs, and longer than the gap that one lost update of the publisher leaves.
 LOCAL_PUBLISHER_READ_INTERVAL_SECONDS = 0.7
 # Read interval while records have expired, so that their return is noticed sooner.
-LAPSED_READ_INTERVAL_SECONDS = 0.25
+EXPIRED_READ_INTERVAL_SECONDS = 0.25
 # Read interval while callers ask for keys whose owner this VM does not know. At the
 # normal interval, a VM that missed an assignment, such as one that has just started,
 # refuses these requests for up to 0.9 s. Four reads a second are a tenth of what the
@@ -241,8 +241,8 @@
         return True
 
     def _read_interval(self) -> float:
-        if self._directory.has_lapsed():
-            return LAPSED_READ_INTERVAL_SECONDS
+        if self._directory.has_expired_records():
+            return EXPIRED_READ_INTERVAL_SECONDS
         if self.is_teller():
             return PUBLISHER_READ_INTERVAL_SECONDS
         return (
@@ -254,7 +254,7 @@
     async def _wait_for_next_read(self) -> None:
         """Wait until the next read is due or requested."""
         while True:
-            self._drop_expired_targets()
+            self._remove_expired_targets()
             self._change_log.flush(self._configuration_version(), now())
             wait = self._up_to_date_at + self._read_interval() - now()
             if wait <= 0:
@@ -319,9 +319,9 @@
             not self.is_teller() and now() - self._up_to_date_at > FULL_READ_AGE_SECONDS
         )
 
-    def _drop_expired_targets(self) -> None:
-        settled = self._connectivity.has_peer_contact(now())
-        for name in self._directory.expire(now(), settled):
+    def _remove_expired_targets(self) -> None:
+        no_more_renewals = self._connectivity.has_peer_contact(now())
+        for name in self._directory.drop_expired(now(), no_more_renewals):
             log.info(
                 "target removed: its expired record was not renewed",
                 extra={"target": name},
@@ -350,7 +350,7 @@
                 names.add(record.target.name)
             if record is not None and record.closed:
                 closed.add(record.closed)
-        missing = self._directory.restrict(names, closed, now(), self.in_outage())
+        missing = self._directory.drop_missing(names, closed, now(), self.in_outage())
         for key in [key for key in self.own if key not in own]:
             del self.own[key]
             self._notify_listeners(key)
@@ -552,7 +552,7 @@
         if self._connectivity.is_failing():
             seconds = round(self._connectivity.outage_seconds(moment), 2)
             log.info("store regained", extra={"away": seconds})
-            self._postpone_expiry(moment)
+            self._restart_expiry_grace(moment)
         self._connectivity.mark_success(moment)
 
     def note_failure(self, exc: Exception) -> None:
@@ -561,9 +561,9 @@
         if not self._connectivity.is_disconnected():
             log.warning("store lost", extra={"cause": str(exc)})
         self._connectivity.mark_failure(moment)
-        self._postpone_expiry(moment)
+        self._restart_expiry_grace(moment)
 
-    def _postpone_expiry(self, moment: float) -> None:
+    def _restart_expiry_grace(self, moment: float) -> None:
         """Restart the grace period of expired records during an outage."""
         if self._connectivity.in_outage(moment):
-            self._directory.postpone_expiry(moment)
+            self._directory.restart_expiry_grace(moment)
--- a/packages/entry/src/berylstage_entry/membership.py
+++ b/packages/entry/src/berylstage_entry/membership.py
@@ -1,4 +1,4 @@
-"""Which VMs there are: each keeps a key of its own under a lease."""
+"""Membership of the VMs: each keeps a record of its own under a lease."""
 
 from __future__ import annotations
 
@@ -21,37 +21,37 @@
     from berylstage_entry.store import Store
 
 VMS_PREFIX = OWN_PREFIX + "vm/"
-# Seconds of a VM's lease. The count of VMs divides bounds, and nothing depends on its
-# being exact.
-LEASE = 20.0
-# Seconds between two renewals: three fit into the lease before it ends. Whether this VM
-# reaches the store is found out by a call when somebody asks for it (`Feed.contact`),
-# and by its own reading when nothing is told.
-KEEP = 5.0
-# Seconds before a failed call is made again.
+# Term of a VM's lease. The number of VMs only divides limits among them, so it need not
+# be exact.
+LEASE_SECONDS = 20.0
+# Three renewals fit into the term of the lease. They need not detect the loss of the
+# store: `Feed.contact` checks it when asked, and so do the VM's own reads when no delta
+# arrives.
+RENEWAL_INTERVAL_SECONDS = 5.0
+# Shortest delay before a failed call is retried.
 RETRY_SECONDS = 1.0
-# VMs that are assumed beyond those that are known, for those that are just starting.
+# Number of VMs assumed to be starting, in addition to the known ones.
 UNKNOWN = 2
 
 log = Logger(__name__)
 
 
 class Member:
-    """A VM as its own key tells of it.
+    """A VM as its own record describes it.
 
     Parameters
     ----------
     name : str
     control : str
-        Where it listens for other VMs.
+        Address at which it listens for other VMs.
     data_centre : str
     power : float
-        How much of what duties need it has, up to 1.
+        Share of the resources needed by a coordinator that the VM has, up to 1.
 
     Attributes
     ----------
     host : str
-        Its address, without a port.
+        Host part of the address.
     """
 
     __slots__ = ("control", "data_centre", "host", "name", "power")
@@ -65,7 +65,7 @@
 
 
 class Membership:
-    """Makes this VM known and counts the others.
+    """Registers this VM and tracks the others.
 
     Parameters
     ----------
@@ -79,37 +79,37 @@
         self._store = store
         self._feed = feed
         self._lease = 0
-        # The one that was taken last: the store may have bound this VM's key to it
-        # without this VM's knowing.
-        self._taken_lease = 0
+        # The lease obtained last. The store may have attached this VM's record to it
+        # even if the answer to the write was lost.
+        self._latest_lease = 0
         self._task: asyncio.Task | None = None
-        # By their keys, with the revision that each was read at.
-        self._known: dict[str, tuple[int, Member]] = {}
+        # Members and the revisions of their records, by key.
+        self._entries: dict[str, tuple[int, Member]] = {}
         self._members: list[Member] = []
-        # Grows with each change of the known VMs.
+        # Incremented at each change of the known VMs.
         self.revision = 0
-        feed.listeners.append(self._heard)
+        feed.listeners.append(self._on_store_change)
 
     def start(self) -> None:
-        """Begin to keep this VM's key."""
+        """Start to register this VM and keep its lease alive."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """Remove this VM's key."""
+        """Deregister this VM."""
         if self._task is not None:
             self._task.cancel()
-        if self._taken_lease:
+        if self._latest_lease:
             try:
-                await self._store.end_lease(self._taken_lease)
+                await self._store.end_lease(self._latest_lease)
             except StoreError as exc:
-                log.info("own key not removed", extra={"cause": str(exc)})
+                log.info("VM not deregistered", extra={"cause": str(exc)})
 
     def members(self) -> list[Member]:
         """Return the known VMs, this one included."""
         return self._members
 
     def addresses(self) -> list[str]:
-        """Return where the known VMs listen for others, this one included."""
+        """Return the addresses of the known VMs, this one included."""
         return [member.control for member in self._members]
 
     def names(self) -> list[str]:
@@ -117,13 +117,13 @@
         return [member.name for member in self._members]
 
     def stands_by(self, holder: str) -> bool:
-        """Tell whether this VM stands by for the duty in its data centre.
+        """Return whether this VM is the standby coordinator of its data centre.
 
         Parameters
         ----------
         holder : str
-            Where the VM with the duty listens. It does not stand by for itself: where
-            all VMs are in one data centre, nobody would.
+            Address of the coordinator. It is not its own standby; otherwise there would
+            be none where all VMs are in one data centre.
         """
         home = self._cfg.data_centre
         neighbours = [
@@ -134,41 +134,43 @@
         return stands_by(self._cfg.vm, neighbours)
 
     def better(self) -> str:
-        """Return where a VM listens that had better hold duties; empty for none."""
+        """Return the address of a VM better suited as coordinator; empty for none."""
         best = max(self._members, key=lambda member: member.power, default=None)
         if best is None or not should_give_up(self._cfg.power, best.power):
             return ""
         return best.control
 
-    def _heard(self, what: str) -> None:
+    def _on_store_change(self, what: str) -> None:
         if what == "read":
             keys = {key for key in self._feed.own if key.startswith(VMS_PREFIX)}
-            changed = [key for key in keys | set(self._known) if self._take(key)]
+            changed = [
+                key for key in keys | set(self._entries) if self._update_member(key)
+            ]
         elif what.startswith(VMS_PREFIX):
-            changed = [what] if self._take(what) else []
+            changed = [what] if self._update_member(what) else []
         else:
             return
         if changed:
             self.revision += 1
-            self._members = [member for _, member in self._known.values()]
+            self._members = [member for _, member in self._entries.values()]
 
-    def _take(self, key: str) -> bool:
-        """Take over what one VM's key says; tell whether that is news.
+    def _update_member(self, key: str) -> bool:
+        """Update the member with a key, and return whether anything changed.
 
-        Where hundreds of VMs start or are lost at the same time, each reads hundreds of
-        such keys. Only the one that has changed is looked at, or the work grows with
-        the square of their number and callers wait for it.
+        When hundreds of VMs start or are lost at once, each of them reads hundreds of
+        records. Only the changed one is decoded; otherwise the work would grow with the
+        square of the number of VMs and delay callers.
         """
         item = self._feed.own.get(key)
         if item is None or item.value is None:
-            return self._known.pop(key, None) is not None
-        known = self._known.get(key)
+            return self._entries.pop(key, None) is not None
+        known = self._entries.get(key)
         if known is not None and known[0] == item.revision:
             return False
         doc = json.loads(item.value)
         name = key.removeprefix(VMS_PREFIX)
         member = Member(name, doc["control"], doc["data_centre"], doc["power"])
-        self._known[key] = (item.revision, member)
+        self._entries[key] = (item.revision, member)
         return True
 
     async def _run(self) -> None:
@@ -177,19 +179,19 @@
                 if self._lease:
                     await self._store.keep_lease(self._lease)
                 else:
-                    await self._enter()
+                    await self._register()
                 self._feed.note_answer()
-                await asyncio.sleep(KEEP)
+                await asyncio.sleep(RENEWAL_INTERVAL_SECONDS)
             except LeaseEnded:
                 self._lease = 0
             except StoreError as exc:
                 self._feed.note_failure(exc)
-                log.info("own key not kept", extra={"cause": str(exc)})
+                log.info("lease of the VM not renewed", extra={"cause": str(exc)})
                 await asyncio.sleep(max(RETRY_SECONDS, 2 * self._feed.retry_pause()))
 
-    async def _enter(self) -> None:
-        lease = await self._store.take_lease(LEASE)
-        self._taken_lease = lease
+    async def _register(self) -> None:
+        lease = await self._store.take_lease(LEASE_SECONDS)
+        self._latest_lease = lease
         doc = {
             "control": self._cfg.control,
             "data_centre": self._cfg.data_centre,
--- a/packages/entry/src/berylstage_entry/peers.py
+++ b/packages/entry/src/berylstage_entry/peers.py
@@ -1,4 +1,4 @@
-"""Questions to the other VMs."""
+"""HTTP calls to the other VMs."""
 
 from __future__ import annotations
 
@@ -15,23 +15,21 @@
 
     from berylstage_entry.membership import Membership
 
-# Seconds for a question to another VM and its answer.
-ASK_TIMEOUT = 0.5
-# Questions under way at once.
-QUESTIONS = 32
-OK = 200
+CALL_TIMEOUT_SECONDS = 0.5
+MAX_CONCURRENT_CALLS = 32
+STATUS_OK = 200
 
 log = Logger(__name__)
 
 
 class Peers:
-    """Asks other VMs.
+    """Calls other VMs.
 
     Parameters
     ----------
     membership : Membership
     own_address : str
-        Where this VM listens for others.
+        Address at which this VM listens for the others.
     """
 
     def __init__(self, membership: Membership, own_address: str):
@@ -40,23 +38,23 @@
         self._client: CallClient | None = None
 
     def others(self) -> list[str]:
-        """Return where the other known VMs listen."""
+        """Return the addresses of the other known VMs."""
         return sorted(set(self._membership.addresses()) - {self._own_address})
 
     async def ask(self, address: str, path: str, body: bytes = b"") -> bytes | None:
-        """Return a VM's answer; None when it gives none."""
+        """Return a VM's answer, or None if the call fails."""
         if self._client is None:
-            self._client = CallClient(QUESTIONS)
-        call = Call("POST", f"http://{address}{path}", {}, body, ASK_TIMEOUT)
+            self._client = CallClient(MAX_CONCURRENT_CALLS)
+        call = Call("POST", f"http://{address}{path}", {}, body, CALL_TIMEOUT_SECONDS)
         try:
             answer = await self._client.call(call)
         except CallFailed as exc:
-            log.debug("no answer from a VM", extra={"cause": str(exc)})
+            log.debug("call to another VM failed", extra={"cause": str(exc)})
             return None
-        return answer.body if answer.status == OK else None
+        return answer.body if answer.status == STATUS_OK else None
 
     async def ask_all(self, path: str) -> Sequence[bytes | None]:
-        """Return the answers of all other known VMs."""
+        """Call all other known VMs at once and return their answers."""
         return await asyncio.gather(*(self.ask(a, path) for a in self.others()))
 
     def close(self) -> None:
--- a/packages/entry/tests/test_datagrams.py
+++ b/packages/entry/tests/test_datagrams.py
@@ -10,15 +10,15 @@
 HOSTS = ("10.0.0.1", "10.0.0.2", "10.0.1.1")
 
 
-class Members:
+class FakeMembership:
     """Three VMs of two data centres."""
 
     def members(self):
         return [Member(f"vm-{h}", f"{h}:1", f"dc-{h[5]}", 1.0) for h in HOSTS]
 
 
-class Transport:
-    """Notes what is sent to which host."""
+class FakeTransport:
+    """Records what is sent to which host."""
 
     def __init__(self):
         self.sent = []
@@ -34,59 +34,59 @@
         return self.closed
 
 
-def datagrams():
-    each = Datagrams(Members(), HOSTS[0], 7)
-    each._transport = Transport()
-    return each, each._transport.sent
+def make_datagrams():
+    datagrams = Datagrams(FakeMembership(), HOSTS[0], 7)
+    datagrams._transport = FakeTransport()
+    return datagrams, datagrams._transport.sent
 
 
 class TestDatagrams:
-    def test_all_other_vms_are_told(self):
-        each, sent = datagrams()
-        each.send(b"x")
+    def test_datagram_is_sent_to_all_other_vms(self):
+        datagrams, sent = make_datagrams()
+        datagrams.send(b"x")
         assert sorted(sent) == [(b"x", (host, 7)) for host in HOSTS[1:]]
 
-    def test_vms_of_this_data_centre_can_be_told_alone(self):
-        each, sent = datagrams()
-        each.send(b"x", near=True)
+    def test_datagram_can_be_sent_within_the_data_centre_only(self):
+        datagrams, sent = make_datagrams()
+        datagrams.send(b"x", near=True)
         assert sent == [(b"x", (HOSTS[1], 7))]
 
-    def test_reader_is_told_who_has_sent(self):
-        each, _ = datagrams()
-        read = []
-        each.takers[18] = lambda data, host: read.append((data, host))
-        each.datagram_received(b"\x12abc", ("10.0.0.2", 7))
-        assert read == [(b"\x12abc", "10.0.0.2")]
-
-    def test_unknown_datagram_is_passed_over(self):
-        each, _ = datagrams()
-        each.datagram_received(b"", ("10.0.0.2", 7))
-        each.datagram_received(b"\x99", ("10.0.0.2", 7))
-
-    def test_closed_socket_sends_nothing_and_fails_nobody(self):
-        # The last requests of a VM that stops give their turns back when the socket is
-        # closed already. Each of them met a fault of the program for it.
-        each, sent = datagrams()
-        each.close()
-        each.send_to("10.0.0.2", b"x")
+    def test_handler_gets_the_address_of_the_sender(self):
+        datagrams, _ = make_datagrams()
+        calls = []
+        datagrams.takers[18] = lambda data, host: calls.append((data, host))
+        datagrams.datagram_received(b"\x12abc", ("10.0.0.2", 7))
+        assert calls == [(b"\x12abc", "10.0.0.2")]
+
+    def test_unknown_datagram_is_ignored(self):
+        datagrams, _ = make_datagrams()
+        datagrams.datagram_received(b"", ("10.0.0.2", 7))
+        datagrams.datagram_received(b"\x99", ("10.0.0.2", 7))
+
+    def test_send_on_a_closed_socket_does_nothing(self):
+        # The last requests of a stopping VM release their permits after the socket is
+        # closed. Guards against an exception in each of them.
+        datagrams, sent = make_datagrams()
+        datagrams.close()
+        datagrams.send_to("10.0.0.2", b"x")
         assert sent == []
 
-    def test_what_comes_before_the_socket_is_open_is_left_out(self):
-        Datagrams(Members(), HOSTS[0], 7).send(b"x")
+    def test_send_before_the_socket_is_open_does_nothing(self):
+        Datagrams(FakeMembership(), HOSTS[0], 7).send(b"x")
 
-    def test_reaches_another_vm(self):
-        async def play():
-            one, other = Datagrams(Members(), "127.0.0.1", 0), []
-            each = Datagrams(Members(), "127.0.0.1", 0)
-            each.takers[1] = lambda data, host: other.append(data)
-            one.start()
-            each.start()
+    def test_datagram_reaches_another_vm(self):
+        async def scenario():
+            sender, received = Datagrams(FakeMembership(), "127.0.0.1", 0), []
+            datagrams = Datagrams(FakeMembership(), "127.0.0.1", 0)
+            datagrams.takers[1] = lambda data, host: received.append(data)
+            sender.start()
+            datagrams.start()
             await asyncio.sleep(0.05)
-            port = each._transport.get_extra_info("sockname")[1]
-            one._transport.sendto(b"\x01abc", ("127.0.0.1", port))
+            port = datagrams._transport.get_extra_info("sockname")[1]
+            sender._transport.sendto(b"\x01abc", ("127.0.0.1", port))
             await asyncio.sleep(0.05)
-            one.close()
-            each.close()
-            return other
+            sender.close()
+            datagrams.close()
+            return received
 
-        assert asyncio.run(play()) == [b"\x01abc"]
+        assert asyncio.run(scenario()) == [b"\x01abc"]
--- a/packages/entry/tests/test_directory.py
+++ b/packages/entry/tests/test_directory.py
@@ -1,102 +1,104 @@
-"""Tests of what a VM believes."""
+"""Tests of a VM's view of the cluster."""
 
 from __future__ import annotations
 
-from berylstage_entry.directory import LAPSE_GRACE, Directory
+from berylstage_entry.directory import EXPIRY_GRACE_SECONDS, Directory
 from berylstage_entry.wire import Record
 from fakes import configuration, target
 
 
 def directory(*names):
-    found = Directory()
-    found.apply(Record(configuration=configuration(3)), 0.0, False)
+    view = Directory()
+    view.apply(Record(configuration=configuration(3)), 0.0, False)
     for name in names:
-        found.apply(Record(target=target(name)), 0.0, False)
-    return found
+        view.apply(Record(target=target(name)), 0.0, False)
+    return view
 
 
 class TestDirectory:
-    def test_older_configuration_is_passed_over(self):
-        # A configuration that was read before an outage comes back late. In force again
-        # it would send requests to a service that the operators have left.
-        found = directory()
-        assert found.apply(Record(configuration=configuration(2)), 1.0, False) == ""
-        assert found.configuration.version == 3
-
-    def test_leaving_target_gets_nothing_more(self):
-        found = directory("a", "b")
-        found.apply(Record(target=target("a", leaving=True)), 1.0, False)
-        assert found.usable("s") == ["b"]
-        assert not found.may_use("a")
-
-    def test_closed_data_centre_gets_nothing_until_it_is_taken_back(self):
-        found = directory("a")
-        found.apply(Record(closed="dc-1"), 1.0, False)
-        assert found.usable("s") == []
-        found.apply(Record(opened="dc-1"), 2.0, False)
-        assert found.usable("s") == ["a"]
-
-    def test_record_that_lapsed_in_an_outage_keeps_its_target_for_a_while(self):
-        # The store was away and every record lapsed, though all targets live. Dropped
-        # at once, no service would have a target left.
-        found = directory("a", "b")
-        found.apply(Record(gone="a"), 10.0, True)
-        assert found.expire(10.0 + LAPSE_GRACE - 0.01) == []
-        found.apply(Record(target=target("a")), 11.0, False)
-        assert found.expire(20.0) == []
-
-    def test_target_that_left_while_the_vm_was_cut_off_is_dropped_in_time(self):
-        # A VM was cut off while a target left and its record was removed. Three seconds
-        # after its return it counts as in touch, and a request that it still sends to
-        # the target would be lost with it.
-        found = directory("a", "b")
-        found.restrict({"b"}, set(), 13.45, True)
-        assert found.has_lapsed()
-        assert found.expire(13.45 + 2.2) == ["a"]
-        assert found.usable("s") == ["b"]
-
-    def test_record_removed_while_the_store_is_well_counts_at_once(self):
-        found = directory("a", "b")
-        found.restrict({"b"}, set(), 13.45, False)
-        assert found.usable("s") == ["b"]
-
-    def test_older_life_of_a_target_is_passed_over(self):
-        found = directory()
-        found.apply(Record(target=target("a", 7)), 1.0, False)
-        assert found.apply(Record(target=target("a", 6)), 2.0, False) == ""
-        assert found.known["a"].target.life == 7
-
-
-class TestReports:
-    def told(self, known, reports):
-        """Return which reports are news, each a moment and what changed."""
+    def test_older_configuration_is_ignored(self):
+        # A configuration that was read before an outage arrives late. If applied, it
+        # would send requests to a service that the operators have retired.
+        view = directory()
+        assert view.apply(Record(configuration=configuration(2)), 1.0, False) == ""
+        assert view.configuration.version == 3
+
+    def test_draining_target_is_not_usable(self):
+        view = directory("a", "b")
+        view.apply(Record(target=target("a", leaving=True)), 1.0, False)
+        assert view.usable("s") == ["b"]
+        assert not view.may_use("a")
+
+    def test_closed_data_centre_is_not_usable_until_it_is_reopened(self):
+        view = directory("a")
+        view.apply(Record(closed="dc-1"), 1.0, False)
+        assert view.usable("s") == []
+        view.apply(Record(opened="dc-1"), 2.0, False)
+        assert view.usable("s") == ["a"]
+
+    def test_target_whose_record_expired_in_an_outage_is_kept_for_a_while(self):
+        # The store was unavailable and all records expired, though all targets live.
+        # Dropping them at once would leave every service without targets.
+        view = directory("a", "b")
+        view.apply(Record(gone="a"), 10.0, True)
+        assert view.drop_expired(10.0 + EXPIRY_GRACE_SECONDS - 0.01) == []
+        view.apply(Record(target=target("a")), 11.0, False)
+        assert view.drop_expired(20.0) == []
+
+    def test_target_that_left_during_a_partition_is_dropped_in_time(self):
+        # A VM was partitioned while a target left and its record was removed. Three
+        # seconds after it reconnects it must not send requests to the target any more,
+        # since they would be lost.
+        view = directory("a", "b")
+        view.drop_missing({"b"}, set(), 13.45, True)
+        assert view.has_expired_records()
+        assert view.drop_expired(13.45 + 2.2) == ["a"]
+        assert view.usable("s") == ["b"]
+
+    def test_target_whose_record_is_removed_without_an_outage_is_dropped_at_once(self):
+        view = directory("a", "b")
+        view.drop_missing({"b"}, set(), 13.45, False)
+        assert view.usable("s") == ["b"]
+
+    def test_older_incarnation_of_a_target_is_ignored(self):
+        view = directory()
+        view.apply(Record(target=target("a", 7)), 1.0, False)
+        assert view.apply(Record(target=target("a", 6)), 2.0, False) == ""
+        assert view.known["a"].target.life == 7
+
+
+class TestTargetReports:
+    def changes(self, view, reports):
+        """Apply reports, each a time and its fields; return which were changes."""
         found = []
         for moment, changes in reports:
             report = target("a", **changes)
-            found.append(known.known["a"].differs(report, moment))
-            known.apply(Record(target=report), moment, False)
+            found.append(view.known["a"].differs(report, moment))
+            view.apply(Record(target=report), moment, False)
         return found
 
-    def cold(self, left):
-        found = directory()
-        record = Record(target=target("a", cold_left=left))
-        found.apply(record, 10.0, False)
-        return found
+    def cold_view(self, seconds):
+        view = directory()
+        record = Record(target=target("a", cold_left=seconds))
+        view.apply(record, 10.0, False)
+        return view
 
-    def test_cold_target_that_goes_on_as_it_said_is_no_news(self):
-        # A third of all targets are replaced. Each report of each new one was told to
-        # all VMs; those with small links learned of nothing else in time, and sent
-        # requests to targets that had left.
+    def test_cold_target_that_warms_up_as_reported_is_no_change(self):
+        # A third of all targets are replaced. Guards against publishing each report of
+        # each new one: VMs with slow links then learn of nothing else in time, and send
+        # requests to targets that have left.
         reports = [(10.0 + n * 0.9, {"cold_left": 3.0 - n * 0.9}) for n in (1, 2, 3)]
-        assert self.told(self.cold(3.0), reports) == [False] * 3
-        assert self.told(self.cold(0.0), [(11.0, {}), (12.0, {})]) == [False] * 2
-
-    def test_target_that_turns_cold_or_stays_so_is_news(self):
-        # A VM that does not hear of it sends more than a cold target bears.
-        assert self.told(self.cold(0.0), [(11.0, {"cold_left": 3.0})]) == [True]
-        stays = [(10.0 + n * 0.9, {"cold_left": 3.0}) for n in (1, 2)]
-        assert self.told(self.cold(3.0), stays) == [True, True]
-        assert self.told(self.cold(3.0), [(11.0, {})]) == [True]
-
-    def test_target_that_leaves_is_news(self):
-        assert self.told(self.cold(0.0), [(11.0, {"leaving": True})]) == [True]
+        assert self.changes(self.cold_view(3.0), reports) == [False] * 3
+        assert (
+            self.changes(self.cold_view(0.0), [(11.0, {}), (12.0, {})]) == [False] * 2
+        )
+
+    def test_target_that_turns_cold_or_stays_cold_is_a_change(self):
+        # Otherwise a VM sends a cold target more requests than it can handle.
+        assert self.changes(self.cold_view(0.0), [(11.0, {"cold_left": 3.0})]) == [True]
+        stays_cold = [(10.0 + n * 0.9, {"cold_left": 3.0}) for n in (1, 2)]
+        assert self.changes(self.cold_view(3.0), stays_cold) == [True, True]
+        assert self.changes(self.cold_view(3.0), [(11.0, {})]) == [True]
+
+    def test_target_that_starts_to_drain_is_a_change(self):
+        assert self.changes(self.cold_view(0.0), [(11.0, {"leaving": True})]) == [True]
--- a/packages/entry/tests/test_membership.py
+++ b/packages/entry/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of which VMs there are."""
+"""Tests of the membership of the VMs."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from berylstage_entry import membership as module
 from berylstage_entry.directory import Directory
 from berylstage_entry.feed import Feed
-from berylstage_entry.membership import KEEP, VMS_PREFIX, Membership
+from berylstage_entry.membership import RENEWAL_INTERVAL_SECONDS, VMS_PREFIX, Membership
 from berylstage_entry.store import Item
 from fakes import JsonRecords, LateAnswers, MemoryStore, settings
 from virtual_time import virtual_loop
@@ -16,8 +16,8 @@
 VMS = ("vm-1", "vm-2", "vm-3", "vm-4")
 
 
-def member(vm):
-    """Return what a VM knows of four of one data centre, by their records."""
+def make_membership(vm):
+    """Return the membership as one of four VMs of a data centre sees it."""
     feed = Feed(None, JsonRecords(), Directory())
     membership = Membership(settings(vm), None, feed)
     for revision, name in enumerate(VMS, 1):
@@ -29,24 +29,24 @@
 
 class TestMembership:
     def test_knows_all_vms(self):
-        assert sorted(member("vm-1").names()) == list(VMS)
+        assert sorted(make_membership("vm-1").names()) == list(VMS)
 
-    def test_holder_of_the_duty_does_not_stand_by_for_itself(self):
-        # All VMs are in one data centre, and the one that stands by has taken the duty.
-        # When it is lost the others find that by reading, 0.9 s later, and keys are
-        # without an owner meanwhile.
-        first = next(vm for vm in VMS if member(vm).stands_by(""))
+    def test_coordinator_is_not_its_own_standby(self):
+        # All VMs are in one data centre, and the standby has become coordinator. Unless
+        # another VM becomes the standby, the loss of the coordinator is noticed 0.9 s
+        # later, by a read, and keys have no owner meanwhile.
+        first = next(vm for vm in VMS if make_membership(vm).stands_by(""))
         others = [vm for vm in VMS if vm != first]
-        assert sum(member(vm).stands_by(f"{first}:1") for vm in others) == 1
+        assert sum(make_membership(vm).stands_by(f"{first}:1") for vm in others) == 1
 
-    def test_each_key_is_read_once_however_many_vms_start(self, monkeypatch):
-        # Hundreds of VMs start together, or come back after a loss. Each that read all
-        # keys again at every change of one was busy with that for its first seconds,
-        # and its first callers waited.
-        read = []
+    def test_each_record_is_decoded_once_however_many_vms_start(self, monkeypatch):
+        # Hundreds of VMs start together, or return after an outage. Guards against VMs
+        # that decode all records at each change of one, which keeps them busy for their
+        # first seconds and delays their first callers.
+        decoded = []
         loads = module.json.loads
         monkeypatch.setattr(
-            module.json, "loads", lambda value: read.append(value) or loads(value)
+            module.json, "loads", lambda value: decoded.append(value) or loads(value)
         )
         feed = Feed(None, JsonRecords(), Directory())
         membership = Membership(settings("vm-0"), None, feed)
@@ -56,10 +56,10 @@
             feed.take_written(Item(f"{VMS_PREFIX}vm-{n}", value, n + 1))
         feed._notify_listeners("read")
         assert len(membership.members()) == 200
-        assert len(read) == 200
+        assert len(decoded) == 200
 
-    def test_reading_without_news_changes_nothing(self):
-        # What is worked out from the known VMs is worked out anew at each change.
+    def test_full_read_without_changes_changes_nothing(self):
+        # Each change causes everything derived from the members to be recomputed.
         feed = Feed(None, JsonRecords(), Directory())
         membership = Membership(settings("vm-0"), None, feed)
         doc = {"control": "10.0.0.1:1", "data_centre": "dc-1", "power": 1.0}
@@ -75,9 +75,9 @@
 
 class TestStop:
     def test_key_that_is_being_written_is_removed(self):
-        # Guards against a VM that counts as there for the length of its lease, and is
-        # asked for turns, because it stopped before it knew that its key was written.
-        async def play():
+        # Guards against a VM that remains a member until its lease expires, and gets
+        # permit requests, because it stopped before the answer to its write arrived.
+        async def scenario():
             store = MemoryStore()
             feed = Feed(store, JsonRecords(), Directory())
             membership = Membership(settings("vm-1"), LateAnswers(store), feed)
@@ -86,9 +86,9 @@
             assert VMS_PREFIX + "vm-1" in store.items
             await membership.stop()
             assert VMS_PREFIX + "vm-1" not in store.items
-            # Nor does it come back.
-            await asyncio.sleep(KEEP + 1.0)
+            # The record does not return either.
+            await asyncio.sleep(RENEWAL_INTERVAL_SECONDS + 1.0)
             assert VMS_PREFIX + "vm-1" not in store.items
 
         with virtual_loop() as loop:
-            loop.run_until_complete(play())
+            loop.run_until_complete(scenario())
