--- a/packages/entry/src/berylstage_entry/change_log.py
+++ b/packages/entry/src/berylstage_entry/change_log.py
@@ -1,8 +1,7 @@
-"""Log lines about what a VM has come to believe, bounded in number.
+"""Rate-limited log lines about changes of a VM's view of the cluster.
 
-The load it answers: hundreds of targets and VMs that start, or are lost, at the same
-moment. Each VM learns of all of them; a line for each took more time than the requests
-that came meanwhile.
+When hundreds of targets and VMs start or are lost at once, each VM learns of all of
+them. Writing one line for each takes more time than the requests served meanwhile.
 """
 
 from __future__ import annotations
@@ -14,18 +13,18 @@
 if TYPE_CHECKING:
     from berylstage_entry.store import Item
 
-# Kinds of changes that come by the hundred, and the seconds for which they are gathered
-# after a line about one of them. Others have a line each, at once.
+# Kinds of changes that come by the hundred, and the time for which they are batched
+# after a line about one of them. Other changes are logged one by one, at once.
 BATCHED_KINDS = frozenset({"target", "gone"})
 BATCH_SECONDS = 1.0
-# Keys that a line names at most.
+# Number of keys that a line contains at most.
 MAX_KEYS_PER_LINE = 500
 
 log = Logger(__name__)
 
 
 class _PendingChanges:
-    """Changes of one kind since the last line about them."""
+    """Changes of one kind since the last log line about them."""
 
     __slots__ = ("count", "keys", "revision", "written_at")
 
@@ -43,7 +42,7 @@
 
 
 class ChangeLog:
-    """Writes a line for a change, and one a second for all that follow at once."""
+    """Logs a change at once, and those that follow it in one line per second."""
 
     __slots__ = ("_pending",)
 
@@ -53,16 +52,16 @@
     def changed(
         self, what: str, item: Item, configuration: int | None, now: float
     ) -> None:
-        """Note a change.
+        """Log a change, or keep it for the next line about its kind.
 
         Parameters
         ----------
         what : str
-            Its kind.
+            Kind of the change.
         item : Item
-            The record that brought it.
+            Record that caused the change.
         configuration : int or None
-            Version that is in force.
+            Version of the current configuration.
         now : float
             Monotonic seconds.
         """
@@ -72,14 +71,14 @@
             self._write(what, kind, configuration, now)
 
     def flush(self, configuration: int | None, now: float, force: bool = False) -> None:
-        """Write what has been gathered for long enough.
+        """Log the changes that have been batched for long enough.
 
         Parameters
         ----------
         configuration, now
             As for :meth:`changed`.
         force : bool
-            Whether to write all that has been gathered, however short ago.
+            Whether to log all batched changes, however recent.
         """
         for what, kind in self._pending.items():
             if kind.count and (force or now - kind.written_at >= BATCH_SECONDS):
--- a/packages/entry/src/berylstage_entry/clock.py
+++ b/packages/entry/src/berylstage_entry/clock.py
@@ -1,15 +1,15 @@
-"""Clocks: monotonic time, with and without the time of a suspension."""
+"""A monotonic clock that counts the time for which the machine is suspended."""
 
 from __future__ import annotations
 
 import time
 
-# A paused or suspended VM must see on waking that its lease is over. CLOCK_MONOTONIC
-# stands still while a VM is suspended, so that a lease would seem to go on;
+# A VM that resumes after a suspension must notice that its lease has expired.
+# CLOCK_MONOTONIC stops during a suspension, so that the lease would seem to be valid;
 # CLOCK_BOOTTIME does not.
-_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+_CLOCK_ID = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
 def now() -> float:
-    """Return monotonic seconds since some fixed moment, suspension included."""
-    return time.clock_gettime(_CLOCK)
+    """Return monotonic seconds since a fixed time, including suspensions."""
+    return time.clock_gettime(_CLOCK_ID)
--- a/packages/entry/src/berylstage_entry/errors.py
+++ b/packages/entry/src/berylstage_entry/errors.py
@@ -1,67 +1,69 @@
-"""Errors of the router; each message names the remedy."""
+"""Exceptions of the router; each message names the remedy."""
 
 from __future__ import annotations
 
 
 class EntryError(Exception):
-    """Any error of this package."""
+    """Base class of this package's exceptions."""
 
 
 class StoreError(EntryError):
-    """A call to the store that did not do what was asked."""
+    """A call to the store has failed."""
 
 
 class StoreSilent(StoreError):
-    """No usable answer came; a write may or may not take effect."""
+    """The store gave no usable answer; a write may or may not take effect."""
 
 
 class StoreRefused(StoreError):
-    """The store did nothing, and may do it later; call again after a pause."""
+    """The store rejected the call without effect; retry it after a delay."""
 
 
 class Conflict(StoreError):
-    """A condition of a write did not hold; read again and decide anew."""
+    """A condition of a write did not hold; read the keys again before a retry."""
 
 
 class LeaseEnded(StoreError):
-    """The lease has ended, and its keys are gone; take a new one."""
+    """The lease has expired and its keys are removed; create a new one."""
 
 
 class HistoryLost(StoreError):
-    """The changes that were asked for are no longer kept; read everything again."""
+    """The store has compacted the requested changes; read all records again."""
 
 
 class UnreadableRecord(EntryError):
-    """A record of the store that names nothing that could be used."""
+    """A record or message cannot be decoded or contains nothing usable."""
 
 
 class TargetEnded(EntryError):
-    """Another target answers at the address: this life of the target is over."""
+    """Another target answers at the address; this incarnation has ended."""
 
 
 class NoOwner(EntryError):
-    """No target could be asked for a key in time; it can once its move has ended."""
+    """A key has no owner before the deadline; retry once its move is complete."""
 
 
 class TurnRefused(EntryError):
-    """A request would be answered too late by its target; it may come back.
+    """A target would answer a request after its deadline; the caller may retry.
 
     Parameters
     ----------
     retry_after : float
-        Seconds after which there is expected to be room.
+        Seconds until the target is expected to have capacity.
     turn : str
-        Which turn was refused and by whom, for the log.
+        Refused permit and the VM that refused it, for the log.
     """
 
     def __init__(self, retry_after: float, turn: str = ""):
-        super().__init__(f"no room in time; come back in {retry_after:.2f} s")
+        super().__init__(
+            f"no capacity before the deadline; retry in {retry_after:.2f} s"
+        )
         self.retry_after = retry_after
         self.turn = turn
 
 
 class BadRequest(EntryError):
-    """A caller's request that cannot be served as it is.
+    """A caller's request is invalid.
 
     Parameters
     ----------
@@ -76,40 +78,40 @@
 
 
 class Refused(EntryError):
-    """A request that has not run and never will; it may come back.
+    """A request has not run and never will; the caller may retry it.
 
     Parameters
     ----------
     reason : str
-        One word for logs and counters.
+        Reason as a single word, for logs and counters.
     retry_after : float
-        Seconds after which the caller may come back.
+        Seconds after which the caller may retry.
     detail : str
-        What decided it, and how old that was; for the log.
+        Cause of the decision and the age of the data behind it, for the log.
     """
 
     def __init__(self, reason: str, retry_after: float, detail: str = ""):
-        super().__init__(f"{reason}; come back in {retry_after:.2f} s")
+        super().__init__(f"{reason}; retry in {retry_after:.2f} s")
         self.reason = reason
         self.retry_after = retry_after
         self.detail = detail
 
 
 class Unanswered(EntryError):
-    """A request that was sent and brought no answer; it may have run.
+    """A request was sent but not answered; it may have run.
 
     Parameters
     ----------
     reason : str
-        One word for logs and counters.
+        Reason as a single word, for logs and counters.
     timed_out : bool
-        Whether its time was over, rather than its connection.
+        Whether the deadline passed, rather than the connection being lost.
     detail : str
-        What decided it; for the log.
+        Cause of the decision, for the log.
     """
 
     def __init__(self, reason: str, timed_out: bool, detail: str = ""):
-        super().__init__(f"{reason}; find out whether it took effect")
+        super().__init__(f"{reason}; check whether the request took effect")
         self.reason = reason
         self.timed_out = timed_out
         self.detail = detail
--- a/packages/entry/src/berylstage_entry/loop_watch.py
+++ b/packages/entry/src/berylstage_entry/loop_watch.py
@@ -1,8 +1,9 @@
-"""Notices when the event loop stands still, and tells what held it up.
+"""Measures the lag of the event loop and its causes.
 
-A request whose time ends while the loop stands still gets its answer too late, and the
-logs of its VM show nothing but a gap. The gap looks alike whether the program computed,
-waited for its log to be written, or was not given a core. Each of them is measured.
+A request whose deadline passes while the loop is blocked is answered after its
+deadline, and the logs of the VM show nothing but a gap. The gap looks the same whether
+the process computed, waited for log lines to be written, or waited for a CPU core.
+Therefore each of these is measured.
 """
 
 from __future__ import annotations
@@ -21,146 +22,162 @@
 
     from berylstage_entry.metrics import Metrics
 
-# Seconds between two looks.
-PERIOD = 0.25
-# Seconds by which a look is late from which it is logged: a tenth of the shortest time
-# that callers wait.
-LATE = 0.04
-# Where Linux tells the nanoseconds for which this process ran and waited for a core.
-SCHEDULER_PAGE = "/proc/self/schedstat"
-_NANOSECONDS = 1e9
-_LONGEST_PAGE = 128
+CHECK_INTERVAL_SECONDS = 0.25
+# A tenth of the shortest timeout of callers.
+MIN_LOGGED_LAG_SECONDS = 0.04
+# Linux reports here the nanoseconds for which this process ran and waited for a core.
+SCHEDSTAT_PATH = "/proc/self/schedstat"
+_NANOSECONDS_PER_SECOND = 1e9
+_MAX_READ_BYTES = 128
 
 log = Logger(__name__)
 
 
-class Usage:
-    """What has been spent since the process started.
+class ResourceUsage:
+    """Time used by the process since its start.
 
     Parameters
     ----------
-    moment : float
+    measured_at : float
         Monotonic seconds.
-    processor : float
-        Seconds on a core.
-    queued : float or None
-        Seconds of waiting for a core; None where the system does not tell.
-    writing : float
+    cpu_seconds : float
+        Seconds of CPU time.
+    run_queue_seconds : float or None
+        Seconds of waiting for a core; None if the system does not report them.
+    log_write_seconds : float
         Seconds of writing log lines.
     """
 
-    __slots__ = ("moment", "processor", "queued", "writing")
+    __slots__ = ("measured_at", "cpu_seconds", "run_queue_seconds", "log_write_seconds")
 
     def __init__(
-        self, moment: float, processor: float, queued: float | None, writing: float
+        self,
+        measured_at: float,
+        cpu_seconds: float,
+        run_queue_seconds: float | None,
+        log_write_seconds: float,
     ):
-        self.moment = moment
-        self.processor = processor
-        self.queued = queued
-        self.writing = writing
+        self.measured_at = measured_at
+        self.cpu_seconds = cpu_seconds
+        self.run_queue_seconds = run_queue_seconds
+        self.log_write_seconds = log_write_seconds
 
 
-class Delay:
-    """By how much a look was late, and where the time between two looks went.
+class LoopLag:
+    """Lag of the event loop, and the time used between two measurements.
 
     Parameters
     ----------
-    before, after : Usage
-    period : float
-        Seconds that were meant to lie between them.
+    before, after : ResourceUsage
+    interval : float
+        Planned seconds between them.
 
     Attributes
     ----------
-    late, processor, writing : float
-    queued : float or None
-        Seconds, as in :class:`Usage`.
+    lag_seconds, cpu_seconds, log_write_seconds : float
+    run_queue_seconds : float or None
+        Seconds, as in :class:`ResourceUsage`.
     """
 
-    __slots__ = ("late", "processor", "queued", "writing")
+    __slots__ = ("lag_seconds", "cpu_seconds", "run_queue_seconds", "log_write_seconds")
 
-    def __init__(self, before: Usage, after: Usage, period: float):
-        self.late = max(0.0, after.moment - before.moment - period)
-        self.processor = after.processor - before.processor
-        self.writing = after.writing - before.writing
-        self.queued: float | None = None
-        if before.queued is not None and after.queued is not None:
-            self.queued = after.queued - before.queued
+    def __init__(self, before: ResourceUsage, after: ResourceUsage, interval: float):
+        self.lag_seconds = max(0.0, after.measured_at - before.measured_at - interval)
+        self.cpu_seconds = after.cpu_seconds - before.cpu_seconds
+        self.log_write_seconds = after.log_write_seconds - before.log_write_seconds
+        self.run_queue_seconds: float | None = None
+        if before.run_queue_seconds is not None and after.run_queue_seconds is not None:
+            self.run_queue_seconds = after.run_queue_seconds - before.run_queue_seconds
 
 
-class SchedulerPage:
-    """The system's page on how long this process waited for a core."""
+class SchedulerStats:
+    """Reads from the system how long this process has waited for a core."""
 
-    def __init__(self, path: str = SCHEDULER_PAGE):
+    def __init__(self, path: str = SCHEDSTAT_PATH):
         try:
             self._fd = os.open(path, os.O_RDONLY)
         except OSError as exc:
-            log.info("waits for a core are not told", extra={"cause": str(exc)})
+            log.info(
+                "run queue time of the process is unavailable",
+                extra={"cause": str(exc)},
+            )
             self._fd = -1
 
-    def queued(self) -> float | None:
-        """Return the seconds of waiting so far; None where nobody tells."""
+    def run_queue_seconds(self) -> float | None:
+        """Return the seconds of waiting so far, or None if they are unknown."""
         if self._fd < 0:
             return None
         try:
-            return int(os.pread(self._fd, _LONGEST_PAGE, 0).split()[1]) / _NANOSECONDS
+            return (
+                int(os.pread(self._fd, _MAX_READ_BYTES, 0).split()[1])
+                / _NANOSECONDS_PER_SECOND
+            )
         except (OSError, ValueError, IndexError) as exc:
-            log.info("waits for a core are not told", extra={"cause": str(exc)})
+            log.info(
+                "run queue time of the process is unavailable",
+                extra={"cause": str(exc)},
+            )
             self.close()
             return None
 
     def close(self) -> None:
-        """Let go of the page."""
+        """Close the file."""
         if self._fd >= 0:
             os.close(self._fd)
             self._fd = -1
 
 
 class LoopWatch:
-    """Looks at the clock again and again.
+    """Measures the lag of the event loop at a fixed interval.
 
     Parameters
     ----------
     metrics : Metrics
-    writing : callable
-        Returns the seconds that log lines have taken to write since the start.
+    log_write_seconds : callable
+        Returns the seconds spent on writing log lines since the start.
     """
 
-    def __init__(self, metrics: Metrics, writing: Callable[[], float]):
+    def __init__(self, metrics: Metrics, log_write_seconds: Callable[[], float]):
         self._metrics = metrics
-        self._writing = writing
-        self._page = SchedulerPage()
+        self._log_write_seconds = log_write_seconds
+        self._scheduler_stats = SchedulerStats()
         self._task: asyncio.Task | None = None
 
     def start(self) -> None:
-        """Begin to look."""
+        """Start measuring."""
         self._task = asyncio.create_task(self._run())
 
     def stop(self) -> None:
-        """Stop looking."""
+        """Stop measuring."""
         if self._task is not None:
             self._task.cancel()
-        self._page.close()
+        self._scheduler_stats.close()
 
     async def _run(self) -> None:
-        before = self._usage()
+        before = self._measure()
         while True:
-            await asyncio.sleep(PERIOD)
-            after = self._usage()
-            self._note(Delay(before, after, PERIOD))
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
+            after = self._measure()
+            self._record(LoopLag(before, after, CHECK_INTERVAL_SECONDS))
             before = after
 
-    def _usage(self) -> Usage:
-        return Usage(now(), time.process_time(), self._page.queued(), self._writing())
+    def _measure(self) -> ResourceUsage:
+        return ResourceUsage(
+            now(),
+            time.process_time(),
+            self._scheduler_stats.run_queue_seconds(),
+            self._log_write_seconds(),
+        )
 
-    def _note(self, delay: Delay) -> None:
-        if delay.late < LATE:
+    def _record(self, lag: LoopLag) -> None:
+        if lag.lag_seconds < MIN_LOGGED_LAG_SECONDS:
             return
-        self._metrics.loop_late(delay.late)
+        self._metrics.loop_late(lag.lag_seconds)
         extra = {
-            "late": round(delay.late, 3),
-            "processor": round(delay.processor, 3),
-            "writing": round(delay.writing, 3),
+            "late": round(lag.lag_seconds, 3),
+            "processor": round(lag.cpu_seconds, 3),
+            "writing": round(lag.log_write_seconds, 3),
         }
-        if delay.queued is not None:
-            extra["queued"] = round(delay.queued, 3)
+        if lag.run_queue_seconds is not None:
+            extra["queued"] = round(lag.run_queue_seconds, 3)
         log.warning("event loop was late", extra=extra)
--- a/packages/entry/src/berylstage_entry/reports.py
+++ b/packages/entry/src/berylstage_entry/reports.py
@@ -1,10 +1,10 @@
-"""What a VM tells the one with the duty of granting: how busy keys and targets are.
+"""Reports the load of keys and the service times of targets to the coordinator.
 
-The load it answers: a few neighbouring keys that become busy within a moment, of which
-each VM sees a handful of requests a second. What all of them see has to be together
-within a tenth of a second, or a queue has grown before the owner by the time that its
-keys move. Counts go as small datagrams, one of which may be lost; the speeds of targets
-change slowly and go by a call.
+A few neighbouring keys may suddenly become hot, while each VM sees only a handful of
+their requests a second. The counts of all VMs must be added up within a tenth of a
+second; otherwise a queue has formed at the owner by the time its keys move. Counts are
+sent as small datagrams, any of which may be lost. Service times change slowly and are
+sent by an HTTP call.
 """
 
 from __future__ import annotations
@@ -31,30 +31,30 @@
     from berylstage_entry.office import Office
     from berylstage_entry.router import Router
 
-# Path at which the VM with the duty takes the speeds of targets.
+# Path at which the coordinator receives service times.
 SPEEDS_PATH = "/load"
-# Seconds between two tellings of counts: as often as the balance of keys is looked at.
+# Interval between two reports of key counts; equal to the interval of the rebalancing.
 PERIOD = 0.1
-# Tellings of speeds in a second, of all VMs together. They take seconds to change, and
-# ten words a second are told apart from chance (`berylstage_entry.speeds`); more VMs
-# tell less often each.
-SPEEDS_RATE = 10.0
-# Seconds that a telling of speeds may take; it is not sent again.
-TIMEOUT = 0.5
-# First byte of a datagram with counts, then a checksum of the service's name.
+# Reports of service times per second by all VMs together: the more VMs, the less often
+# each of them reports. Service times take seconds to change, and ten reports a second
+# are enough to tell a change from noise (`berylstage_entry.speeds`).
+SERVICE_TIME_REPORTS_PER_SECOND = 10.0
+# Timeout of a report of service times, which is not retried.
+REPORT_TIMEOUT_SECONDS = 0.5
+# First byte of a datagram with key counts; a checksum of the service's name follows.
 FORMAT = 17
-_HEAD = struct.Struct("<BI")
-# A key and its requests.
+_HEADER = struct.Struct("<BI")
+# A key and its number of requests.
 _COUNT = struct.Struct("<HB")
-# Keys in one datagram at most, so that it fits into one packet (1,400 bytes).
-MOST = 400
-_MOST_BYTE = 255
+# Keeps a datagram within one packet (1,400 bytes).
+MAX_KEYS_PER_DATAGRAM = 400
+_MAX_COUNT = 255
 
 log = Logger(__name__)
 
 
 class Reports:
-    """Sends this VM's counts to the VM with the duty.
+    """Sends this VM's key counts and service times to the coordinator.
 
     Parameters
     ----------
@@ -83,14 +83,14 @@
         self._rng = rng
         self._client: CallClient | None = None
         self._tasks: list[asyncio.Task] = []
-        self._lost = 0
+        self._failed_sends = 0
 
     def start(self) -> None:
-        """Begin to report."""
+        """Start reporting."""
         self._client = CallClient(1)
         self._tasks = [
-            asyncio.create_task(self._tell_counts()),
-            asyncio.create_task(self._tell_speeds()),
+            asyncio.create_task(self._send_counts()),
+            asyncio.create_task(self._send_service_times()),
         ]
 
     def stop(self) -> None:
@@ -101,12 +101,12 @@
             self._client.close()
 
     def take_counts(self, data: bytes, host: str = "") -> None:
-        """Take in another VM's counts; what can't be read is passed over."""
+        """Add another VM's key counts; ignore an invalid datagram."""
         try:
-            _, checksum = _HEAD.unpack_from(data)
-            rows = list(_COUNT.iter_unpack(data[_HEAD.size :]))
+            _, checksum = _HEADER.unpack_from(data)
+            rows = list(_COUNT.iter_unpack(data[_HEADER.size :]))
         except struct.error as exc:
-            log.warning("counts passed over", extra={"cause": str(exc)})
+            log.warning("invalid key counts ignored", extra={"cause": str(exc)})
             return
         cfg = self._directory.configuration
         for service in cfg.services.values() if cfg is not None else ():
@@ -114,17 +114,17 @@
                 self._granting.counted(service.name, dict(rows))
 
     def take_speeds(self, body: bytes) -> bool:
-        """Take in another VM's speeds; False when they can't be read."""
+        """Add another VM's service times; return False if they are invalid."""
         try:
             for service, mean, slowness in json.loads(body):
                 speeds = {str(name): float(value) for name, value in slowness.items()}
                 self._granting.told_speeds(str(service), float(mean), speeds)
         except (ValueError, KeyError, TypeError, AttributeError) as exc:
-            log.warning("speeds passed over", extra={"cause": str(exc)})
+            log.warning("invalid service times ignored", extra={"cause": str(exc)})
             return False
         return True
 
-    async def _tell_counts(self) -> None:
+    async def _send_counts(self) -> None:
         while True:
             await asyncio.sleep(PERIOD)
             await self._router.has_counted.wait()
@@ -137,38 +137,44 @@
             if not address:
                 continue
             for service, pairs in counts.items():
-                for data in encode(service, pairs):
+                for data in encode_key_counts(service, pairs):
                     self._datagrams.send_to(split_address(address)[0], data)
 
-    async def _tell_speeds(self) -> None:
-        # VMs that started at the same moment would all tell at the same moments.
-        await asyncio.sleep(self._rng.random() * self._router.vms / SPEEDS_RATE)
+    async def _send_service_times(self) -> None:
+        # Otherwise VMs that started together would all report at the same moments.
+        await asyncio.sleep(
+            self._rng.random() * self._router.vms / SERVICE_TIME_REPORTS_PER_SECOND
+        )
         while True:
-            await asyncio.sleep(self._router.vms / SPEEDS_RATE)
-            speeds = self._speeds()
+            await asyncio.sleep(self._router.vms / SERVICE_TIME_REPORTS_PER_SECOND)
+            speeds = self._collect_service_times()
             if self._office.holds():
                 for service, mean, slowness in speeds:
                     self._granting.told_speeds(service, mean, slowness)
                 continue
             address = self._office.holder_address()
             if address and speeds:
-                await self._send(address, json.dumps(speeds).encode())
+                await self._post(address, json.dumps(speeds).encode())
 
-    async def _send(self, address: str, body: bytes) -> None:
+    async def _post(self, address: str, body: bytes) -> None:
         assert self._client is not None
         url = f"http://{address}{SPEEDS_PATH}"
         try:
-            await self._client.call(Call("POST", url, {}, body, TIMEOUT))
+            await self._client.call(Call("POST", url, {}, body, REPORT_TIMEOUT_SECONDS))
         except CallFailed as exc:
-            # The next one tells enough; only the first of a row is worth a line.
-            if not self._lost:
-                log.info("speeds not told", extra={"to": address, "cause": str(exc)})
-            self._lost += 1
+            # The next report replaces this one, so only the first of a series of
+            # failures is logged.
+            if not self._failed_sends:
+                log.info(
+                    "service times not sent to coordinator",
+                    extra={"to": address, "cause": str(exc)},
+                )
+            self._failed_sends += 1
             return
-        self._lost = 0
+        self._failed_sends = 0
 
-    def _speeds(self) -> list[tuple[str, float, dict[str, float]]]:
-        """Return the mean service time, and targets, of services with owned keys."""
+    def _collect_service_times(self) -> list[tuple[str, float, dict[str, float]]]:
+        """Return service, mean time and ratios per target for services with keys."""
         cfg = self._directory.configuration
         found = []
         for service in cfg.services.values() if cfg is not None else ():
@@ -178,11 +184,11 @@
         return found
 
 
-def encode(service: str, counts: dict[int, int]) -> list[bytes]:
-    """Return the datagrams that tell a service's requests for each key."""
-    head = _HEAD.pack(FORMAT, crc32(service.encode()))
-    rows = [_COUNT.pack(k, min(n, _MOST_BYTE)) for k, n in counts.items()]
+def encode_key_counts(service: str, counts: dict[int, int]) -> list[bytes]:
+    """Return datagrams with the number of requests for each key of a service."""
+    header = _HEADER.pack(FORMAT, crc32(service.encode()))
+    rows = [_COUNT.pack(k, min(n, _MAX_COUNT)) for k, n in counts.items()]
     return [
-        head + b"".join(rows[first : first + MOST])
-        for first in range(0, len(rows), MOST)
+        header + b"".join(rows[first : first + MAX_KEYS_PER_DATAGRAM])
+        for first in range(0, len(rows), MAX_KEYS_PER_DATAGRAM)
     ]
--- a/packages/entry/src/berylstage_entry/services.py
+++ b/packages/entry/src/berylstage_entry/services.py
@@ -1,4 +1,4 @@
-"""Services, and the configuration that names them."""
+"""The operators' configuration of services, routes and limits."""
 
 from __future__ import annotations
 
@@ -13,20 +13,21 @@
 
 
 class Service:
-    """What the operators say of a service.
+    """Configuration of a service.
 
     Parameters
     ----------
     name : str
     health_path : str
+        Path of the health check.
     connections : int
         Connections that one target accepts from all VMs together.
     warm_up : float
         Seconds for which a target is cold after its start.
     cold_rate : float
-        Requests a second that a cold target bears, from all VMs together.
+        Requests per second that a cold target can handle, from all VMs together.
     owns_keys : bool
-        Whether each key is served by the one target that was granted it.
+        Whether each key is served only by the target that has its grant.
     """
 
     __slots__ = (
@@ -56,13 +57,15 @@
 
 
 class Limits:
-    """What a caller may send, and how long it may take.
+    """Limits on the requests of callers.
 
     Parameters
     ----------
     header_bytes, body_bytes : int
+        Largest size of a request's header and body.
     header_time, idle_time : float
-        Seconds.
+        Seconds within which a header must arrive, and until an idle connection is
+        closed.
     """
 
     __slots__ = ("body_bytes", "header_bytes", "header_time", "idle_time")
@@ -82,7 +85,7 @@
     Parameters
     ----------
     version : int
-        Grows with each change.
+        Incremented with each change.
     routes : sequence of Route
     services : iterable of Service
     limits : Limits
--- a/packages/entry/src/berylstage_entry/speeds.py
+++ b/packages/entry/src/berylstage_entry/speeds.py
@@ -1,32 +1,32 @@
-"""How fast the targets of a service are, put together from what all VMs have seen."""
+"""Service times of a service's targets, combined from the reports of all VMs."""
 
 from __future__ import annotations
 
-# Seconds of work of one request while nobody has told better.
-FIRST_SERVICE_TIME = 0.1
-# Weight of one VM's word in what is known of the speed of targets. Ten words come in a
-# second, so that a second of them outweighs what was known before.
+# Assumed service time of a request until a VM has reported one.
+INITIAL_SERVICE_SECONDS = 0.1
+# Weight of one report in the moving average of service times. Ten reports arrive per
+# second, so that those of one second outweigh all earlier ones.
 SPEED_GAIN = 0.1
 
 
 class TargetSpeeds:
-    """Mean service time, and how slow each target is over the typical one."""
+    """Mean service time, and the ratio of each target's to the typical one."""
 
     __slots__ = ("_mean", "_slowness")
 
     def __init__(self) -> None:
-        self._mean = FIRST_SERVICE_TIME
+        self._mean = INITIAL_SERVICE_SECONDS
         self._slowness: dict[str, float] = {}
 
     def told(self, mean: float, slowness: dict[str, float]) -> None:
-        """Take in what one VM has seen.
+        """Add one VM's report.
 
         Parameters
         ----------
         mean : float
-            Seconds that a request takes; 0 when unknown.
+            Mean service time in seconds; 0 if unknown.
         slowness : dict of str to float
-            How slow each target is, over the typical one.
+            Service time of each target over the typical one.
         """
         if mean:
             self._mean += SPEED_GAIN * (mean - self._mean)
@@ -35,7 +35,7 @@
             self._slowness[target] = old + SPEED_GAIN * (value - old)
 
     def seconds(self, target: str) -> float:
-        """Return the seconds that a request takes at a target.
+        """Return the expected service time of a request at a target, in seconds.
 
         Parameters
         ----------
--- a/packages/entry/src/berylstage_entry/store.py
+++ b/packages/entry/src/berylstage_entry/store.py
@@ -1,4 +1,4 @@
-"""The interface to the key-value service in which everything lasting is kept."""
+"""The interface to the key-value store that keeps all durable state."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class Item:
-    """A key as the store has it.
+    """A key with its value and revision.
 
     Parameters
     ----------
     key : str
     value : bytes or None
-        None when the key is gone.
+        None if the key was removed.
     revision : int
-        Of its last change.
+        Revision of the key's last change.
     """
 
     __slots__ = ("key", "revision", "value")
@@ -30,13 +30,13 @@
 
 
 class Changes:
-    """Items that were read or have changed.
+    """The result of a read or a watch.
 
     Parameters
     ----------
     items : sequence of Item
     revision : int
-        Of the store, from which to go on.
+        Store revision from which the next watch continues.
     """
 
     __slots__ = ("items", "revision")
@@ -47,13 +47,13 @@
 
 
 class Condition:
-    """What must hold of a key for a write to be done.
+    """A precondition of a write: the revision that a key must have.
 
     Parameters
     ----------
     key : str
     revision : int
-        0 when the key must not exist.
+        Expected revision; 0 if the key must not exist.
     """
 
     __slots__ = ("key", "revision")
@@ -71,7 +71,7 @@
     key : str
     value : bytes
     lease : int
-        The key is removed when this lease ends; 0 for none.
+        Lease whose expiry removes the key; 0 for none.
     """
 
     __slots__ = ("key", "lease", "value")
@@ -83,11 +83,11 @@
 
 
 class Store(ABC):
-    """Key-value service with conditions, leases and watches.
+    """Key-value store with conditional writes, leases and watches.
 
-    Every method raises :class:`~berylstage_entry.errors.StoreSilent` when no usable
-    answer came and :class:`~berylstage_entry.errors.StoreRefused` when nothing was
-    done.
+    Every method raises :class:`~berylstage_entry.errors.StoreSilent` if no usable
+    answer arrived, and :class:`~berylstage_entry.errors.StoreRefused` if the store did
+    nothing.
     """
 
     @abstractmethod
@@ -96,19 +96,20 @@
 
     @abstractmethod
     async def watch(self, prefix: str, after: int, wait: float) -> Changes:
-        """Return what has changed since a revision, waiting for a change.
+        """Return the changes after a revision, and wait for one if there are none.
 
         Parameters
         ----------
         prefix : str
         after : int
+            Last known revision.
         wait : float
-            Seconds.
+            Longest wait in seconds.
 
         Raises
         ------
         HistoryLost
-            These changes are no longer kept.
+            If the store has compacted these changes.
         """
 
     @abstractmethod
@@ -118,33 +119,33 @@
         writes: Sequence[Write],
         removals: Sequence[str] = (),
     ) -> int:
-        """Do all of it or nothing, and return the revision.
+        """Write and remove keys atomically, and return the new revision.
 
         Raises
         ------
         Conflict
-            A condition did not hold.
+            If a condition did not hold.
         LeaseEnded
-            A lease is no more.
+            If a lease has expired.
         """
 
     @abstractmethod
     async def take_lease(self, seconds: float) -> int:
-        """Return a new lease."""
+        """Create a lease and return its identifier."""
 
     @abstractmethod
     async def keep_lease(self, lease: int) -> None:
-        """Let a lease run its time anew, from the arrival of the call.
+        """Renew a lease for its full term, from the arrival of the call.
 
         Raises
         ------
         LeaseEnded
-            It has ended.
+            If the lease has expired.
         """
 
     @abstractmethod
     async def end_lease(self, lease: int) -> None:
-        """End a lease and remove its keys."""
+        """Revoke a lease and remove its keys."""
 
     def close(self) -> None:
-        """Let go of all connections."""
+        """Close all connections."""
--- a/packages/entry/src/berylstage_entry/targets.py
+++ b/packages/entry/src/berylstage_entry/targets.py
@@ -1,27 +1,28 @@
-"""Targets as they report themselves, and the load that they tell."""
+"""Targets and their load, as they report them."""
 
 from __future__ import annotations
 
 
 class Target:
-    """One life of a target.
+    """One incarnation of a target.
 
     Parameters
     ----------
     name : str
-        Identity that its requests name; a target may start again under it.
+        Identity by which requests address it. A restarted target may keep its name.
     life : int
-        Tells the lives of one name apart: the time of its start.
+        Start time, which distinguishes the incarnations of one name.
     service : str
     address : str
-        ``ip:port``; after its end, another service's target may have it.
+        Address as ``ip:port``. After the target's end, a target of another service may
+        reuse it.
     data_centre : str
     slots : int
-        Requests that it works on at once.
+        Number of requests that it processes concurrently.
     leaving : bool
-        Whether it has said that it will end.
+        Whether it has reported that it will shut down.
     cold_left : float
-        Seconds for which it said, when it reported last, that it stays cold.
+        Seconds for which it will stay cold, as of its last report.
     """
 
     __slots__ = (
@@ -57,18 +58,19 @@
 
     @property
     def identity(self) -> tuple[str, int]:
-        """Name and life together."""
+        """Name and incarnation."""
         return self.name, self.life
 
 
 class LoadReport:
-    """What a target tells of its load in an answer.
+    """Load that a target reports with an answer.
 
     Parameters
     ----------
     running, waiting, slots : int
+        Numbers of running requests, waiting requests and concurrent slots.
     pace : float
-        How long work takes on its machine just now, over the usual.
+        Present duration of work on its machine over the usual duration.
     """
 
     __slots__ = ("pace", "running", "slots", "waiting")
--- a/packages/entry/tests/conftest.py
+++ b/packages/entry/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Lets the tests of this package share their fakes."""
+"""Makes the shared fakes importable from the tests of this package."""
 
 from __future__ import annotations
 
--- a/packages/entry/tests/fakes.py
+++ b/packages/entry/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A store, targets and records in memory, for tests of the router's parts."""
+"""In-memory fakes of the store, targets and records."""
 
 from __future__ import annotations
 
@@ -55,34 +55,35 @@
 
 
 class MemoryStore(Store):
-    """The store's promises in memory; ``away`` makes every call fail."""
+    """The store in memory; `away` makes every call fail."""
 
     def __init__(self):
         self.items: dict[str, Item] = {}
         self.log: list[Item] = []
         self.revision = 1
         self.away = False
-        # Revision up to which the changes are no longer kept.
+        # Revision up to which the history is compacted.
         self.compacted = 0
-        # Seconds after which writes are carried out whose answers are lost; 0 for none.
+        # Delay in seconds of writes that are applied although their answers are lost; 0
+        # for none.
         self.late_writes = 0.0
         # Seconds that each write takes.
         self.write_delay = 0.0
         self.leases: dict[int, float] = {}
-        self.lengths: dict[int, float] = {}
-        self.bound: dict[str, int] = {}
+        self.lease_seconds: dict[int, float] = {}
+        self.lease_by_key: dict[str, int] = {}
         self._changed = asyncio.Condition()
 
-    def _check(self):
+    def _check_available(self):
         if self.away:
-            raise StoreSilent("away")
+            raise StoreSilent("store unavailable")
         for lease, end in list(self.leases.items()):
             if now() > end:
                 self._drop_lease(lease)
 
     def _drop_lease(self, lease):
         self.leases.pop(lease, None)
-        for key, owner in list(self.bound.items()):
+        for key, owner in list(self.lease_by_key.items()):
             if owner == lease:
                 self.put(key, None)
 
@@ -90,24 +91,24 @@
         self.revision += 1
         item = Item(key, value, self.revision)
         self.log.append(item)
-        self.bound.pop(key, None)
+        self.lease_by_key.pop(key, None)
         if value is None:
             self.items.pop(key, None)
         else:
             self.items[key] = item
             if lease:
-                self.bound[key] = lease
+                self.lease_by_key[key] = lease
         return self.revision
 
     async def read(self, prefix):
-        self._check()
+        self._check_available()
         found = [i for k, i in self.items.items() if k.startswith(prefix)]
         return Changes(found, self.revision)
 
     async def watch(self, prefix, after, wait):
         end = now() + wait
         while True:
-            self._check()
+            self._check_available()
             if after < self.compacted:
                 raise HistoryLost("compacted")
             found = [
@@ -118,16 +119,16 @@
             await asyncio.sleep(0.01)
 
     async def write(self, conditions, writes, removals=()):
-        self._check()
+        self._check_available()
         if self.late_writes:
             asyncio.get_running_loop().call_later(
                 self.late_writes, self._write_late, conditions, writes, removals
             )
             await asyncio.sleep(0.1)
-            raise StoreSilent("the answer is lost")
+            raise StoreSilent("the answer was lost")
         if self.write_delay:
             await asyncio.sleep(self.write_delay)
-            self._check()
+            self._check_available()
         return self._write(conditions, writes, removals)
 
     def _write_late(self, conditions, writes, removals):
@@ -148,67 +149,67 @@
             self.put(key, None)
         for w in writes:
             self.put(w.key, w.value, w.lease)
-        # One revision for all that one call writes, as the platform does it.
+        # All changes of one call get the same revision, as on the platform.
         for item in self.log[-len(writes) - len(removals) :] if writes else []:
             item.revision = self.revision
         return self.revision
 
     async def take_lease(self, seconds):
-        self._check()
+        self._check_available()
         lease = self.revision * 1000 + len(self.leases) + 1
         self.leases[lease] = now() + seconds
-        self.lengths[lease] = seconds
+        self.lease_seconds[lease] = seconds
         return lease
 
     async def keep_lease(self, lease):
-        self._check()
+        self._check_available()
         if lease not in self.leases:
             raise LeaseEnded(str(lease))
-        self.leases[lease] = now() + self.lengths[lease]
+        self.leases[lease] = now() + self.lease_seconds[lease]
 
     async def end_lease(self, lease):
-        self._check()
+        self._check_available()
         self._drop_lease(lease)
 
 
 class StoreView(Store):
-    """The same store as one VM sees it; ``away`` cuts off this VM alone."""
+    """The same store as one VM sees it; `away` partitions this VM alone."""
 
     def __init__(self, store):
         self._store = store
         self.away = False
 
-    def _reach(self):
+    def _check_connection(self):
         if self.away:
-            raise StoreSilent("away")
+            raise StoreSilent("store unavailable")
 
     async def read(self, prefix):
-        self._reach()
+        self._check_connection()
         return await self._store.read(prefix)
 
     async def watch(self, prefix, after, wait):
-        self._reach()
+        self._check_connection()
         return await self._store.watch(prefix, after, min(wait, 0.3))
 
     async def write(self, conditions, writes, removals=()):
-        self._reach()
+        self._check_connection()
         return await self._store.write(conditions, writes, removals)
 
     async def take_lease(self, seconds):
-        self._reach()
+        self._check_connection()
         return await self._store.take_lease(seconds)
 
     async def keep_lease(self, lease):
-        self._reach()
+        self._check_connection()
         await self._store.keep_lease(lease)
 
     async def end_lease(self, lease):
-        self._reach()
+        self._check_connection()
         await self._store.end_lease(lease)
 
 
 class LateAnswers(StoreView):
-    """A store whose answers take a while; what is broken off is carried out."""
+    """A store whose answers are delayed; a cancelled write still takes effect."""
 
     async def write(self, conditions, writes, removals=()):
         revision = await super().write(conditions, writes, removals)
@@ -232,8 +233,8 @@
         return Record(target=target(item.key[2:], **json.loads(item.value)))
 
 
-class Hold:
-    """Keys that a target holds."""
+class Grant:
+    """A grant of keys that a target has."""
 
     def __init__(self, first, last, fence, start, end):
         self.first, self.last, self.fence = first, last, fence
@@ -241,39 +242,39 @@
 
 
 class FencedTargets(TargetWire):
-    """Targets that keep to fences and write down who held what and when.
+    """Targets that check fences and record who had which grants when.
 
     A release takes keys back and, as on the platform, leaves no fence behind: only a
     grant does.
     """
 
     def __init__(self):
-        self.holds: dict[str, list[Hold]] = {}
-        self.past: list[tuple[str, Hold]] = []
+        self.holds: dict[str, list[Grant]] = {}
+        self.past: list[tuple[str, Grant]] = []
         self.fences: dict[str, list[tuple[int, int, int]]] = {}
-        # Seconds that an order takes at most; one may overtake another.
+        # Longest delay of a call in seconds; calls may overtake each other.
         self.delay = 0.0
-        # Seconds that each grant takes on its way, and releases do not.
+        # Additional delay of each grant, but not of releases, in seconds.
         self.grant_delay = 0.0
-        # Seconds after which a target answers the question for its load.
+        # Seconds after which a target answers a probe.
         self.probe_delay = 0.0
-        # Seconds that the work on released keys takes to end.
+        # Seconds until the work on released keys has ended.
         self.release_delay = 0.0
         self._rng = Random(7)
         self.silent: set[str] = set()
-        # Targets whose process is gone: connections are refused.
+        # Targets whose process has ended: they refuse connections.
         self.down: set[str] = set()
-        # Processes of each target that have ended.
-        self.past_processes: dict[str, int] = {}
-        # Targets to which no connection comes about.
+        # Number of ended processes of each target.
+        self.ended_processes: dict[str, int] = {}
+        # Targets to which no connection can be made.
         self.unreachable: set[str] = set()
         self.ended: set[str] = set()
         self.late: dict[str, float] = {}
-        # Grants under a fence that is not above all that other targets have seen.
+        # Grants whose fence is not above all fences that other targets have seen.
         self.low_fences: list[tuple] = []
-        # Grants that were ordered, in order: target, first key and fence.
+        # Requested grants, in order: target, first key and fence.
         self.ordered: list[tuple[str, int, int]] = []
-        # Targets that were asked for their load, in order, and what they tell.
+        # Probed targets, in order, and the load that each target reports.
         self.probed: list[str] = []
         self.reports: dict[str, LoadReport] = {}
 
@@ -284,39 +285,39 @@
         raise NotImplementedError
 
     def process_ends(self, name):
-        """Have a target's process end, with what it holds and what is sent to it."""
+        """End a target's process, with its grants and the calls in flight to it."""
         self._take(name, 0, LAST_KEY)
         self.fences.pop(name, None)
         self.down.add(name)
-        self.past_processes[name] = self._process(name) + 1
+        self.ended_processes[name] = self._process_number(name) + 1
 
-    def _process(self, name):
-        return self.past_processes.get(name, 0)
+    def _process_number(self, name):
+        return self.ended_processes.get(name, 0)
 
-    def _check_process(self, name, process):
-        """Break off what was sent to a process that has ended since."""
-        if self._process(name) != process:
-            raise AnswerLost("its process has ended")
+    def _check_process(self, name, process_number):
+        """Fail a call to a process that has ended since."""
+        if self._process_number(name) != process_number:
+            raise AnswerLost("target process has ended")
 
     async def grant(self, target, order, timeout):
         self.ordered.append((target.name, order.first, order.fence))
         if target.name in self.ended:
             raise TargetEnded(target.name)
         await self._connect(target.name)
-        process = self._process(target.name)
+        process_number = self._process_number(target.name)
         await asyncio.sleep(self.grant_delay + self._rng.uniform(0, self.delay))
-        self._check_process(target.name, process)
+        self._check_process(target.name, process_number)
         if target.name in self.silent:
             await asyncio.sleep(timeout)
-            raise AnswerLost("silent")
+            raise AnswerLost("target does not answer")
         if target.name in self.late:
             arrived = now()
             delay = self.late[target.name]
             asyncio.get_running_loop().call_later(
-                delay, self._apply_late, target.name, process, order, arrived
+                delay, self._apply_late, target.name, process_number, order, arrived
             )
             await asyncio.sleep(timeout)
-            raise AnswerLost("late")
+            raise AnswerLost("answer arrives after the timeout")
         return self._apply(target.name, order, now())
 
     async def _connect(self, name):
@@ -327,8 +328,8 @@
             await asyncio.sleep(0.25)
             raise NeverSent("no connection")
 
-    def _apply_late(self, name, process, order, arrived):
-        if self._process(name) == process:
+    def _apply_late(self, name, process_number, order, arrived):
+        if self._process_number(name) == process_number:
             self._apply(name, order, arrived)
 
     def _apply(self, name, order, arrived):
@@ -347,7 +348,7 @@
         ]
         seen.append((order.first, order.last, order.fence))
         self._take(name, order.first, order.last)
-        hold = Hold(order.first, order.last, order.fence, now(), arrived + order.hold)
+        hold = Grant(order.first, order.last, order.fence, now(), arrived + order.hold)
         self.holds.setdefault(name, []).append(hold)
         return True
 
@@ -359,22 +360,22 @@
                 continue
             end = min(hold.end, now())
             self.past.append(
-                (name, Hold(hold.first, hold.last, hold.fence, hold.start, end))
+                (name, Grant(hold.first, hold.last, hold.fence, hold.start, end))
             )
             if hold.first < first:
-                kept.append(Hold(hold.first, first - 1, hold.fence, now(), hold.end))
+                kept.append(Grant(hold.first, first - 1, hold.fence, now(), hold.end))
             if hold.last > last:
-                kept.append(Hold(last + 1, hold.last, hold.fence, now(), hold.end))
+                kept.append(Grant(last + 1, hold.last, hold.fence, now(), hold.end))
         self.holds[name] = kept
 
     async def release(self, target, first, last, fence, timeout):
         await self._connect(target.name)
-        process = self._process(target.name)
+        process_number = self._process_number(target.name)
         await asyncio.sleep(self.release_delay + self._rng.uniform(0, self.delay))
-        self._check_process(target.name, process)
+        self._check_process(target.name, process_number)
         if target.name in self.silent:
             await asyncio.sleep(timeout)
-            raise AnswerLost("silent")
+            raise AnswerLost("target does not answer")
         self._take(target.name, first, last)
         return "handover"
 
@@ -386,16 +387,16 @@
         await asyncio.sleep(self.probe_delay)
         if target.name in self.silent:
             await asyncio.sleep(timeout - self.probe_delay)
-            raise AnswerLost("silent")
+            raise AnswerLost("target does not answer")
         return self.reports.get(target.name)
 
     def doubly_held(self):
-        """Return pairs of holds of two targets on the same keys at the same time."""
-        every = self.past + [(n, h) for n, hs in self.holds.items() for h in hs]
+        """Return pairs of grants of the same keys to two targets at the same time."""
+        grants = self.past + [(n, h) for n, hs in self.holds.items() for h in hs]
         return [
             (a, x.first, x.last, b, y.first, y.last)
-            for i, (a, x) in enumerate(every)
-            for b, y in every[i + 1 :]
+            for i, (a, x) in enumerate(grants)
+            for b, y in grants[i + 1 :]
             if a != b
             and x.first <= y.last
             and y.first <= x.last
@@ -404,7 +405,7 @@
         ]
 
     def holder(self, key):
-        """Return the targets that hold a key now."""
+        """Return the targets that have a grant of a key now."""
         return [
             name
             for name, holds in self.holds.items()
--- a/packages/entry/tests/fleet.py
+++ b/packages/entry/tests/fleet.py
@@ -20,9 +20,9 @@
         super().__init__(store)
         self._calls = calls
 
-    def _reach(self):
+    def _check_connection(self):
         self._calls.append(now())
-        super()._reach()
+        super()._check_connection()
 
 
 class Fleet:
--- a/packages/entry/tests/test_feed.py
+++ b/packages/entry/tests/test_feed.py
@@ -82,7 +82,7 @@
         with virtual_loop() as loop:
             store, calls = MemoryStore(), []
             feed = Feed(CountingView(store, calls), JsonRecords(), Directory())
-            feed.note_failure(StoreSilent("away"))
+            feed.note_failure(StoreSilent("store unavailable"))
             assert loop.run_until_complete(feed.contact()) == 0
             assert calls == []
 
--- a/packages/entry/tests/test_reports.py
+++ b/packages/entry/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""Tests of what a VM tells the one with the duty."""
+"""Tests of the reports to the coordinator."""
 
 from __future__ import annotations
 
@@ -9,12 +9,17 @@
 import pytest
 from berylstage_entry import reports
 from berylstage_entry.directory import Directory
-from berylstage_entry.reports import MOST, PERIOD, Reports, encode
+from berylstage_entry.reports import (
+    MAX_KEYS_PER_DATAGRAM,
+    PERIOD,
+    Reports,
+    encode_key_counts,
+)
 from berylstage_entry.wire import Record
 from fakes import configuration
 
 
-class Office:
+class FakeOffice:
     def __init__(self, address):
         self._address = address
 
@@ -25,7 +30,7 @@
         return self._address
 
 
-class Granting:
+class FakeGranting:
     def __init__(self):
         self.counts = []
         self.speeds = []
@@ -37,14 +42,14 @@
         self.speeds.append((service, mean, slowness))
 
 
-class Router:
+class FakeRouter:
     vms = 1
 
     def __init__(self):
         self.counts = {}
         self.has_counted = asyncio.Event()
         self.has_counted.set()
-        # Its own loads as well.
+        # Stands in for the target loads as well.
         self.loads = self
 
     def take_key_counts(self):
@@ -55,7 +60,7 @@
         return None
 
 
-class Exchange:
+class FakeDatagrams:
     def __init__(self):
         self.sent = []
 
@@ -63,76 +68,85 @@
         self.sent.append((host, data))
 
 
-def vm(address=""):
+def make_reporter(address=""):
     directory = Directory()
     directory.apply(Record(configuration=configuration()), 0.0, False)
-    exchange, granting, router = Exchange(), Granting(), Router()
-    each = Reports(router, granting, Office(address), directory, exchange, Random(1))
-    return each, router, granting, exchange
+    datagrams, granting, router = FakeDatagrams(), FakeGranting(), FakeRouter()
+    reporter = Reports(
+        router, granting, FakeOffice(address), directory, datagrams, Random(1)
+    )
+    return reporter, router, granting, datagrams
 
 
-def run(each, seconds):
-    async def play():
-        each.start()
+def run_for(reporter, seconds):
+    async def scenario():
+        reporter.start()
         await asyncio.sleep(seconds)
-        each.stop()
+        reporter.stop()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 class TestCounts:
-    def test_busy_keys_are_known_within_two_tenths_of_a_second(self):
-        # Neighbouring keys become busy. While the VM with the duty does not know, the
-        # queue before their owner grows by seventy requests a second.
-        teller, router, _, exchange = vm("10.0.0.9:1")
+    def test_counts_are_reported_within_two_tenths_of_a_second(self):
+        # Neighbouring keys become hot. Until the coordinator knows, the queue at their
+        # owner grows by seventy requests a second.
+        sender, router, _, datagrams = make_reporter("10.0.0.9:1")
         router.counts = {"s": {7: 3, 65535: 300}}
-        run(teller, 2 * PERIOD)
-        ((host, data),) = exchange.sent
+        run_for(sender, 2 * PERIOD)
+        ((host, data),) = datagrams.sent
         assert host == "10.0.0.9"
-        taker, _, granting, _ = vm()
-        taker.take_counts(data)
+        receiver, _, granting, _ = make_reporter()
+        receiver.take_counts(data)
         assert granting.counts == [("s", {7: 3, 65535: 255})]
 
-    def test_holder_counts_its_own(self):
-        holder, router, granting, exchange = vm()
+    def test_coordinator_adds_its_own_counts(self):
+        holder, router, granting, datagrams = make_reporter()
         router.counts = {"s": {7: 3}}
-        run(holder, 2 * PERIOD)
+        run_for(holder, 2 * PERIOD)
         assert granting.counts == [("s", {7: 3})]
-        assert not exchange.sent
+        assert not datagrams.sent
 
-    def test_many_keys_go_in_several_datagrams(self):
-        parts = encode("s", dict.fromkeys(range(MOST + 1), 1))
+    def test_many_keys_are_split_into_several_datagrams(self):
+        parts = encode_key_counts(
+            "s", dict.fromkeys(range(MAX_KEYS_PER_DATAGRAM + 1), 1)
+        )
         assert [len(part) <= 1400 for part in parts] == [True, True]
-        taker, _, granting, _ = vm()
+        receiver, _, granting, _ = make_reporter()
         for part in parts:
-            taker.take_counts(part)
-        assert sum(len(counts) for _, counts in granting.counts) == MOST + 1
-
-    @pytest.mark.parametrize("data", [b"", b"\x11", encode("s", {7: 3})[0][:-1]])
-    def test_damaged_datagram_is_passed_over(self, data):
-        taker, _, granting, _ = vm()
-        taker.take_counts(data)
+            receiver.take_counts(part)
+        assert (
+            sum(len(counts) for _, counts in granting.counts)
+            == MAX_KEYS_PER_DATAGRAM + 1
+        )
+
+    @pytest.mark.parametrize(
+        "data", [b"", b"\x11", encode_key_counts("s", {7: 3})[0][:-1]]
+    )
+    def test_damaged_datagram_is_ignored(self, data):
+        receiver, _, granting, _ = make_reporter()
+        receiver.take_counts(data)
         assert granting.counts == []
 
-    def test_unknown_service_is_passed_over(self):
-        taker, _, granting, _ = vm()
-        taker.take_counts(encode("other", {7: 3})[0])
+    def test_unknown_service_is_ignored(self):
+        receiver, _, granting, _ = make_reporter()
+        receiver.take_counts(encode_key_counts("other", {7: 3})[0])
         assert granting.counts == []
 
 
 class TestSpeeds:
-    def test_speeds_are_taken(self):
-        taker, _, granting, _ = vm()
-        assert taker.take_speeds(json.dumps([["s", 0.1, {"a": 2}]]).encode())
+    def test_service_times_are_applied(self):
+        receiver, _, granting, _ = make_reporter()
+        assert receiver.take_speeds(json.dumps([["s", 0.1, {"a": 2}]]).encode())
         assert granting.speeds == [("s", 0.1, {"a": 2.0})]
 
     @pytest.mark.parametrize("body", [b"", b"[1]", b'[["s"]]', b'[["s", 1, 2]]'])
-    def test_unreadable_speeds_are_passed_over(self, body):
-        taker, _, granting, _ = vm()
-        assert not taker.take_speeds(body)
+    def test_invalid_service_times_are_ignored(self, body):
+        receiver, _, granting, _ = make_reporter()
+        assert not receiver.take_speeds(body)
         assert granting.speeds == []
 
-    def test_more_vms_tell_less_often_each(self):
-        # With 76 VMs the VM with the duty would be told of all targets 76 times a
-        # second, and by the last ten words only.
-        assert reports.SPEEDS_RATE / 76 < 1 / 5
+    def test_with_more_vms_each_reports_less_often(self):
+        # Otherwise 76 VMs would send 76 reports a second about all targets to the
+        # coordinator, and only the last ten would count.
+        assert reports.SERVICE_TIME_REPORTS_PER_SECOND / 76 < 1 / 5
--- a/packages/entry/tests/virtual_time.py
+++ b/packages/entry/tests/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose time passes at once, and the program's clock along with it."""
+"""An event loop in virtual time, which the program's clock follows."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from berylstage_entry import clock
 
 
-class _Selector(selectors.SelectSelector):
-    """Waits for nothing: the loop's time jumps by what it would have waited."""
+class _VirtualSelector(selectors.SelectSelector):
+    """Returns at once and advances the virtual time by the timeout."""
 
     def __init__(self):
         super().__init__()
-        self.moment = 1000.0
+        self.current_time = 1000.0
 
     def select(self, timeout=None):
         if timeout is None:
-            raise RuntimeError("all tasks wait for ever")
-        self.moment += max(0.0, timeout)
+            raise RuntimeError("deadlock: no task will ever wake up")
+        self.current_time += max(0.0, timeout)
         return super().select(0)
 
 
@@ -27,15 +27,15 @@
     """An event loop in virtual time."""
 
     def __init__(self):
-        self._virtual = _Selector()
-        super().__init__(self._virtual)
+        self._virtual_selector = _VirtualSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self):
-        return self._virtual.moment
+        return self._virtual_selector.current_time
 
 
-class _Clock:
-    """Stands in for the module that the program's clock reads."""
+class _VirtualTimeModule:
+    """Replaces the time module of the program's clock."""
 
     def __init__(self, loop):
         self._loop = loop
@@ -46,9 +46,9 @@
 
 @contextmanager
 def virtual_loop():
-    """Have a loop in virtual time that the program's clock follows."""
+    """Set a loop in virtual time that the program's clock follows."""
     loop = VirtualLoop()
-    real, clock.time = clock.time, _Clock(loop)
+    original, clock.time = clock.time, _VirtualTimeModule(loop)
     asyncio.set_event_loop(loop)
     try:
         yield loop
@@ -56,6 +56,6 @@
         for task in asyncio.all_tasks(loop):
             task.cancel()
         loop.run_until_complete(asyncio.sleep(0))
-        clock.time = real
+        clock.time = original
         asyncio.set_event_loop(None)
         loop.close()
