--- a/packages/entry/src/berylstage_entry/changes.py
+++ b/packages/entry/src/berylstage_entry/assignment_delta.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from berylstage_entry.assignment import KeyRange
-from berylstage_entry.errors import UnreadableRecord
+from berylstage_entry.errors import InvalidRecord
 
 if TYPE_CHECKING:
     from berylstage_entry.assignment import Assignment
@@ -27,7 +27,7 @@
 MAX_DATAGRAMS = 16
 
 
-class AssignmentChange:
+class AssignmentDelta:
     """The difference between two assignments of a service.
 
     Parameters
@@ -83,7 +83,7 @@
         old: Assignment,
         revision: int,
         new: Assignment,
-    ) -> AssignmentChange:
+    ) -> AssignmentDelta:
         """Return the change from an old assignment to a new one."""
         ranges = new.differing(old)
         return cls(
@@ -116,7 +116,7 @@
         text = json.dumps(doc, separators=(",", ":")).encode()
         return bytes([FORMAT]) + zlib.compress(text)
 
-    def join(self, other: AssignmentChange) -> None:
+    def join(self, other: AssignmentDelta) -> None:
         """Add the ranges of another part of the same change."""
         known = {r.first for r in self.ranges}
         new = [r for r in other.ranges if r.first not in known]
@@ -125,7 +125,7 @@
             self.parts_left -= 1
 
     @classmethod
-    def decode(cls, data: bytes) -> AssignmentChange:
+    def decode(cls, data: bytes) -> AssignmentDelta:
         """Decode a datagram, which may be one of several parts of a change.
 
         Raises
@@ -149,6 +149,6 @@
             change.parts_left = int(parts) - 1
             return change
         except (zlib.error, ValueError, TypeError) as exc:
-            raise UnreadableRecord(
+            raise InvalidRecord(
                 f"datagram is not a valid change of an assignment: {exc}"
             ) from exc
--- a/packages/entry/src/berylstage_entry/directory.py
+++ b/packages/entry/src/berylstage_entry/cluster_view.py
@@ -6,9 +6,9 @@
 from zlib import crc32
 
 if TYPE_CHECKING:
+    from berylstage_entry.protocols import Record
     from berylstage_entry.services import Configuration
     from berylstage_entry.targets import Target
-    from berylstage_entry.wire import Record
 
 # Time after the store's recovery within which a live target renews a record that
 # expired in the outage. A VM that alone was cut off waits as long, since it cannot
@@ -70,7 +70,7 @@
         return any(getattr(target, f) != getattr(self.target, f) for f in fields)
 
 
-class Directory:
+class ClusterView:
     """Configuration, targets and closed data centres, as far as this VM knows them.
 
     The view never goes back: a configuration older than the current one is ignored,
--- a/packages/entry/src/berylstage_entry/errors.py
+++ b/packages/entry/src/berylstage_entry/errors.py
@@ -11,7 +11,7 @@
     """A call to the store has failed."""
 
 
-class StoreSilent(StoreError):
+class StoreUnavailable(StoreError):
     """The store gave no usable answer; a write may or may not take effect."""
 
 
@@ -23,19 +23,19 @@
     """A condition of a write did not hold; read the keys again before a retry."""
 
 
-class LeaseEnded(StoreError):
+class LeaseExpired(StoreError):
     """The lease has expired and its keys are removed; create a new one."""
 
 
-class HistoryLost(StoreError):
+class RevisionCompacted(StoreError):
     """The store has compacted the requested changes; read all records again."""
 
 
-class UnreadableRecord(EntryError):
+class InvalidRecord(EntryError):
     """A record or message cannot be decoded or contains nothing usable."""
 
 
-class TargetEnded(EntryError):
+class TargetReplaced(EntryError):
     """Another target answers at the address; this incarnation has ended."""
 
 
@@ -43,7 +43,7 @@
     """A key has no owner before the deadline; retry once its move is complete."""
 
 
-class TurnRefused(EntryError):
+class PermitRefused(EntryError):
     """A target would answer a request after its deadline; the caller may retry.
 
     Parameters
--- a/packages/entry/src/berylstage_entry/reports.py
+++ b/packages/entry/src/berylstage_entry/load_reporter.py
@@ -25,10 +25,10 @@
 if TYPE_CHECKING:
     from random import Random
 
-    from berylstage_entry.datagrams import Datagrams
-    from berylstage_entry.directory import Directory
-    from berylstage_entry.granting import Granting
-    from berylstage_entry.office import Office
+    from berylstage_entry.cluster_view import ClusterView
+    from berylstage_entry.coordinator_election import CoordinatorElection
+    from berylstage_entry.grant_controller import GrantController
+    from berylstage_entry.peer_datagrams import PeerDatagrams
     from berylstage_entry.router import Router
 
 # Path at which the coordinator receives service times.
@@ -37,7 +37,7 @@
 PERIOD = 0.1
 # Reports of service times per second by all VMs together: the more VMs, the less often
 # each of them reports. Service times take seconds to change, and ten reports a second
-# are enough to tell a change from noise (`berylstage_entry.speeds`).
+# are enough to tell a change from noise (`berylstage_entry.service_times`).
 SERVICE_TIME_REPORTS_PER_SECOND = 10.0
 # Timeout of a report of service times, which is not retried.
 REPORT_TIMEOUT_SECONDS = 0.5
@@ -53,7 +53,7 @@
 log = Logger(__name__)
 
 
-class Reports:
+class LoadReporter:
     """Sends this VM's key counts and service times to the coordinator.
 
     Parameters
@@ -69,10 +69,10 @@
     def __init__(
         self,
         router: Router,
-        granting: Granting,
-        office: Office,
-        directory: Directory,
-        datagrams: Datagrams,
+        granting: GrantController,
+        office: CoordinatorElection,
+        directory: ClusterView,
+        datagrams: PeerDatagrams,
         rng: Random,
     ):
         self._router = router
--- a/packages/entry/src/berylstage_entry/loop_watch.py
+++ b/packages/entry/src/berylstage_entry/loop_lag.py
@@ -127,7 +127,7 @@
             self._fd = -1
 
 
-class LoopWatch:
+class LoopLagMonitor:
     """Measures the lag of the event loop at a fixed interval.
 
     Parameters
--- a/packages/entry/src/berylstage_entry/membership.py
+++ b/packages/entry/src/berylstage_entry/membership.py
@@ -10,23 +10,23 @@
 from berylstage_policy.standby import should_give_up, stands_by
 from logbook import Logger
 
-from berylstage_entry.errors import LeaseEnded, StoreError
-from berylstage_entry.keys import OWN_PREFIX
+from berylstage_entry.errors import LeaseExpired, StoreError
 from berylstage_entry.server import split_address
 from berylstage_entry.store import Write
+from berylstage_entry.store_keys import OWN_PREFIX
 
 if TYPE_CHECKING:
-    from berylstage_entry.feed import Feed
     from berylstage_entry.settings import EntrySettings
     from berylstage_entry.store import Store
+    from berylstage_entry.store_watcher import StoreWatcher
 
 VMS_PREFIX = OWN_PREFIX + "vm/"
 # Term of a VM's lease. The number of VMs only divides limits among them, so it need not
 # be exact.
 LEASE_SECONDS = 20.0
 # Three renewals fit into the term of the lease. They need not detect the loss of the
-# store: `Feed.contact` checks it when asked, and so do the VM's own reads when no delta
-# arrives.
+# store: `StoreWatcher.contact` checks it when asked, and so do the VM's own reads when
+# no delta arrives.
 RENEWAL_INTERVAL_SECONDS = 5.0
 # Shortest delay before a failed call is retried.
 RETRY_SECONDS = 1.0
@@ -74,7 +74,7 @@
     feed : Feed
     """
 
-    def __init__(self, cfg: EntrySettings, store: Store, feed: Feed):
+    def __init__(self, cfg: EntrySettings, store: Store, feed: StoreWatcher):
         self._cfg = cfg
         self._store = store
         self._feed = feed
@@ -182,7 +182,7 @@
                     await self._register()
                 self._feed.note_answer()
                 await asyncio.sleep(RENEWAL_INTERVAL_SECONDS)
-            except LeaseEnded:
+            except LeaseExpired:
                 self._lease = 0
             except StoreError as exc:
                 self._feed.note_failure(exc)
--- a/packages/entry/src/berylstage_entry/announcements.py
+++ b/packages/entry/src/berylstage_entry/peer_updates.py
@@ -19,15 +19,15 @@
 from logbook import Logger
 
 from berylstage_entry.assignment import nobody
-from berylstage_entry.changes import AssignmentChange
-from berylstage_entry.errors import UnreadableRecord
+from berylstage_entry.assignment_delta import AssignmentDelta
+from berylstage_entry.errors import InvalidRecord
 from berylstage_entry.store import Item
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-    from berylstage_entry.feed import Feed
     from berylstage_entry.membership import Membership
+    from berylstage_entry.store_watcher import StoreWatcher
 
 # Path at which a VM receives pushed values.
 TOLD_PATH = "/told"
@@ -79,7 +79,7 @@
         self.client.close()
 
 
-class Announcements:
+class PeerUpdates:
     """Sends and receives what VMs have written to the store.
 
     Parameters
@@ -90,7 +90,7 @@
         Address at which this VM listens for the others.
     """
 
-    def __init__(self, feed: Feed, membership: Membership, own_address: str):
+    def __init__(self, feed: StoreWatcher, membership: Membership, own_address: str):
         self._feed = feed
         self._membership = membership
         self._own_address = own_address
@@ -98,9 +98,9 @@
         # Sends a datagram to all other VMs.
         self.send: Callable[[bytes], None] = lambda data: None
         # Change of each service of which some parts are still missing.
-        self._partial: dict[str, AssignmentChange] = {}
+        self._partial: dict[str, AssignmentDelta] = {}
 
-    def tell(self, change: AssignmentChange) -> None:
+    def tell(self, change: AssignmentDelta) -> None:
         """Send all other VMs a change of an assignment that the store has accepted."""
         for data in change.encode():
             self.send(data)
@@ -112,8 +112,8 @@
         assignment with its next read of the store.
         """
         try:
-            change = AssignmentChange.decode(data)
-        except UnreadableRecord as exc:
+            change = AssignmentDelta.decode(data)
+        except InvalidRecord as exc:
             log.warning(
                 "invalid change of an assignment ignored", extra={"cause": str(exc)}
             )
@@ -131,7 +131,7 @@
             return
         self._feed.take_assignment(change.service, new, change.revision)
 
-    def _merge_parts(self, change: AssignmentChange) -> AssignmentChange:
+    def _merge_parts(self, change: AssignmentDelta) -> AssignmentDelta:
         """Return a change merged with its other parts that have arrived."""
         if not change.parts_left:
             return change
--- a/packages/entry/src/berylstage_entry/peers.py
+++ b/packages/entry/src/berylstage_entry/peers.py
@@ -22,7 +22,7 @@
 log = Logger(__name__)
 
 
-class Peers:
+class PeerClient:
     """Calls other VMs.
 
     Parameters
--- a/packages/entry/src/berylstage_entry/speeds.py
+++ b/packages/entry/src/berylstage_entry/service_times.py
@@ -9,7 +9,7 @@
 SPEED_GAIN = 0.1
 
 
-class TargetSpeeds:
+class TargetServiceTimes:
     """Mean service time, and the ratio of each target's to the typical one."""
 
     __slots__ = ("_mean", "_slowness")
--- a/packages/entry/src/berylstage_entry/store.py
+++ b/packages/entry/src/berylstage_entry/store.py
@@ -85,7 +85,7 @@
 class Store(ABC):
     """Key-value store with conditional writes, leases and watches.
 
-    Every method raises :class:`~berylstage_entry.errors.StoreSilent` if no usable
+    Every method raises :class:`~berylstage_entry.errors.StoreUnavailable` if no usable
     answer arrived, and :class:`~berylstage_entry.errors.StoreRefused` if the store did
     nothing.
     """
--- a/packages/entry/src/berylstage_entry/news.py
+++ b/packages/entry/src/berylstage_entry/store_delta.py
@@ -11,7 +11,7 @@
 import zlib
 from typing import TYPE_CHECKING
 
-from berylstage_entry.errors import UnreadableRecord
+from berylstage_entry.errors import InvalidRecord
 from berylstage_entry.store import Item
 
 if TYPE_CHECKING:
@@ -26,7 +26,7 @@
 FORMAT = 16
 
 
-class News:
+class StoreDelta:
     """The relevant changes of the store between two revisions.
 
     Parameters
@@ -95,7 +95,7 @@
         else:
             self.items.append(item)
 
-    def with_earlier(self, earlier: Iterable[News]) -> News:
+    def with_earlier(self, earlier: Iterable[StoreDelta]) -> StoreDelta:
         """Return this delta merged with earlier ones, as far as a datagram holds them.
 
         A VM that misses a datagram would have to read all reports of all targets since,
@@ -123,15 +123,15 @@
 
     def _with_changes(
         self, after: int, items: Sequence[Item], large_revisions: dict[str, int]
-    ) -> News:
+    ) -> StoreDelta:
         """Return this delta with other changes and another base revision."""
-        news = News(
+        news = StoreDelta(
             after, self.revision, items, large_revisions, self.age, self.contact
         )
         news.large = self.large
         return news
 
-    def parts(self) -> list[News]:
+    def parts(self) -> list[StoreDelta]:
         """Return equivalent consecutive deltas that fit into one datagram each.
 
         Without the split, a delta too large for a datagram, such as after the start of
@@ -154,7 +154,7 @@
             key: at for key, at in self.large_revisions.items() if at <= until
         }
         later = {key: at for key, at in self.large_revisions.items() if at > until}
-        first = News(
+        first = StoreDelta(
             self.after, until, items[:split_at], large_revisions, self.age, self.contact
         )
         second = self._with_changes(until, items[split_at:], later)
@@ -170,7 +170,7 @@
         return data if len(data) <= MAX_DATAGRAM_BYTES else None
 
     @classmethod
-    def decode(cls, data: bytes) -> News:
+    def decode(cls, data: bytes) -> StoreDelta:
         """Decode a datagram.
 
         Raises
@@ -188,7 +188,7 @@
             times = float(age), float(contact)
             return cls(int(after), int(revision), items, large_revisions, *times)
         except (zlib.error, ValueError, TypeError, AttributeError) as exc:
-            raise UnreadableRecord(f"datagram is not a valid delta: {exc}") from exc
+            raise InvalidRecord(f"datagram is not a valid delta: {exc}") from exc
 
 
 def _split_index(items: Sequence[Item]) -> int:
--- a/packages/entry/src/berylstage_entry/feed.py
+++ b/packages/entry/src/berylstage_entry/store_watcher.py
@@ -11,20 +11,20 @@
 from berylstage_entry.assignment import Assignment
 from berylstage_entry.change_log import ChangeLog
 from berylstage_entry.clock import now
-from berylstage_entry.duty_watch import DutyWatch
-from berylstage_entry.errors import HistoryLost, StoreError, UnreadableRecord
-from berylstage_entry.keys import DUTY_KEY, KEYS_PREFIX, OWN_PREFIX
+from berylstage_entry.coordinator_watch import CoordinatorWatch
+from berylstage_entry.errors import InvalidRecord, RevisionCompacted, StoreError
 from berylstage_entry.large_values import LargeValueFetcher
-from berylstage_entry.news import MAX_INLINE_VALUE_BYTES, News
 from berylstage_entry.store import Item
 from berylstage_entry.store_connectivity import StoreConnectivity
+from berylstage_entry.store_delta import MAX_INLINE_VALUE_BYTES, StoreDelta
+from berylstage_entry.store_keys import DUTY_KEY, KEYS_PREFIX, OWN_PREFIX
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from berylstage_entry.directory import Directory
+    from berylstage_entry.cluster_view import ClusterView
+    from berylstage_entry.protocols import RecordReader
     from berylstage_entry.store import Store
-    from berylstage_entry.wire import RecordReader
 
 # Interval between two reads of all changes, or between an update from another VM and a
 # read of one's own. Each target reports about once a second, so a watch without a pause
@@ -66,7 +66,7 @@
 log = Logger(__name__)
 
 
-class Feed:
+class StoreWatcher:
     """Lists and watches the store, and applies and publishes its changes.
 
     Parameters
@@ -76,7 +76,7 @@
     directory : Directory
     """
 
-    def __init__(self, store: Store, reader: RecordReader, directory: Directory):
+    def __init__(self, store: Store, reader: RecordReader, directory: ClusterView):
         self._store = store
         self._reader = reader
         self._directory = directory
@@ -97,10 +97,10 @@
         # All keys in the store, as far as this VM knows.
         self._known_keys: set[str] = set()
         # Recently published updates and their times, newest first.
-        self._published: deque[tuple[float, News]] = deque()
+        self._published: deque[tuple[float, StoreDelta]] = deque()
         # Whether this VM publishes what it reads to all others, and how.
         self.is_teller: Callable[[], bool] = lambda: False
-        self.tell: Callable[[News], None] = lambda news: None
+        self.tell: Callable[[StoreDelta], None] = lambda news: None
         # Number of VMs that watch the store, as far as is known.
         self.vms = 1
         # Whether this VM must learn at once that there is no coordinator.
@@ -121,7 +121,7 @@
         """Start watching the store."""
         self._tasks = [
             asyncio.create_task(self._run()),
-            asyncio.create_task(DutyWatch(self._store, self).run()),
+            asyncio.create_task(CoordinatorWatch(self._store, self).run()),
         ]
 
     def stop(self) -> None:
@@ -183,7 +183,7 @@
         """Request an early read, because this VM's view has proved outdated."""
         self._read_requested.set()
 
-    def take_news(self, news: News) -> bool:
+    def take_news(self, news: StoreDelta) -> bool:
         """Apply a delta that another VM has published.
 
         Parameters
@@ -282,7 +282,7 @@
                 self._min_retry_delay = RETRY_SECONDS
                 self.note_answer()
                 await self._wait_for_next_read()
-            except HistoryLost:
+            except RevisionCompacted:
                 self._needs_full_read = True
             except StoreError as exc:
                 self.note_failure(exc)
@@ -329,7 +329,7 @@
             self._notify_listeners("targets")
 
     async def _read_all(self) -> None:
-        news, started_at = News(self._revision, 0, []), now()
+        news, started_at = StoreDelta(self._revision, 0, []), now()
         changes = await self._store.read("")
         was_updated = self._revision != news.after
         if was_updated and self._revision >= changes.revision:
@@ -370,7 +370,7 @@
         self._notify_listeners("read")
 
     async def _watch_all(self) -> None:
-        news, started_at = News(self._revision, 0, []), now()
+        news, started_at = StoreDelta(self._revision, 0, []), now()
         # A publisher suspended during a long wait could not tell how old the answer is.
         # The answer to a call that does not wait is no older than the call took, by a
         # clock that counts suspended time.
@@ -392,7 +392,7 @@
         """Return whether this VM publishes what it reads."""
         return self.is_teller() or self.is_deputy()
 
-    def _publish(self, news: News, started_at: float) -> None:
+    def _publish(self, news: StoreDelta, started_at: float) -> None:
         """Publish what was read, together with what was published just before.
 
         A read during which this VM applied a delta of another VM must not be published.
@@ -419,7 +419,7 @@
             return True
         try:
             record = self._reader.read(item)
-        except UnreadableRecord:
+        except InvalidRecord:
             # The record cannot be used. Each VM that reads it logs that.
             return False
         if record is None or record.target is None:
@@ -439,7 +439,7 @@
             return None
         try:
             record = self._reader.read(item)
-        except UnreadableRecord as exc:
+        except InvalidRecord as exc:
             if self._unreadable.get(item.key) != item.value:
                 self._unreadable[item.key] = item.value or b""
                 log.warning(
@@ -537,7 +537,7 @@
             return False
         try:
             record = self._reader.read(item)
-        except UnreadableRecord:
+        except InvalidRecord:
             # Each VM that reads the record in the store logs it.
             return False
         return record is not None and record.configuration is not None
--- a/packages/entry/tests/fakes.py
+++ b/packages/entry/tests/fakes.py
@@ -10,17 +10,17 @@
 from berylstage_entry.clock import now
 from berylstage_entry.errors import (
     Conflict,
-    HistoryLost,
-    LeaseEnded,
-    StoreSilent,
-    TargetEnded,
+    LeaseExpired,
+    RevisionCompacted,
+    StoreUnavailable,
+    TargetReplaced,
 )
-from berylstage_entry.routes import Route, Share
+from berylstage_entry.protocols import Record, RecordReader, TargetProtocol
+from berylstage_entry.routes import Route, WeightedService
 from berylstage_entry.services import Configuration, Limits, Service
 from berylstage_entry.settings import Bounds, EntrySettings
 from berylstage_entry.store import Changes, Item, Store
 from berylstage_entry.targets import LoadReport, Target
-from berylstage_entry.wire import Record, RecordReader, TargetWire
 from berylstage_transfers.errors import AnswerLost, NeverSent, NothingListens
 
 LIMITS = Limits(16384, 1 << 20, 3.0, 15.0)
@@ -36,7 +36,7 @@
 
 
 def configuration(version: int = 1, owns_keys: bool = True) -> Configuration:
-    route = Route("r", "h", "/a/", [Share("s", 1.0)], True, 2, 1.0, 0.3, 1)
+    route = Route("r", "h", "/a/", [WeightedService("s", 1.0)], True, 2, 1.0, 0.3, 1)
     return Configuration(
         version, [route], [Service("s", "/", 50, 3.0, 5.0, owns_keys)], LIMITS
     )
@@ -76,7 +76,7 @@
 
     def _check_available(self):
         if self.away:
-            raise StoreSilent("store unavailable")
+            raise StoreUnavailable("store unavailable")
         for lease, end in list(self.leases.items()):
             if now() > end:
                 self._drop_lease(lease)
@@ -110,7 +110,7 @@
         while True:
             self._check_available()
             if after < self.compacted:
-                raise HistoryLost("compacted")
+                raise RevisionCompacted("compacted")
             found = [
                 i for i in self.log if i.revision > after and i.key.startswith(prefix)
             ]
@@ -125,7 +125,7 @@
                 self.late_writes, self._write_late, conditions, writes, removals
             )
             await asyncio.sleep(0.1)
-            raise StoreSilent("the answer was lost")
+            raise StoreUnavailable("the answer was lost")
         if self.write_delay:
             await asyncio.sleep(self.write_delay)
             self._check_available()
@@ -134,7 +134,7 @@
     def _write_late(self, conditions, writes, removals):
         try:
             self._write(conditions, writes, removals)
-        except (Conflict, LeaseEnded):
+        except (Conflict, LeaseExpired):
             return
 
     def _write(self, conditions, writes, removals):
@@ -144,7 +144,7 @@
                 raise Conflict(c.key)
         for w in writes:
             if w.lease and w.lease not in self.leases:
-                raise LeaseEnded(str(w.lease))
+                raise LeaseExpired(str(w.lease))
         for key in removals:
             self.put(key, None)
         for w in writes:
@@ -164,7 +164,7 @@
     async def keep_lease(self, lease):
         self._check_available()
         if lease not in self.leases:
-            raise LeaseEnded(str(lease))
+            raise LeaseExpired(str(lease))
         self.leases[lease] = now() + self.lease_seconds[lease]
 
     async def end_lease(self, lease):
@@ -181,7 +181,7 @@
 
     def _check_connection(self):
         if self.away:
-            raise StoreSilent("store unavailable")
+            raise StoreUnavailable("store unavailable")
 
     async def read(self, prefix):
         self._check_connection()
@@ -241,7 +241,7 @@
         self.start, self.end = start, end
 
 
-class FencedTargets(TargetWire):
+class FencedTargets(TargetProtocol):
     """Targets that check fences and record who had which grants when.
 
     A release takes keys back and, as on the platform, leaves no fence behind: only a
@@ -302,7 +302,7 @@
     async def grant(self, target, order, timeout):
         self.ordered.append((target.name, order.first, order.fence))
         if target.name in self.ended:
-            raise TargetEnded(target.name)
+            raise TargetReplaced(target.name)
         await self._connect(target.name)
         process_number = self._process_number(target.name)
         await asyncio.sleep(self.grant_delay + self._rng.uniform(0, self.delay))
@@ -382,7 +382,7 @@
     async def probe(self, target, path, timeout):
         self.probed.append(target.name)
         if target.name in self.ended:
-            raise TargetEnded(target.name)
+            raise TargetReplaced(target.name)
         await self._connect(target.name)
         await asyncio.sleep(self.probe_delay)
         if target.name in self.silent:
--- a/packages/entry/tests/test_directory.py
+++ b/packages/entry/tests/test_cluster_view.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from berylstage_entry.directory import EXPIRY_GRACE_SECONDS, Directory
-from berylstage_entry.wire import Record
+from berylstage_entry.cluster_view import EXPIRY_GRACE_SECONDS, ClusterView
+from berylstage_entry.protocols import Record
 from fakes import configuration, target
 
 
 def directory(*names):
-    view = Directory()
+    view = ClusterView()
     view.apply(Record(configuration=configuration(3)), 0.0, False)
     for name in names:
         view.apply(Record(target=target(name)), 0.0, False)
--- a/packages/entry/tests/test_reports.py
+++ b/packages/entry/tests/test_load_reporter.py
@@ -7,15 +7,15 @@
 from random import Random
 
 import pytest
-from berylstage_entry import reports
-from berylstage_entry.directory import Directory
-from berylstage_entry.reports import (
+from berylstage_entry import load_reporter
+from berylstage_entry.cluster_view import ClusterView
+from berylstage_entry.load_reporter import (
     MAX_KEYS_PER_DATAGRAM,
     PERIOD,
-    Reports,
+    LoadReporter,
     encode_key_counts,
 )
-from berylstage_entry.wire import Record
+from berylstage_entry.protocols import Record
 from fakes import configuration
 
 
@@ -69,10 +69,10 @@
 
 
 def make_reporter(address=""):
-    directory = Directory()
+    directory = ClusterView()
     directory.apply(Record(configuration=configuration()), 0.0, False)
     datagrams, granting, router = FakeDatagrams(), FakeGranting(), FakeRouter()
-    reporter = Reports(
+    reporter = LoadReporter(
         router, granting, FakeOffice(address), directory, datagrams, Random(1)
     )
     return reporter, router, granting, datagrams
@@ -149,4 +149,4 @@
     def test_with_more_vms_each_reports_less_often(self):
         # Otherwise 76 VMs would send 76 reports a second about all targets to the
         # coordinator, and only the last ten would count.
-        assert reports.SERVICE_TIME_REPORTS_PER_SECOND / 76 < 1 / 5
+        assert load_reporter.SERVICE_TIME_REPORTS_PER_SECOND / 76 < 1 / 5
--- a/packages/entry/tests/test_loop_watch.py
+++ b/packages/entry/tests/test_loop_lag.py
@@ -7,9 +7,9 @@
 
 import logbook
 import pytest
-from berylstage_entry.loop_watch import (
+from berylstage_entry.loop_lag import (
     LoopLag,
-    LoopWatch,
+    LoopLagMonitor,
     ResourceUsage,
     SchedulerStats,
 )
@@ -62,7 +62,7 @@
         metrics = Metrics()
 
         async def scenario():
-            watch = LoopWatch(metrics, lambda: 0.0)
+            watch = LoopLagMonitor(metrics, lambda: 0.0)
             watch.start()
             await asyncio.sleep(0.05)
             block()
--- a/packages/entry/tests/test_membership.py
+++ b/packages/entry/tests/test_membership.py
@@ -6,10 +6,10 @@
 import json
 
 from berylstage_entry import membership as module
-from berylstage_entry.directory import Directory
-from berylstage_entry.feed import Feed
+from berylstage_entry.cluster_view import ClusterView
 from berylstage_entry.membership import RENEWAL_INTERVAL_SECONDS, VMS_PREFIX, Membership
 from berylstage_entry.store import Item
+from berylstage_entry.store_watcher import StoreWatcher
 from fakes import JsonRecords, LateAnswers, MemoryStore, settings
 from virtual_time import virtual_loop
 
@@ -18,7 +18,7 @@
 
 def make_membership(vm):
     """Return the membership as one of four VMs of a data centre sees it."""
-    feed = Feed(None, JsonRecords(), Directory())
+    feed = StoreWatcher(None, JsonRecords(), ClusterView())
     membership = Membership(settings(vm), None, feed)
     for revision, name in enumerate(VMS, 1):
         doc = {"control": f"{name}:1", "data_centre": "dc-1", "power": 1.0}
@@ -48,7 +48,7 @@
         monkeypatch.setattr(
             module.json, "loads", lambda value: decoded.append(value) or loads(value)
         )
-        feed = Feed(None, JsonRecords(), Directory())
+        feed = StoreWatcher(None, JsonRecords(), ClusterView())
         membership = Membership(settings("vm-0"), None, feed)
         for n in range(200):
             doc = {"control": f"10.0.0.{n}:1", "data_centre": "dc-1", "power": 1.0}
@@ -60,7 +60,7 @@
 
     def test_full_read_without_changes_changes_nothing(self):
         # Each change causes everything derived from the members to be recomputed.
-        feed = Feed(None, JsonRecords(), Directory())
+        feed = StoreWatcher(None, JsonRecords(), ClusterView())
         membership = Membership(settings("vm-0"), None, feed)
         doc = {"control": "10.0.0.1:1", "data_centre": "dc-1", "power": 1.0}
         item = Item(VMS_PREFIX + "vm-1", json.dumps(doc).encode(), 1)
@@ -79,7 +79,7 @@
         # permit requests, because it stopped before the answer to its write arrived.
         async def scenario():
             store = MemoryStore()
-            feed = Feed(store, JsonRecords(), Directory())
+            feed = StoreWatcher(store, JsonRecords(), ClusterView())
             membership = Membership(settings("vm-1"), LateAnswers(store), feed)
             membership.start()
             await asyncio.sleep(0.1)
--- a/packages/entry/tests/test_datagrams.py
+++ b/packages/entry/tests/test_peer_datagrams.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
-from berylstage_entry.datagrams import Datagrams
 from berylstage_entry.membership import Member
+from berylstage_entry.peer_datagrams import PeerDatagrams
 
 HOSTS = ("10.0.0.1", "10.0.0.2", "10.0.1.1")
 
@@ -35,7 +35,7 @@
 
 
 def make_datagrams():
-    datagrams = Datagrams(FakeMembership(), HOSTS[0], 7)
+    datagrams = PeerDatagrams(FakeMembership(), HOSTS[0], 7)
     datagrams._transport = FakeTransport()
     return datagrams, datagrams._transport.sent
 
@@ -72,12 +72,12 @@
         assert sent == []
 
     def test_send_before_the_socket_is_open_does_nothing(self):
-        Datagrams(FakeMembership(), HOSTS[0], 7).send(b"x")
+        PeerDatagrams(FakeMembership(), HOSTS[0], 7).send(b"x")
 
     def test_datagram_reaches_another_vm(self):
         async def scenario():
-            sender, received = Datagrams(FakeMembership(), "127.0.0.1", 0), []
-            datagrams = Datagrams(FakeMembership(), "127.0.0.1", 0)
+            sender, received = PeerDatagrams(FakeMembership(), "127.0.0.1", 0), []
+            datagrams = PeerDatagrams(FakeMembership(), "127.0.0.1", 0)
             datagrams.takers[1] = lambda data, host: received.append(data)
             sender.start()
             datagrams.start()
--- a/packages/entry/tests/test_announcements.py
+++ b/packages/entry/tests/test_peer_updates.py
@@ -5,12 +5,12 @@
 import json
 import zlib
 
-from berylstage_entry.announcements import Announcements
 from berylstage_entry.assignment import Assignment, KeyRange, nobody
-from berylstage_entry.changes import AssignmentChange
-from berylstage_entry.directory import Directory
-from berylstage_entry.feed import Feed
+from berylstage_entry.assignment_delta import AssignmentDelta
+from berylstage_entry.cluster_view import ClusterView
+from berylstage_entry.peer_updates import PeerUpdates
 from berylstage_entry.store import Item
+from berylstage_entry.store_watcher import StoreWatcher
 from fakes import JsonRecords, configuration
 
 
@@ -23,8 +23,8 @@
     def test_older_assignment_does_not_replace_a_newer_one(self):
         # Two pushes arrive out of order. Applying the older one last would send
         # requests to a target that has released the keys.
-        feed = Feed(None, JsonRecords(), Directory())
-        updates = Announcements(feed, None, "127.0.0.1:1")
+        feed = StoreWatcher(None, JsonRecords(), ClusterView())
+        updates = PeerUpdates(feed, None, "127.0.0.1:1")
         newer = nobody().replace([], 77)
         assert updates.take(encode_push("berylstage/keys/s", 9, newer.encode()))
         assert updates.take(encode_push("berylstage/keys/s", 8, nobody().encode()))
@@ -33,24 +33,26 @@
     def test_older_configuration_does_not_replace_a_newer_one(self):
         # A configuration is pushed ahead of the delta that lists it. A VM that has a
         # newer one must keep it if the push is delayed.
-        directory = Directory()
+        directory = ClusterView()
         records = JsonRecords({n: configuration(n) for n in (1, 2)})
-        updates = Announcements(Feed(None, records, directory), None, "127.0.0.1:1")
+        updates = PeerUpdates(
+            StoreWatcher(None, records, directory), None, "127.0.0.1:1"
+        )
         assert updates.take(encode_push("cfg", 9, b"2"))
         assert updates.take(encode_push("cfg", 8, b"1"))
         assert directory.configuration.version == 2
 
     def test_pushed_target_record_is_ignored(self):
         # A delayed older report would make a draining target usable again.
-        directory = Directory()
-        feed = Feed(None, JsonRecords(), directory)
-        updates = Announcements(feed, None, "127.0.0.1:1")
+        directory = ClusterView()
+        feed = StoreWatcher(None, JsonRecords(), directory)
+        updates = PeerUpdates(feed, None, "127.0.0.1:1")
         assert not updates.take(encode_push("t/a", 9, b"{}"))
         assert directory.known == {}
 
     def test_anything_but_assignments_and_configurations_is_ignored(self):
-        feed = Feed(None, JsonRecords(), Directory())
-        updates = Announcements(feed, None, "127.0.0.1:1")
+        feed = StoreWatcher(None, JsonRecords(), ClusterView())
+        updates = PeerUpdates(feed, None, "127.0.0.1:1")
         assert not updates.take(encode_push("berylstage/duty", 9, b"{}"))
         assert not updates.take(b"\x00not a telling")
         assert not updates.take(zlib.compress(b"[]"))
@@ -60,17 +62,17 @@
 class TestChanges:
     def make_pair(self):
         sent = []
-        sender = Announcements(None, None, "127.0.0.1:1")
+        sender = PeerUpdates(None, None, "127.0.0.1:1")
         sender.send = sent.append
-        feed = Feed(None, JsonRecords(), Directory())
-        receiver = Announcements(feed, None, "127.0.0.1:2")
+        feed = StoreWatcher(None, JsonRecords(), ClusterView())
+        receiver = PeerUpdates(feed, None, "127.0.0.1:2")
         return sender, sent, feed, receiver
 
     def item(self, assignment, revision):
         return Item("berylstage/keys/s", assignment.encode(), revision)
 
     def change(self, old, before, new, revision):
-        return AssignmentChange.between("s", before, old, revision, new)
+        return AssignmentDelta.between("s", before, old, revision, new)
 
     def make_assignments(self):
         ranges = [KeyRange(n * 256, n * 256 + 255, f"t{n}", 1, n) for n in range(256)]
--- a/packages/entry/tests/test_feed.py
+++ b/packages/entry/tests/test_store_watcher.py
@@ -8,11 +8,15 @@
 import pytest
 from berylstage_entry.assignment import nobody
 from berylstage_entry.clock import now
-from berylstage_entry.directory import Directory
-from berylstage_entry.errors import StoreSilent
-from berylstage_entry.feed import OUTAGE_CALLS_PER_SECOND, RETRY_SECONDS, Feed
-from berylstage_entry.keys import DUTY_KEY, KEYS_PREFIX
-from berylstage_entry.news import MAX_INLINE_VALUE_BYTES, News
+from berylstage_entry.cluster_view import ClusterView
+from berylstage_entry.errors import StoreUnavailable
+from berylstage_entry.store_delta import MAX_INLINE_VALUE_BYTES, StoreDelta
+from berylstage_entry.store_keys import DUTY_KEY, KEYS_PREFIX
+from berylstage_entry.store_watcher import (
+    OUTAGE_CALLS_PER_SECOND,
+    RETRY_SECONDS,
+    StoreWatcher,
+)
 from fakes import JsonRecords, MemoryStore, configuration
 from fleet import CountingView, Fleet
 from virtual_time import virtual_loop
@@ -29,7 +33,7 @@
         records = JsonRecords({1: configuration()})
         found = []
         for n in range(VMS):
-            feed = Feed(CountingView(store, calls), records, Directory())
+            feed = StoreWatcher(CountingView(store, calls), records, ClusterView())
             feed.vms = VMS
             feed.is_standby = lambda n=n: n < 3
             found.append(feed)
@@ -81,8 +85,10 @@
         # Most of them have just made a call that failed.
         with virtual_loop() as loop:
             store, calls = MemoryStore(), []
-            feed = Feed(CountingView(store, calls), JsonRecords(), Directory())
-            feed.note_failure(StoreSilent("store unavailable"))
+            feed = StoreWatcher(
+                CountingView(store, calls), JsonRecords(), ClusterView()
+            )
+            feed.note_failure(StoreUnavailable("store unavailable"))
             assert loop.run_until_complete(feed.contact()) == 0
             assert calls == []
 
@@ -108,7 +114,7 @@
                     found[publisher].is_teller() or same_data_centre
                 ):
                     for part in told.parts():
-                        feed.take_news(News.decode(part.encode()))
+                        feed.take_news(StoreDelta.decode(part.encode()))
 
         for n, feed in enumerate(found):
             feed.tell = lambda told, n=n: tell(n, told)
@@ -181,7 +187,7 @@
             store.put("cfg", b"1")
             store.put("t/a", b"{}")
             records = JsonRecords({1: configuration(1), 2: configuration(2)})
-            feed = Feed(store, records, Directory())
+            feed = StoreWatcher(store, records, ClusterView())
             told = []
             feed.tell = told.append
             feed.is_deputy = lambda: True
@@ -202,7 +208,7 @@
                 reading = asyncio.create_task(feed._watch_all())
                 await asyncio.sleep(0.1)
                 items = [item for item in store.log if item.revision > first_revision]
-                feed.take_news(News(first_revision, store.revision, items))
+                feed.take_news(StoreDelta(first_revision, store.revision, items))
                 await reading
                 assert told == []
                 store.put("t/b", b"{}")
@@ -272,7 +278,7 @@
         # Guards against dropping targets in an outage because a delta from before the
         # outage arrived late.
         fleet = make_fleet(9)
-        late = News(0, 1, [], contact=60.0)
+        late = StoreDelta(0, 1, [], contact=60.0)
         fleet.store.away = True
         fleet.run(4.0)
         feed = fleet.feeds[7]
@@ -288,7 +294,7 @@
 
         async def deliver_gaps(times):
             for n in range(times):
-                feed.take_news(News(10_000 + n, 20_000 + n, []))
+                feed.take_news(StoreDelta(10_000 + n, 20_000 + n, []))
                 await asyncio.sleep(1.0)
 
         fleet.loop.run_until_complete(deliver_gaps(1200))
@@ -344,7 +350,7 @@
         async def fail_first_read(prefix):
             if prefix == "cfg" and not failures:
                 failures.append(now())
-                raise StoreSilent("the link is saturated")
+                raise StoreUnavailable("the link is saturated")
             return await read(prefix)
 
         view.read = fail_first_read
@@ -365,7 +371,7 @@
         async def read_assignments_slowly(prefix):
             if prefix.startswith(KEYS_PREFIX):
                 await asyncio.sleep(2.5)
-                raise StoreSilent("timed out")
+                raise StoreUnavailable("timed out")
             return await read(prefix)
 
         view.read = read_assignments_slowly
@@ -388,7 +394,7 @@
 
         async def slow(*args):
             await asyncio.sleep(2.5)
-            raise StoreSilent("timed out")
+            raise StoreUnavailable("timed out")
 
         view.read = lambda prefix: read(prefix) if prefix else slow()
         fleet.cut_off([7])
@@ -427,7 +433,7 @@
         async def read_all_slowly(prefix):
             if not prefix:
                 await asyncio.sleep(2.5)
-                raise StoreSilent("timed out")
+                raise StoreUnavailable("timed out")
             return await read(prefix)
 
         view.read = read_all_slowly
@@ -447,7 +453,7 @@
         feed, view = fleet.feeds[7], fleet.views[7]
 
         async def fail(prefix):
-            raise StoreSilent("timed out")
+            raise StoreUnavailable("timed out")
 
         view.read = fail
         self.compact_history(fleet, reconnects=False)
