--- a/packages/entry/src/berylstage_entry/load_reporter.py
+++ b/packages/entry/src/berylstage_entry/load_reporter.py
@@ -59,10 +59,10 @@
     Parameters
     ----------
     router : Router
-    granting : Granting
-    office : Office
-    directory : Directory
-    datagrams : Datagrams
+    granting : GrantController
+    office : CoordinatorElection
+    directory : ClusterView
+    datagrams : PeerDatagrams
     rng : Random
     """
 
@@ -117,8 +117,10 @@
         """Add another VM's service times; return False if they are invalid."""
         try:
             for service, mean, slowness in json.loads(body):
-                speeds = {str(name): float(value) for name, value in slowness.items()}
-                self._granting.told_speeds(str(service), float(mean), speeds)
+                service_times = {
+                    str(name): float(value) for name, value in slowness.items()
+                }
+                self._granting.told_speeds(str(service), float(mean), service_times)
         except (ValueError, KeyError, TypeError, AttributeError) as exc:
             log.warning("invalid service times ignored", extra={"cause": str(exc)})
             return False
@@ -147,14 +149,14 @@
         )
         while True:
             await asyncio.sleep(self._router.vms / SERVICE_TIME_REPORTS_PER_SECOND)
-            speeds = self._collect_service_times()
+            service_times = self._collect_service_times()
             if self._office.holds():
-                for service, mean, slowness in speeds:
+                for service, mean, slowness in service_times:
                     self._granting.told_speeds(service, mean, slowness)
                 continue
             address = self._office.holder_address()
-            if address and speeds:
-                await self._post(address, json.dumps(speeds).encode())
+            if address and service_times:
+                await self._post(address, json.dumps(service_times).encode())
 
     async def _post(self, address: str, body: bytes) -> None:
         assert self._client is not None
--- a/packages/entry/src/berylstage_entry/membership.py
+++ b/packages/entry/src/berylstage_entry/membership.py
@@ -71,7 +71,7 @@
     ----------
     cfg : EntrySettings
     store : Store
-    feed : Feed
+    feed : StoreWatcher
     """
 
     def __init__(self, cfg: EntrySettings, store: Store, feed: StoreWatcher):
--- a/packages/entry/src/berylstage_entry/peer_updates.py
+++ b/packages/entry/src/berylstage_entry/peer_updates.py
@@ -52,7 +52,7 @@
         self.pending: dict[str, bytes] = {}
         self.task: asyncio.Task | None = None
 
-    def tell(self, key: str, body: bytes) -> None:
+    def push(self, key: str, body: bytes) -> None:
         """Push a value to the VM once the previous pushes are done."""
         self.pending[key] = body
         if self.task is None or self.task.done():
@@ -84,7 +84,7 @@
 
     Parameters
     ----------
-    feed : Feed
+    feed : StoreWatcher
     membership : Membership
     own_address : str
         Address at which this VM listens for the others.
@@ -170,7 +170,7 @@
             peer = self._peers.get(address)
             if peer is None:
                 peer = self._peers[address] = _Peer(address)
-            peer.tell(key, body)
+            peer.push(key, body)
 
     def take(self, body: bytes) -> bool:
         """Apply a value that another VM has pushed; return False if it is invalid."""
--- a/packages/entry/src/berylstage_entry/store_delta.py
+++ b/packages/entry/src/berylstage_entry/store_delta.py
@@ -104,12 +104,12 @@
 
         Parameters
         ----------
-        earlier : iterable of News
+        earlier : iterable of StoreDelta
             Deltas without gaps between them, newest first.
 
         Returns
         -------
-        News
+        StoreDelta
         """
         merged = self._with_changes(self.after, self.items, self.large_revisions)
         for before in earlier:
@@ -125,11 +125,11 @@
         self, after: int, items: Sequence[Item], large_revisions: dict[str, int]
     ) -> StoreDelta:
         """Return this delta with other changes and another base revision."""
-        news = StoreDelta(
+        delta = StoreDelta(
             after, self.revision, items, large_revisions, self.age, self.contact
         )
-        news.large = self.large
-        return news
+        delta.large = self.large
+        return delta
 
     def parts(self) -> list[StoreDelta]:
         """Return equivalent consecutive deltas that fit into one datagram each.
@@ -139,7 +139,7 @@
 
         Returns
         -------
-        list of News
+        list of StoreDelta
             Each one starts at the revision at which the previous one ends.
         """
         items = sorted(self.items, key=lambda item: item.revision)
--- a/packages/entry/src/berylstage_entry/store_watcher.py
+++ b/packages/entry/src/berylstage_entry/store_watcher.py
@@ -73,7 +73,7 @@
     ----------
     store : Store
     reader : RecordReader
-    directory : Directory
+    directory : ClusterView
     """
 
     def __init__(self, store: Store, reader: RecordReader, directory: ClusterView):
@@ -100,7 +100,7 @@
         self._published: deque[tuple[float, StoreDelta]] = deque()
         # Whether this VM publishes what it reads to all others, and how.
         self.is_teller: Callable[[], bool] = lambda: False
-        self.tell: Callable[[StoreDelta], None] = lambda news: None
+        self.tell: Callable[[StoreDelta], None] = lambda delta: None
         # Number of VMs that watch the store, as far as is known.
         self.vms = 1
         # Whether this VM must learn at once that there is no coordinator.
@@ -183,48 +183,48 @@
         """Request an early read, because this VM's view has proved outdated."""
         self._read_requested.set()
 
-    def take_news(self, news: StoreDelta) -> bool:
+    def take_news(self, delta: StoreDelta) -> bool:
         """Apply a delta that another VM has published.
 
         Parameters
         ----------
-        news : News
+        delta : StoreDelta
 
         Returns
         -------
         bool
             False when this VM has to read the changes itself.
         """
-        if news.revision < self._revision:
+        if delta.revision < self._revision:
             # A delayed delta says nothing about the present state.
             return False
-        self._connectivity.mark_peer_contact(now(), news.contact)
+        self._connectivity.mark_peer_contact(now(), delta.contact)
         if not self.complete:
             if self._connectivity.is_failing():
                 self.hurry()
             return False
-        if news.after > self._revision:
+        if delta.after > self._revision:
             self.hurry()
             # A value that is read by itself arrives sooner than one among all records.
             self._large_values.fetch_newer(
                 {
                     k: at
-                    for k, at in news.large_revisions.items()
+                    for k, at in delta.large_revisions.items()
                     if not k.startswith(OWN_PREFIX)
                 }
             )
             return False
-        for item in news.items:
+        for item in delta.items:
             if item.revision > self._revision:
                 self._apply_item(item)
-        self._large_values.fetch_newer(news.large_revisions)
-        self._revision = news.revision
+        self._large_values.fetch_newer(delta.large_revisions)
+        self._revision = delta.revision
         self._needs_full_read = False
-        self._up_to_date_at = max(self._up_to_date_at, now() - news.age)
+        self._up_to_date_at = max(self._up_to_date_at, now() - delta.age)
         # If this VM becomes the next publisher, it publishes this delta again with its
         # first one: other VMs may have missed the last delta of its predecessor.
         self._published.clear()
-        self._published.append((now(), news))
+        self._published.append((now(), delta))
         return True
 
     async def _read_large_value(self, key: str) -> bool:
@@ -329,20 +329,20 @@
             self._notify_listeners("targets")
 
     async def _read_all(self) -> None:
-        news, started_at = StoreDelta(self._revision, 0, []), now()
+        delta, started_at = StoreDelta(self._revision, 0, []), now()
         changes = await self._store.read("")
-        was_updated = self._revision != news.after
+        was_updated = self._revision != delta.after
         if was_updated and self._revision >= changes.revision:
             # Older records must not overwrite a delta that arrived during the read.
             return
         names, closed, own = set(), set(), set()
         keys = {item.key for item in changes.items}
         for key in self._known_keys - keys:
-            news.add(Item(key, None, changes.revision))
+            delta.add(Item(key, None, changes.revision))
         self._known_keys = keys
         for item in changes.items:
-            if item.revision > news.after and self._is_relevant(item):
-                news.add(item, item.key.startswith(KEYS_PREFIX))
+            if item.revision > delta.after and self._is_relevant(item):
+                delta.add(item, item.key.startswith(KEYS_PREFIX))
             record = self._apply_item(item)
             if item.key.startswith(OWN_PREFIX):
                 own.add(item.key)
@@ -354,11 +354,11 @@
         for key in [key for key in self.own if key not in own]:
             del self.own[key]
             self._notify_listeners(key)
-        news.revision = self._revision = changes.revision
+        delta.revision = self._revision = changes.revision
         self.complete = True
         self._needs_full_read = False
         if not was_updated:
-            self._publish(news, started_at)
+            self._publish(delta, started_at)
         log.info(
             "store read",
             extra={
@@ -370,29 +370,29 @@
         self._notify_listeners("read")
 
     async def _watch_all(self) -> None:
-        news, started_at = StoreDelta(self._revision, 0, []), now()
+        delta, started_at = StoreDelta(self._revision, 0, []), now()
         # A publisher suspended during a long wait could not tell how old the answer is.
         # The answer to a call that does not wait is no older than the call took, by a
         # clock that counts suspended time.
         is_publishing = self._is_publishing()
         wait = 0.0 if is_publishing else WATCH_WAIT_SECONDS
         changes = await self._store.watch("", self._revision, wait)
-        was_updated = self._revision != news.after
+        was_updated = self._revision != delta.after
         for item in changes.items:
             # Older changes must not overwrite a delta that arrived during the watch.
             if item.revision > self._revision and self._is_relevant(item):
-                news.add(item, item.key.startswith(KEYS_PREFIX))
+                delta.add(item, item.key.startswith(KEYS_PREFIX))
             if item.revision > self._revision:
                 self._apply_item(item)
-        news.revision = self._revision = max(self._revision, changes.revision)
+        delta.revision = self._revision = max(self._revision, changes.revision)
         if is_publishing and not was_updated:
-            self._publish(news, started_at)
+            self._publish(delta, started_at)
 
     def _is_publishing(self) -> bool:
         """Return whether this VM publishes what it reads."""
         return self.is_teller() or self.is_deputy()
 
-    def _publish(self, news: StoreDelta, started_at: float) -> None:
+    def _publish(self, delta: StoreDelta, started_at: float) -> None:
         """Publish what was read, together with what was published just before.
 
         A read during which this VM applied a delta of another VM must not be published.
@@ -402,16 +402,16 @@
         moment = now()
         while self._published and moment - self._published[-1][0] > REPUBLISH_SECONDS:
             self._published.pop()
-        if not self._is_publishing() or not news.after:
+        if not self._is_publishing() or not delta.after:
             # A first read returns the whole state rather than changes.
             self._published.clear()
             return
-        if self._published and self._published[0][1].revision != news.after:
+        if self._published and self._published[0][1].revision != delta.after:
             self._published.clear()
-        news.age = moment - started_at
-        news.contact = self.steady()
-        self.tell(news.with_earlier(told for _, told in self._published))
-        self._published.appendleft((moment, news))
+        delta.age = moment - started_at
+        delta.contact = self.steady()
+        self.tell(delta.with_earlier(earlier for _, earlier in self._published))
+        self._published.appendleft((moment, delta))
 
     def _is_relevant(self, item: Item) -> bool:
         """Return whether a change matters to VMs that know every earlier one."""
--- a/packages/entry/tests/fakes.py
+++ b/packages/entry/tests/fakes.py
@@ -348,24 +348,33 @@
         ]
         seen.append((order.first, order.last, order.fence))
         self._take(name, order.first, order.last)
-        hold = Grant(order.first, order.last, order.fence, now(), arrived + order.hold)
-        self.holds.setdefault(name, []).append(hold)
+        active = Grant(
+            order.first, order.last, order.fence, now(), arrived + order.hold
+        )
+        self.holds.setdefault(name, []).append(active)
         return True
 
     def _take(self, name, first, last):
         kept = []
-        for hold in self.holds.get(name, []):
-            if hold.last < first or hold.first > last:
-                kept.append(hold)
+        for active in self.holds.get(name, []):
+            if active.last < first or active.first > last:
+                kept.append(active)
                 continue
-            end = min(hold.end, now())
+            end = min(active.end, now())
             self.past.append(
-                (name, Grant(hold.first, hold.last, hold.fence, hold.start, end))
+                (
+                    name,
+                    Grant(active.first, active.last, active.fence, active.start, end),
+                )
             )
-            if hold.first < first:
-                kept.append(Grant(hold.first, first - 1, hold.fence, now(), hold.end))
-            if hold.last > last:
-                kept.append(Grant(last + 1, hold.last, hold.fence, now(), hold.end))
+            if active.first < first:
+                kept.append(
+                    Grant(active.first, first - 1, active.fence, now(), active.end)
+                )
+            if active.last > last:
+                kept.append(
+                    Grant(last + 1, active.last, active.fence, now(), active.end)
+                )
         self.holds[name] = kept
 
     async def release(self, target, first, last, fence, timeout):
--- a/packages/entry/tests/fleet.py
+++ b/packages/entry/tests/fleet.py
@@ -56,10 +56,10 @@
             self.views.append(view)
             self.feeds.append(feed)
 
-    def tell(self, told):
+    def tell(self, delta):
         for n, feed in enumerate(self.feeds):
             if n and n not in self.partitioned:
-                for part in told.parts():
+                for part in delta.parts():
                     feed.take_news(StoreDelta.decode(part.encode()))
 
     def cut_off(self, indexes, gets_updates=False):
--- a/packages/entry/tests/test_store_delta.py
+++ b/packages/entry/tests/test_store_delta.py
@@ -68,8 +68,8 @@
         publisher, receiver = Vm(store), Vm(store)
         publisher.feed.is_teller = lambda: True
 
-        def tell(news):
-            for part in news.parts():
+        def tell(delta):
+            for part in delta.parts():
                 data = part.encode()
                 if data is not None and not is_lost():
                     receiver.feed.take_news(StoreDelta.decode(data))
@@ -233,10 +233,10 @@
         # Guards against 76 calls to the store within half a second, when each of 76 VMs
         # reads a new configuration itself.
         async def scenario(store, publisher, receiver):
-            def tell(news):
-                for item in news.large:
+            def tell(delta):
+                for item in delta.large:
                     assert receiver.feed.take_told(item)
-                receiver.feed.take_news(StoreDelta.decode(news.encode()))
+                receiver.feed.take_news(StoreDelta.decode(delta.encode()))
 
             publisher.feed.tell = tell
             await asyncio.sleep(0.6)
@@ -281,8 +281,8 @@
             before = receiver.store.watch_calls
             end = now() + 2.0
             while now() < end:
-                news = StoreDelta(0, receiver.feed._revision, [], {}, 0.01)
-                receiver.feed.take_news(news)
+                delta = StoreDelta(0, receiver.feed._revision, [], {}, 0.01)
+                receiver.feed.take_news(delta)
                 await asyncio.sleep(0.1)
             assert receiver.store.watch_calls == before
 
--- a/packages/entry/tests/test_store_watcher.py
+++ b/packages/entry/tests/test_store_watcher.py
@@ -107,17 +107,17 @@
         _, _, _, found = feeds
         found[0].is_teller = lambda: self.has_publisher
 
-        def tell(publisher, told):
+        def publish(publisher, delta):
             for n, feed in enumerate(found):
                 same_data_centre = self.data_centre(n) == self.data_centre(publisher)
                 if n != publisher and (
                     found[publisher].is_teller() or same_data_centre
                 ):
-                    for part in told.parts():
+                    for part in delta.parts():
                         feed.take_news(StoreDelta.decode(part.encode()))
 
         for n, feed in enumerate(found):
-            feed.tell = lambda told, n=n: tell(n, told)
+            feed.tell = lambda delta, n=n: publish(n, delta)
             feed.is_deputy = lambda n=n: self.DATA_CENTRES <= n < 2 * self.DATA_CENTRES
             # The watch of the coordinator key is not counted here.
             feed.is_standby = lambda: False
@@ -152,7 +152,7 @@
         loop.run_until_complete(self.report(store, 1.0))
         missing, next_publisher = found[10], found[4]
         original = missing.take_news
-        missing.take_news = lambda news: False
+        missing.take_news = lambda delta: False
         loop.run_until_complete(self.report(store, 0.5))
         missing.take_news = original
         self.has_publisher = False
@@ -188,8 +188,8 @@
             store.put("t/a", b"{}")
             records = JsonRecords({1: configuration(1), 2: configuration(2)})
             feed = StoreWatcher(store, records, ClusterView())
-            told = []
-            feed.tell = told.append
+            published = []
+            feed.tell = published.append
             feed.is_deputy = lambda: True
 
             async def step():
@@ -210,10 +210,10 @@
                 items = [item for item in store.log if item.revision > first_revision]
                 feed.take_news(StoreDelta(first_revision, store.revision, items))
                 await reading
-                assert told == []
+                assert published == []
                 store.put("t/b", b"{}")
                 await feed._watch_all()
-                assert [item.key for item in told[0].items][-1] == "t/b"
+                assert [item.key for item in published[0].items][-1] == "t/b"
 
             loop.run_until_complete(step())
 
