--- a/packages/entry/src/berylstage_entry/cluster_view.py
+++ b/packages/entry/src/berylstage_entry/cluster_view.py
@@ -15,8 +15,6 @@
 # distinguish the two cases. It must drop a target that left meanwhile within 3 s after
 # it has reconnected.
 EXPIRY_GRACE_SECONDS = 2.1
-
-
 # Tolerated shift of the end of a target's cold start. It is longer than a report waits
 # to be read (0.45 s) and shorter than the report interval (0.87 s), so that a target
 # which stays cold for longer than reported is noticed.
@@ -24,7 +22,7 @@
 
 
 class KnownTarget:
-    """A target and when its cold start ends and its record expired.
+    """A target, with the end of its cold start and the expiry of its record.
 
     Parameters
     ----------
