--- a/packages/entry/src/berylstage_entry/assignment_delta.py
+++ b/packages/entry/src/berylstage_entry/assignment_delta.py
@@ -1,9 +1,9 @@
-"""What has changed in an assignment, in as few datagrams as it takes.
+"""Changes of an assignment, encoded in as few datagrams as possible.
 
-A round of moves changes a handful of ranges of a hundred, and a lost data centre a
-third of them. Told whole, by a call to each of 62 VMs, an assignment fills the link of
-the VM with the duty, whose grants then come late; targets count as silent for that, and
-more keys move.
+A rebalancing changes a handful of a hundred ranges, and the loss of a data centre a
+third of them. Sending the whole assignment by a call to each of 62 VMs saturates the
+coordinator's link and delays its grants. Targets then seem unresponsive, and more keys
+move.
 """
 
 from __future__ import annotations
@@ -18,38 +18,38 @@
 if TYPE_CHECKING:
     from berylstage_entry.assignment import Assignment
 
-# First byte of a datagram.
+# First byte of a datagram that contains a change.
 FORMAT = 18
-# Ranges in one datagram at most, so that it goes over the network in one packet: one
-# takes some 30 bytes compressed, mostly for the names of two targets.
-MOST_RANGES = 32
-# Datagrams of one change at most. What takes more is read from the store by each VM.
-MOST_PARTS = 16
+# Keeps a datagram within one packet: a range takes some 30 bytes compressed, mostly for
+# the names of two targets.
+MAX_RANGES_PER_DATAGRAM = 32
+# A change that needs more datagrams is read from the store by each VM.
+MAX_DATAGRAMS = 16
 
 
 class AssignmentDelta:
-    """A step from one assignment of a service to the next.
+    """The difference between two assignments of a service.
 
     Parameters
     ----------
     service : str
-    before, revision : int
-        Revisions of the assignments.
+    base_revision, revision : int
+        Revisions of the old and the new assignment.
     next_fence : int
-        Of the new one.
+        Next fence of the new assignment.
     ranges : list of KeyRange
-        That differ.
+        Ranges of the new assignment that differ.
     checksum : int
         Digest of the new assignment.
 
     Attributes
     ----------
     parts_left : int
-        Datagrams of the change that have yet to come.
+        Number of datagrams of the change that have not arrived yet.
     """
 
     __slots__ = (
-        "before",
+        "base_revision",
         "checksum",
         "next_fence",
         "parts_left",
@@ -61,14 +61,14 @@
     def __init__(
         self,
         service: str,
-        before: int,
+        base_revision: int,
         revision: int,
         next_fence: int,
         ranges: list[KeyRange],
         checksum: int,
     ):
         self.service = service
-        self.before = before
+        self.base_revision = base_revision
         self.revision = revision
         self.next_fence = next_fence
         self.ranges = ranges
@@ -77,34 +77,41 @@
 
     @classmethod
     def between(
-        cls, service: str, before: int, old: Assignment, revision: int, new: Assignment
+        cls,
+        service: str,
+        base_revision: int,
+        old: Assignment,
+        revision: int,
+        new: Assignment,
     ) -> AssignmentDelta:
-        """Return the step from an old assignment to a new one."""
+        """Return the change from an old assignment to a new one."""
         ranges = new.differing(old)
-        return cls(service, before, revision, new.next_fence, ranges, new.digest())
+        return cls(
+            service, base_revision, revision, new.next_fence, ranges, new.digest()
+        )
 
     def apply(self, old: Assignment) -> Assignment | None:
-        """Return the new assignment; None when it does not come out as it should."""
+        """Return the new assignment, or None if its checksum does not match."""
         new = old.replace(self.ranges, self.next_fence)
         return new if new.digest() == self.checksum else None
 
     def encode(self) -> list[bytes]:
-        """Return the datagrams; none when the step takes too many."""
+        """Return the datagrams; an empty list if the change needs too many."""
         ranges = self.ranges
         parts = [
-            ranges[first : first + MOST_RANGES]
-            for first in range(0, len(ranges), MOST_RANGES)
+            ranges[first : first + MAX_RANGES_PER_DATAGRAM]
+            for first in range(0, len(ranges), MAX_RANGES_PER_DATAGRAM)
         ] or [[]]
-        if len(parts) > MOST_PARTS:
+        if len(parts) > MAX_DATAGRAMS:
             return []
-        return [self._part(part, len(parts)) for part in parts]
+        return [self._encode_part(part, len(parts)) for part in parts]
 
-    def _part(self, ranges: list[KeyRange], parts: int) -> bytes:
+    def _encode_part(self, ranges: list[KeyRange], parts: int) -> bytes:
         rows = [
             [r.first, r.last, r.owner, r.life, r.fence, r.former, r.former_life]
             for r in ranges
         ]
-        head = [self.service, self.before, self.revision]
+        head = [self.service, self.base_revision, self.revision]
         doc = [*head, self.next_fence, rows, self.checksum, parts]
         text = json.dumps(doc, separators=(",", ":")).encode()
         return bytes([FORMAT]) + zlib.compress(text)
@@ -119,21 +126,21 @@
 
     @classmethod
     def decode(cls, data: bytes) -> AssignmentDelta:
-        """Read a datagram, which may be one of several parts.
+        """Decode a datagram, which may be one of several parts of a change.
 
         Raises
         ------
         UnreadableRecord
-            It is none.
+            If the datagram is not a valid change.
         """
         try:
-            service, before, revision, next_fence, rows, checksum, parts = json.loads(
-                zlib.decompress(data[1:])
+            service, base_revision, revision, next_fence, rows, checksum, parts = (
+                json.loads(zlib.decompress(data[1:]))
             )
             ranges = [KeyRange(*row) for row in rows]
             change = cls(
                 str(service),
-                int(before),
+                int(base_revision),
                 int(revision),
                 int(next_fence),
                 ranges,
@@ -142,4 +149,6 @@
             change.parts_left = int(parts) - 1
             return change
         except (zlib.error, ValueError, TypeError) as exc:
-            raise InvalidRecord(f"no change of an assignment: {exc}") from exc
+            raise InvalidRecord(
+                f"datagram is not a valid change of an assignment: {exc}"
+            ) from exc
--- a/packages/entry/src/berylstage_entry/change_log.py
+++ b/packages/entry/src/berylstage_entry/change_log.py
@@ -1,8 +1,7 @@
-"""Log lines about what a VM has come to believe, bounded in number.
+"""Rate-limited log lines about changes of a VM's view of the cluster.
 
-The load it answers: hundreds of targets and VMs that start, or are lost, at the same
-moment. Each VM learns of all of them; a line for each took more time than the requests
-that came meanwhile.
+When hundreds of targets and VMs start or are lost at once, each VM learns of all of
+them. Writing one line for each takes more time than the requests served meanwhile.
 """
 
 from __future__ import annotations
@@ -14,23 +13,23 @@
 if TYPE_CHECKING:
     from berylstage_entry.store import Item
 
-# Kinds of changes that come by the hundred, and the seconds for which they are gathered
-# after a line about one of them. Others have a line each, at once.
-GATHERED_KINDS = frozenset({"target", "gone"})
-GATHERED = 1.0
-# Keys that a line names at most.
-MOST_KEYS = 500
+# Kinds of changes that come by the hundred, and the time for which they are batched
+# after a line about one of them. Other changes are logged one by one, at once.
+BATCHED_KINDS = frozenset({"target", "gone"})
+BATCH_SECONDS = 1.0
+# Number of keys that a line contains at most.
+MAX_KEYS_PER_LINE = 500
 
 log = Logger(__name__)
 
 
-class _Kind:
-    """Changes of one kind since the last line about them."""
+class _PendingChanges:
+    """Changes of one kind since the last log line about them."""
 
-    __slots__ = ("count", "keys", "revision", "said_at")
+    __slots__ = ("count", "keys", "revision", "written_at")
 
     def __init__(self) -> None:
-        self.said_at = float("-inf")
+        self.written_at = float("-inf")
         self.keys: list[str] = []
         self.count = 0
         self.revision = 0
@@ -38,55 +37,55 @@
     def add(self, item: Item) -> None:
         self.count += 1
         self.revision = item.revision
-        if len(self.keys) < MOST_KEYS:
+        if len(self.keys) < MAX_KEYS_PER_LINE:
             self.keys.append(item.key)
 
 
-class BeliefLog:
-    """Writes a line for a change, and one a second for all that follow at once."""
+class ChangeLog:
+    """Logs a change at once, and those that follow it in one line per second."""
 
-    __slots__ = ("_kinds",)
+    __slots__ = ("_pending",)
 
     def __init__(self) -> None:
-        self._kinds: dict[str, _Kind] = {}
+        self._pending: dict[str, _PendingChanges] = {}
 
     def changed(
         self, what: str, item: Item, configuration: int | None, now: float
     ) -> None:
-        """Note a change.
+        """Log a change, or keep it for the next line about its kind.
 
         Parameters
         ----------
         what : str
-            Its kind.
+            Kind of the change.
         item : Item
-            The record that brought it.
+            Record that caused the change.
         configuration : int or None
-            Version that is in force.
+            Version of the current configuration.
         now : float
             Monotonic seconds.
         """
-        kind = self._kinds.setdefault(what, _Kind())
+        kind = self._pending.setdefault(what, _PendingChanges())
         kind.add(item)
-        if what not in GATHERED_KINDS or now - kind.said_at >= GATHERED:
+        if what not in BATCHED_KINDS or now - kind.written_at >= BATCH_SECONDS:
             self._write(what, kind, configuration, now)
 
-    def flush(self, configuration: int | None, now: float, every: bool = False) -> None:
-        """Write what has been gathered for long enough.
+    def flush(self, configuration: int | None, now: float, force: bool = False) -> None:
+        """Log the changes that have been batched for long enough.
 
         Parameters
         ----------
         configuration, now
             As for :meth:`changed`.
-        every : bool
-            Whether to write all that has been gathered, however short ago.
+        force : bool
+            Whether to log all batched changes, however recent.
         """
-        for what, kind in self._kinds.items():
-            if kind.count and (every or now - kind.said_at >= GATHERED):
+        for what, kind in self._pending.items():
+            if kind.count and (force or now - kind.written_at >= BATCH_SECONDS):
                 self._write(what, kind, configuration, now)
 
     def _write(
-        self, what: str, kind: _Kind, configuration: int | None, now: float
+        self, what: str, kind: _PendingChanges, configuration: int | None, now: float
     ) -> None:
         first, *others = kind.keys
         log.info(
@@ -100,6 +99,6 @@
                 "configuration": configuration,
             },
         )
-        kind.said_at = now
+        kind.written_at = now
         kind.keys = []
         kind.count = 0
--- a/packages/entry/src/berylstage_entry/store_watcher.py
+++ b/packages/entry/src/berylstage_entry/store_watcher.py
@@ -1,4 +1,4 @@
-"""Follows the store and brings this VM's beliefs up to date."""
+"""Watches the store and keeps this VM's view of the cluster up to date."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from logbook import Logger
 
 from berylstage_entry.assignment import Assignment
-from berylstage_entry.change_log import BeliefLog
+from berylstage_entry.change_log import ChangeLog
 from berylstage_entry.clock import now
 from berylstage_entry.coordinator_watch import CoordinatorWatch
 from berylstage_entry.errors import InvalidRecord, RevisionCompacted, StoreError
-from berylstage_entry.large_values import NamedValues
+from berylstage_entry.large_values import LargeValueFetcher
 from berylstage_entry.store import Item
-from berylstage_entry.store_connectivity import StoreContact
-from berylstage_entry.store_delta import LARGEST_VALUE, StoreDelta
+from berylstage_entry.store_connectivity import StoreConnectivity
+from berylstage_entry.store_delta import MAX_INLINE_VALUE_BYTES, StoreDelta
 from berylstage_entry.store_keys import DUTY_KEY, KEYS_PREFIX, OWN_PREFIX
 
 if TYPE_CHECKING:
@@ -26,54 +26,54 @@
     from berylstage_entry.protocols import RecordReader
     from berylstage_entry.store import Store
 
-# Seconds between two readings of all changes, or from what another VM told to a reading
-# of one's own. Targets report about once a second each, so a watch without a pause
-# would be a call for each report; a pause of 1.2 s leaves 0.8 s of the two seconds
-# within which news must be in force.
-PACE = 1.2
-# The same for the VM that tells the others. Less than half of the pace, so that one
-# lost telling is made up for by the next before the others read for themselves.
-TELL_PACE = 0.45
-# The same for the one VM of a data centre that tells the others there what it reads
-# while nobody tells all. When the VM that tells is lost, hundreds would read for
-# themselves at the same moment, and again until another one has its part. This is
-# sooner than they do, and later than the next telling after one that was lost.
-DEPUTY_PACE = 0.7
-# The same while records have lapsed: whether they come back is known sooner.
-LAPSED_PACE = 0.25
-# The same while callers ask for keys whose owner this VM does not know. A VM that was
-# not told of an assignment, as one that has just started, refused these requests for up
-# to 0.9 s; four readings a second are a tenth of what the store lets 40 VMs do.
-HURRIED_PACE = 0.25
-# Seconds for which changes are told again with what is told next: four tellings.
-TOLD_AGAIN = 2.0
-# Age in seconds of what a VM knows from which it reads all records rather than their
-# changes.
-FAR_BEHIND = 2.0
-# Seconds that the watch of all keys waits: with any target alive it returns at once.
-ALL_WAIT = 1.0
-# Seconds for a call that finds out whether the store can be reached.
-CONTACT_TIMEOUT = 0.35
-# Seconds before a failed call is made again, at least.
-RETRY = 0.35
-# Seconds between two failed calls at most while others tell of what this VM has missed:
-# a third of the time in which it may handle requests by what it knew.
-HURRIED_RETRY = 1.0
-# Calls a second that all VMs together make to a store that does not answer. Each is
-# paid for like others, and one that answers again has more to do than that.
-RATE_AWAY = 30.0
+# Interval between two reads of all changes, or between an update from another VM and a
+# read of one's own. Each target reports about once a second, so a watch without a pause
+# would cost one call per report. 1.2 s leaves 0.8 s of the two seconds within which a
+# change must be in force.
+READ_INTERVAL_SECONDS = 1.2
+# Read interval of the publisher. It is less than half of the normal interval, so that
+# the update after a lost one arrives before the other VMs read the store themselves.
+PUBLISHER_READ_INTERVAL_SECONDS = 0.45
+# Read interval of the local publisher, which serves its data centre while there is no
+# publisher. Without it, the loss of the publisher makes hundreds of VMs read the store
+# at the same moment, again and again until there is a new one. The interval is shorter
+# than theirs, and longer than the gap that one lost update of the publisher leaves.
+LOCAL_PUBLISHER_READ_INTERVAL_SECONDS = 0.7
+# Read interval while records have expired, so that their return is noticed sooner.
+EXPIRED_READ_INTERVAL_SECONDS = 0.25
+# Read interval while callers ask for keys whose owner this VM does not know. At the
+# normal interval, a VM that missed an assignment, such as one that has just started,
+# refuses these requests for up to 0.9 s. Four reads a second are a tenth of what the
+# store allows 40 VMs.
+REQUESTED_READ_INTERVAL_SECONDS = 0.25
+# Time for which changes are published again with each new update: four updates.
+REPUBLISH_SECONDS = 2.0
+# Age of this VM's view above which it reads all records rather than their changes.
+FULL_READ_AGE_SECONDS = 2.0
+# Longest wait of the watch on all keys. With any target alive it returns at once.
+WATCH_WAIT_SECONDS = 1.0
+# Timeout of a call that checks whether the store can be reached.
+PROBE_TIMEOUT_SECONDS = 0.35
+# Shortest delay before a failed call is retried.
+RETRY_SECONDS = 0.35
+# Longest retry delay while other VMs publish changes that this VM has missed: a third
+# of the time for which it may serve requests from an outdated view.
+MAX_REQUESTED_RETRY_SECONDS = 1.0
+# Calls per second that all VMs together make to a store that does not answer. These
+# calls are billed like others, and a store that recovers has other work to do.
+OUTAGE_CALLS_PER_SECOND = 30.0
 
 log = Logger(__name__)
 
 
 class StoreWatcher:
-    """Reads and watches the store.
+    """Lists and watches the store, and applies and publishes its changes.
 
     Parameters
     ----------
     store : Store
     reader : RecordReader
-    directory : Directory
+    directory : ClusterView
     """
 
     def __init__(self, store: Store, reader: RecordReader, directory: ClusterView):
@@ -82,83 +82,86 @@
         self._directory = directory
         self._tasks: list[asyncio.Task] = []
         self._revision = 0
-        self._contact = StoreContact(now())
+        self._connectivity = StoreConnectivity(now())
         self._unreadable: dict[str, bytes] = {}
-        self._changes = BeliefLog()
-        self._hurried = asyncio.Event()
-        # Whether the store no longer has the changes since what this VM knows.
-        self._must_read_all = True
-        # Seconds between a failed reading and the next one at least, if it is hurried.
-        self._least_pause = RETRY
-        # When this VM read the store last, and when what it knows was last up to date.
-        self._read_at = float("-inf")
-        self._fresh_at = float("-inf")
-        self._named = NamedValues(self._read_named)
-        # All keys that the store has, as far as this VM knows.
-        self._keys: set[str] = set()
-        # What this VM told last, the newest first, with the moments.
-        self._told: deque[tuple[float, StoreDelta]] = deque()
-        # Whether this VM tells the others what it reads, and how.
+        self._change_log = ChangeLog()
+        self._read_requested = asyncio.Event()
+        # Whether the store has compacted the changes after this VM's revision.
+        self._needs_full_read = True
+        # Seconds from a failed read to the next one if a refresh is requested.
+        self._min_retry_delay = RETRY_SECONDS
+        # When this VM last read the store, and when its view was last up to date.
+        self._last_read_at = float("-inf")
+        self._up_to_date_at = float("-inf")
+        self._large_values = LargeValueFetcher(self._read_large_value)
+        # All keys in the store, as far as this VM knows.
+        self._known_keys: set[str] = set()
+        # Recently published updates and their times, newest first.
+        self._published: deque[tuple[float, StoreDelta]] = deque()
+        # Whether this VM publishes what it reads to all others, and how.
         self.is_teller: Callable[[], bool] = lambda: False
-        self.tell: Callable[[StoreDelta], None] = lambda news: None
-        # VMs that follow the store, as far as is known.
+        self.tell: Callable[[StoreDelta], None] = lambda delta: None
+        # Number of VMs that watch the store, as far as is known.
         self.vms = 1
-        # Whether this VM is to hear of a vacant duty at once.
+        # Whether this VM must learn at once that there is no coordinator.
         self.is_standby: Callable[[], bool] = lambda: True
-        # Whether this VM tells those of its data centre while nobody tells all.
+        # Whether this VM publishes within its data centre while nobody serves all.
         self.is_deputy: Callable[[], bool] = lambda: False
-        # Whether a VM is known that had better have a vacant duty than this one.
+        # Whether another VM is a better coordinator, should there be none.
         self.leaves_duty: Callable[[], bool] = lambda: False
-        # Assignment of each service and the revision of its key.
+        # Assignment of each service, and the revision of its key.
         self.assignments: dict[str, Assignment] = {}
         self.revisions: dict[str, int] = {}
-        # Other own keys, by key.
+        # Items that the VMs keep for themselves, by key.
         self.own: dict[str, Item] = {}
         self.listeners: list[Callable[[str], None]] = []
         self.complete = False
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start watching the store."""
         self._tasks = [
-            asyncio.create_task(self._follow_all()),
+            asyncio.create_task(self._run()),
             asyncio.create_task(CoordinatorWatch(self._store, self).run()),
         ]
 
     def stop(self) -> None:
-        """Stop following."""
-        self._changes.flush(self._version(), now(), every=True)
+        """Stop watching the store."""
+        self._change_log.flush(self._configuration_version(), now(), force=True)
         for task in self._tasks:
             task.cancel()
-        self._named.stop()
+        self._large_values.stop()
 
     def steady(self) -> float:
         """Return the seconds of unbroken contact with the store up to now."""
-        return self._contact.steady(now())
+        return self._connectivity.unbroken_seconds(now())
 
     @property
     def revision(self) -> int:
-        """Revision of the store up to which this VM knows everything."""
+        """Store revision up to which this VM knows every change."""
         return self._revision
 
     def retry_pause(self) -> float:
-        """Return the seconds before a call is made again that the store has failed.
+        """Return the seconds to wait before a failed call to the store is retried.
 
-        The VM with the duty and those that stand by for it have to know at once when
-        the store is back. The others are told by the first of them. A call that has
-        failed alone is soon made again: it may be the link of this VM that was full.
+        The coordinator and its standbys must know at once when the store recovers. The
+        other VMs learn it from the first of them. A single failed call is retried soon,
+        since the cause may be a saturated link of this VM.
         """
         if self.is_teller() or self.is_standby():
-            return RETRY
-        away = self._contact.away(now())
-        return max(RETRY, min(away, self.vms / RATE_AWAY))
+            return RETRY_SECONDS
+        seconds = self._connectivity.outage_seconds(now())
+        return max(RETRY_SECONDS, min(seconds, self.vms / OUTAGE_CALLS_PER_SECOND))
 
     async def contact(self) -> float:
-        """Try to reach the store and return the seconds of contact; 0 for none."""
-        if self._contact.is_lost() and now() - self._contact.failed_at < RETRY:
-            # It has just been tried.
+        """Call the store and return the seconds of unbroken contact; 0 on failure."""
+        if (
+            self._connectivity.is_disconnected()
+            and now() - self._connectivity.last_failure_at < RETRY_SECONDS
+        ):
+            # A call has just failed.
             return 0.0
         try:
-            async with asyncio.timeout(CONTACT_TIMEOUT):
+            async with asyncio.timeout(PROBE_TIMEOUT_SECONDS):
                 await self._store.read(DUTY_KEY)
         except (StoreError, TimeoutError) as exc:
             self.note_failure(exc)
@@ -166,62 +169,66 @@
         return max(0.001, self.steady())
 
     def in_outage(self) -> bool:
-        """Tell whether the store is, or has just been, away from this VM."""
-        return self._contact.in_outage(now())
+        """Return whether the store is, or has just been, unavailable."""
+        return self._connectivity.in_outage(now())
 
     def is_in_touch(self) -> bool:
-        """Tell whether the store answers this VM, and nothing that it knows may be old.
+        """Return whether the store answers this VM and its view has no known gap.
 
-        A VM that knows of no change for a while would renew grants as they were, if it
-        had the duty.
+        A coordinator with an outdated view would renew grants that have moved since.
         """
-        return not self._must_read_all and not self._contact.is_lost()
+        return not self._needs_full_read and not self._connectivity.is_disconnected()
 
     def hurry(self) -> None:
-        """Have the next reading done soon: something known has turned out to be old."""
-        self._hurried.set()
+        """Request an early read, because this VM's view has proved outdated."""
+        self._read_requested.set()
 
-    def take_news(self, news: StoreDelta) -> bool:
-        """Take in what another VM has read; False when it has to be read here.
+    def take_news(self, delta: StoreDelta) -> bool:
+        """Apply a delta that another VM has published.
 
         Parameters
         ----------
-        news : News
+        delta : StoreDelta
 
         Returns
         -------
         bool
+            False when this VM has to read the changes itself.
         """
-        if news.revision < self._revision:
-            # Told late: it says nothing of how things are now.
+        if delta.revision < self._revision:
+            # A delayed delta says nothing about the present state.
             return False
-        self._contact.told(now(), news.contact)
+        self._connectivity.mark_peer_contact(now(), delta.contact)
         if not self.complete:
-            if self._contact.was_lost():
+            if self._connectivity.is_failing():
                 self.hurry()
             return False
-        if news.after > self._revision:
+        if delta.after > self._revision:
             self.hurry()
-            # Read alone it is here sooner than with all records.
-            self._named.named(
-                {k: at for k, at in news.named.items() if not k.startswith(OWN_PREFIX)}
+            # A value that is read by itself arrives sooner than one among all records.
+            self._large_values.fetch_newer(
+                {
+                    k: at
+                    for k, at in delta.large_revisions.items()
+                    if not k.startswith(OWN_PREFIX)
+                }
             )
             return False
-        for item in news.items:
+        for item in delta.items:
             if item.revision > self._revision:
-                self._take(item)
-        self._named.named(news.named)
-        self._revision = news.revision
-        self._must_read_all = False
-        self._fresh_at = max(self._fresh_at, now() - news.age)
-        # Told again with the first that this VM tells, should it be the next to tell:
-        # other VMs may have missed the last that the former one told.
-        self._told.clear()
-        self._told.append((now(), news))
+                self._apply_item(item)
+        self._large_values.fetch_newer(delta.large_revisions)
+        self._revision = delta.revision
+        self._needs_full_read = False
+        self._up_to_date_at = max(self._up_to_date_at, now() - delta.age)
+        # If this VM becomes the next publisher, it publishes this delta again with its
+        # first one: other VMs may have missed the last delta of its predecessor.
+        self._published.clear()
+        self._published.append((now(), delta))
         return True
 
-    async def _read_named(self, key: str) -> bool:
-        """Read a value that was named; False when the store has failed."""
+    async def _read_large_value(self, key: str) -> bool:
+        """Read and apply a large value; return False when the call failed."""
         try:
             changes = await self._store.read(key)
         except StoreError as exc:
@@ -229,118 +236,129 @@
             await asyncio.sleep(self.retry_pause())
             return False
         for item in changes.items:
-            self._take(item)
+            self._apply_item(item)
         self.note_answer()
         return True
 
-    def _pace(self) -> float:
-        if self._directory.has_lapsed():
-            return LAPSED_PACE
+    def _read_interval(self) -> float:
+        if self._directory.has_expired_records():
+            return EXPIRED_READ_INTERVAL_SECONDS
         if self.is_teller():
-            return TELL_PACE
-        return DEPUTY_PACE if self.is_deputy() else PACE
+            return PUBLISHER_READ_INTERVAL_SECONDS
+        return (
+            LOCAL_PUBLISHER_READ_INTERVAL_SECONDS
+            if self.is_deputy()
+            else READ_INTERVAL_SECONDS
+        )
 
-    async def _pause(self) -> None:
-        """Wait until the next reading is due, or somebody needs it sooner."""
+    async def _wait_for_next_read(self) -> None:
+        """Wait until the next read is due or requested."""
         while True:
-            self._drop_lapsed()
-            self._changes.flush(self._version(), now())
-            wait = self._fresh_at + self._pace() - now()
+            self._remove_expired_targets()
+            self._change_log.flush(self._configuration_version(), now())
+            wait = self._up_to_date_at + self._read_interval() - now()
             if wait <= 0:
                 return
             try:
                 async with asyncio.timeout(wait):
-                    await self._hurried.wait()
+                    await self._read_requested.wait()
             except TimeoutError:
-                # News may have come meanwhile and put the reading off.
+                # A delta may have arrived meanwhile and deferred the read.
                 continue
-            await asyncio.sleep(max(0.0, self._read_at + HURRIED_PACE - now()))
-            self._hurried.clear()
+            await asyncio.sleep(
+                max(0.0, self._last_read_at + REQUESTED_READ_INTERVAL_SECONDS - now())
+            )
+            self._read_requested.clear()
             return
 
-    async def _follow_all(self) -> None:
+    async def _run(self) -> None:
         while True:
             try:
-                if self._must_read_all or self._is_far_behind():
+                if self._needs_full_read or self._should_read_all():
                     await self._read_all()
                 else:
                     await self._watch_all()
-                self._read_at = self._fresh_at = now()
-                self._least_pause = RETRY
+                self._last_read_at = self._up_to_date_at = now()
+                self._min_retry_delay = RETRY_SECONDS
                 self.note_answer()
-                await self._pause()
+                await self._wait_for_next_read()
             except RevisionCompacted:
-                self._must_read_all = True
+                self._needs_full_read = True
             except StoreError as exc:
                 self.note_failure(exc)
-                await self._rest()
+                await self._wait_after_failure()
 
-    async def _rest(self) -> None:
-        """Wait after a failed reading, until news show that something was missed.
+    async def _wait_after_failure(self) -> None:
+        """Wait after a failed read; return early when a delta shows a gap.
 
-        Who tells of it can be reached again, and so may the store. A VM that is cut off
-        from the store alone hears such news all the time, and tries it with growing
-        pauses.
+        The VM that published the delta can be reached again, so the store may be too. A
+        VM that is cut off from the store alone sees such deltas all the time, so its
+        retry delay grows.
         """
-        most = self.retry_pause()
-        least = min(most, self._least_pause)
-        await asyncio.sleep(least)
+        max_delay = self.retry_pause()
+        min_delay = min(max_delay, self._min_retry_delay)
+        await asyncio.sleep(min_delay)
         try:
-            async with asyncio.timeout(most - least):
-                await self._hurried.wait()
+            async with asyncio.timeout(max_delay - min_delay):
+                await self._read_requested.wait()
         except TimeoutError:
             return
-        self._hurried.clear()
-        self._least_pause = min(2 * self._least_pause, HURRIED_RETRY)
+        self._read_requested.clear()
+        self._min_retry_delay = min(
+            2 * self._min_retry_delay, MAX_REQUESTED_RETRY_SECONDS
+        )
 
-    def _is_far_behind(self) -> bool:
-        """Tell whether all records are fewer than their changes since.
+    def _should_read_all(self) -> bool:
+        """Return whether all records are less to read than their changes.
 
-        Each target reports about once a second. The changes of some seconds are many
-        times the records themselves; on a small link they take longer than the time
-        for which anybody would wait, and at the next try there are more of them.
+        Each target reports about once a second, so the changes of a few seconds are
+        many times the records themselves. On a slow link they take longer than the
+        timeout of the call, and each retry has more of them to read.
         """
-        return not self.is_teller() and now() - self._fresh_at > FAR_BEHIND
+        return (
+            not self.is_teller() and now() - self._up_to_date_at > FULL_READ_AGE_SECONDS
+        )
 
-    def _drop_lapsed(self) -> None:
-        settled = self._contact.others_have_it(now())
-        for name in self._directory.expire(now(), settled):
+    def _remove_expired_targets(self) -> None:
+        no_more_renewals = self._connectivity.has_peer_contact(now())
+        for name in self._directory.drop_expired(now(), no_more_renewals):
             log.info(
-                "target dropped: its record did not come back", extra={"target": name}
+                "target removed: its expired record was not renewed",
+                extra={"target": name},
             )
-            self._tell("targets")
+            self._notify_listeners("targets")
 
     async def _read_all(self) -> None:
-        news, began = StoreDelta(self._revision, 0, []), now()
+        delta, started_at = StoreDelta(self._revision, 0, []), now()
         changes = await self._store.read("")
-        was_told = self._revision != news.after
-        if was_told and self._revision >= changes.revision:
-            # Older records must not undo what was told meanwhile.
+        was_updated = self._revision != delta.after
+        if was_updated and self._revision >= changes.revision:
+            # Older records must not overwrite a delta that arrived during the read.
             return
         names, closed, own = set(), set(), set()
         keys = {item.key for item in changes.items}
-        for key in self._keys - keys:
-            news.add(Item(key, None, changes.revision))
-        self._keys = keys
+        for key in self._known_keys - keys:
+            delta.add(Item(key, None, changes.revision))
+        self._known_keys = keys
         for item in changes.items:
-            if item.revision > news.after and self._is_new(item):
-                news.add(item, item.key.startswith(KEYS_PREFIX))
-            record = self._take(item)
+            if item.revision > delta.after and self._is_relevant(item):
+                delta.add(item, item.key.startswith(KEYS_PREFIX))
+            record = self._apply_item(item)
             if item.key.startswith(OWN_PREFIX):
                 own.add(item.key)
             if record is not None and record.target is not None:
                 names.add(record.target.name)
             if record is not None and record.closed:
                 closed.add(record.closed)
-        missing = self._directory.restrict(names, closed, now(), self.in_outage())
+        missing = self._directory.drop_missing(names, closed, now(), self.in_outage())
         for key in [key for key in self.own if key not in own]:
             del self.own[key]
-            self._tell(key)
-        news.revision = self._revision = changes.revision
+            self._notify_listeners(key)
+        delta.revision = self._revision = changes.revision
         self.complete = True
-        self._must_read_all = False
-        if not was_told:
-            self._tell_others(news, began)
+        self._needs_full_read = False
+        if not was_updated:
+            self._publish(delta, started_at)
         log.info(
             "store read",
             extra={
@@ -349,73 +367,73 @@
                 "missing": missing,
             },
         )
-        self._tell("read")
+        self._notify_listeners("read")
 
     async def _watch_all(self) -> None:
-        news, began = StoreDelta(self._revision, 0, []), now()
-        # A teller that stood still during a long wait could not tell how old the answer
-        # is: a call that waits for nothing is as old as it took, on a clock that counts
-        # suspended time.
-        tells = self._tells()
-        wait = 0.0 if tells else ALL_WAIT
+        delta, started_at = StoreDelta(self._revision, 0, []), now()
+        # A publisher suspended during a long wait could not tell how old the answer is.
+        # The answer to a call that does not wait is no older than the call took, by a
+        # clock that counts suspended time.
+        is_publishing = self._is_publishing()
+        wait = 0.0 if is_publishing else WATCH_WAIT_SECONDS
         changes = await self._store.watch("", self._revision, wait)
-        was_told = self._revision != news.after
+        was_updated = self._revision != delta.after
         for item in changes.items:
-            # News may have come during the watch; older changes must not undo it.
-            if item.revision > self._revision and self._is_new(item):
-                news.add(item, item.key.startswith(KEYS_PREFIX))
+            # Older changes must not overwrite a delta that arrived during the watch.
+            if item.revision > self._revision and self._is_relevant(item):
+                delta.add(item, item.key.startswith(KEYS_PREFIX))
             if item.revision > self._revision:
-                self._take(item)
-        news.revision = self._revision = max(self._revision, changes.revision)
-        if tells and not was_told:
-            self._tell_others(news, began)
+                self._apply_item(item)
+        delta.revision = self._revision = max(self._revision, changes.revision)
+        if is_publishing and not was_updated:
+            self._publish(delta, started_at)
 
-    def _tells(self) -> bool:
-        """Tell whether this VM tells others what it reads."""
+    def _is_publishing(self) -> bool:
+        """Return whether this VM publishes what it reads."""
         return self.is_teller() or self.is_deputy()
 
-    def _tell_others(self, news: StoreDelta, began: float) -> None:
-        """Tell the other VMs what was read, with what was told a moment ago.
+    def _publish(self, delta: StoreDelta, started_at: float) -> None:
+        """Publish what was read, together with what was published just before.
 
-        Not for a reading during which this VM was told something itself: what it knew
-        already when the reading came back is not in these news. Whoever took them would
-        believe to know everything up to their revision, and never hear of it.
+        A read during which this VM applied a delta of another VM must not be published.
+        It lacks the changes of that delta, and a VM that applied it would consider
+        itself up to date without ever receiving them.
         """
         moment = now()
-        while self._told and moment - self._told[-1][0] > TOLD_AGAIN:
-            self._told.pop()
-        if not self._tells() or not news.after:
-            # What a first reading finds is not what has changed.
-            self._told.clear()
+        while self._published and moment - self._published[-1][0] > REPUBLISH_SECONDS:
+            self._published.pop()
+        if not self._is_publishing() or not delta.after:
+            # A first read returns the whole state rather than changes.
+            self._published.clear()
             return
-        if self._told and self._told[0][1].revision != news.after:
-            self._told.clear()
-        news.age = moment - began
-        news.contact = self.steady()
-        self.tell(news.since(told for _, told in self._told))
-        self._told.appendleft((moment, news))
-
-    def _is_new(self, item: Item) -> bool:
-        """Tell whether a change matters to VMs that know everything before it."""
+        if self._published and self._published[0][1].revision != delta.after:
+            self._published.clear()
+        delta.age = moment - started_at
+        delta.contact = self.steady()
+        self.tell(delta.with_earlier(earlier for _, earlier in self._published))
+        self._published.appendleft((moment, delta))
+
+    def _is_relevant(self, item: Item) -> bool:
+        """Return whether a change matters to VMs that know every earlier one."""
         if item.value is None or item.key.startswith(OWN_PREFIX):
             return True
         try:
             record = self._reader.read(item)
         except InvalidRecord:
-            # It names nothing that could be used; each reader logs it when it takes it.
+            # The record cannot be used. Each VM that reads it logs that.
             return False
         if record is None or record.target is None:
             return record is not None
         known = self._directory.known.get(record.target.name)
         return known is None or known.differs(record.target, now())
 
-    def _take(self, item: Item):
+    def _apply_item(self, item: Item):
         if item.value is None:
-            self._keys.discard(item.key)
+            self._known_keys.discard(item.key)
         else:
-            self._keys.add(item.key)
-        if item.value is not None and len(item.value) > LARGEST_VALUE:
-            self._named.took(item.key, item.revision)
+            self._known_keys.add(item.key)
+        if item.value is not None and len(item.value) > MAX_INLINE_VALUE_BYTES:
+            self._large_values.note_revision(item.key, item.revision)
         if item.key.startswith(OWN_PREFIX):
             self.take_own(item)
             return None
@@ -425,7 +443,8 @@
             if self._unreadable.get(item.key) != item.value:
                 self._unreadable[item.key] = item.value or b""
                 log.warning(
-                    "record passed over", extra={"key": item.key, "cause": str(exc)}
+                    "invalid record ignored",
+                    extra={"key": item.key, "cause": str(exc)},
                 )
             return None
         if record is None:
@@ -433,21 +452,26 @@
         in_outage = self.in_outage()
         what = self._directory.apply(record, now(), in_outage)
         if record.gone and in_outage and record.gone in self._directory.known:
-            log.info("record gone, its target kept for now", extra={"key": item.key})
+            log.info(
+                "record removed during a store outage; target kept until it expires",
+                extra={"key": item.key},
+            )
         if what:
             self._log_change(what, item)
-            self._tell("configuration" if what == "configuration" else "targets")
+            self._notify_listeners(
+                "configuration" if what == "configuration" else "targets"
+            )
         return record
 
     def _log_change(self, what: str, item: Item) -> None:
-        self._changes.changed(what, item, self._version(), now())
+        self._change_log.changed(what, item, self._configuration_version(), now())
 
-    def _version(self) -> int | None:
+    def _configuration_version(self) -> int | None:
         cfg = self._directory.configuration
         return cfg.version if cfg else None
 
     def take_own(self, item: Item) -> None:
-        """Take in a key that the VMs keep for themselves, unless it is known newer."""
+        """Apply an item that the VMs keep for themselves, unless it is outdated."""
         if not self._is_newer(item.key, item.revision):
             return
         self.own[item.key] = item
@@ -455,7 +479,7 @@
             service = item.key.removeprefix(KEYS_PREFIX)
             self.assignments[service] = Assignment.decode(item.value)
             self.revisions[service] = item.revision
-        self._tell(item.key)
+        self._notify_listeners(item.key)
 
     def _is_newer(self, key: str, revision: int) -> bool:
         known = self.own.get(key)
@@ -464,82 +488,82 @@
     def take_assignment(
         self, service: str, assignment: Assignment, revision: int
     ) -> None:
-        """Take in an assignment that this VM has written, or worked out from a change.
+        """Apply an assignment that this VM has written, or computed from a delta.
 
         Parameters
         ----------
         service : str
         assignment : Assignment
         revision : int
-            Of its key in the store.
+            Revision of the assignment's key in the store.
         """
         key = KEYS_PREFIX + service
         if not self._is_newer(key, revision):
             return
-        self._keys.add(key)
-        # News names it by its revision. It need not be read, whatever its size.
-        self._named.took(key, revision)
-        # Its value is not kept: it is there in the form in which it is used.
+        self._known_keys.add(key)
+        # Deltas list it by revision only. It need not be read, whatever its size.
+        self._large_values.note_revision(key, revision)
+        # The encoded value is not kept, since the decoded assignment is.
         self.own[key] = Item(key, b"", revision)
         self.assignments[service] = assignment
         self.revisions[service] = revision
-        self._tell(key)
+        self._notify_listeners(key)
 
     def take_written(self, item: Item) -> None:
-        """Take in an own key that this VM has just written."""
-        self._take(item)
+        """Apply an item that this VM has just written."""
+        self._apply_item(item)
 
     def take_told(self, item: Item) -> bool:
-        """Take in a value that another VM tells ahead of its news.
+        """Apply a value that another VM pushes ahead of its delta.
 
         Parameters
         ----------
         item : Item
-            An assignment or a configuration. Both say how new they are; of anything
-            else an older state that was told late would replace a newer one.
+            Assignment or configuration. Both carry a version; of any other item a
+            delayed older value would replace a newer one.
 
         Returns
         -------
         bool
-            False for anything else.
+            False if the item is neither, and was ignored.
         """
-        if not item.key.startswith(KEYS_PREFIX) and not self._configures(item):
+        if not item.key.startswith(KEYS_PREFIX) and not self._is_configuration(item):
             return False
-        self._take(item)
+        self._apply_item(item)
         return True
 
-    def _configures(self, item: Item) -> bool:
+    def _is_configuration(self, item: Item) -> bool:
         if item.key.startswith(OWN_PREFIX):
             return False
         try:
             record = self._reader.read(item)
         except InvalidRecord:
-            # Whoever reads it in the store logs it.
+            # Each VM that reads the record in the store logs it.
             return False
         return record is not None and record.configuration is not None
 
-    def _tell(self, what: str) -> None:
+    def _notify_listeners(self, what: str) -> None:
         for listener in self.listeners:
             listener(what)
 
     def note_answer(self) -> None:
-        """Note that the store has answered a call of this VM."""
+        """Record that the store has answered a call of this VM."""
         moment = now()
-        if self._contact.was_lost():
-            away = round(self._contact.away(moment), 2)
-            log.info("store regained", extra={"away": away})
-            self._postpone_expiry(moment)
-        self._contact.answered(moment)
+        if self._connectivity.is_failing():
+            seconds = round(self._connectivity.outage_seconds(moment), 2)
+            log.info("store regained", extra={"away": seconds})
+            self._restart_expiry_grace(moment)
+        self._connectivity.mark_success(moment)
 
     def note_failure(self, exc: Exception) -> None:
-        """Note that the store has not answered a call of this VM."""
+        """Record that the store has not answered a call of this VM."""
         moment = now()
-        if not self._contact.is_lost():
+        if not self._connectivity.is_disconnected():
             log.warning("store lost", extra={"cause": str(exc)})
-        self._contact.failed(moment)
-        self._postpone_expiry(moment)
+        self._connectivity.mark_failure(moment)
+        self._restart_expiry_grace(moment)
 
-    def _postpone_expiry(self, moment: float) -> None:
-        """Let lapsed records keep their whole time while the store is away."""
-        if self._contact.in_outage(moment):
-            self._directory.postpone_expiry(moment)
+    def _restart_expiry_grace(self, moment: float) -> None:
+        """Restart the grace period of expired records during an outage."""
+        if self._connectivity.in_outage(moment):
+            self._directory.restart_expiry_grace(moment)
