--- a/packages/entry/src/berylstage_entry/application.py
+++ b/packages/entry/src/berylstage_entry/application.py
@@ -17,29 +17,29 @@
 from berylstage_entry.errors import UnreadableRecord
 from berylstage_entry.feed import Feed
 from berylstage_entry.granting import Granting
+from berylstage_entry.internal_http import InternalServer
 from berylstage_entry.journal import RequestJournal
 from berylstage_entry.loop_watch import LoopWatch
 from berylstage_entry.membership import UNKNOWN, Membership
-from berylstage_entry.metrics import Metrics, stop_text
+from berylstage_entry.metrics import Metrics, format_shutdown_metrics
 from berylstage_entry.news import FORMAT as NEWS_FORMAT
 from berylstage_entry.news import News
 from berylstage_entry.office import CONTACT_PATH, HAND_ON_PATH, Office
-from berylstage_entry.pages import PageServer
 from berylstage_entry.peers import Peers
 from berylstage_entry.probes import LoadProbes
 from berylstage_entry.queue_keeper import QueueKeeper
-from berylstage_entry.replies import Reply as PageReply
 from berylstage_entry.reports import FORMAT as COUNTS_FORMAT
 from berylstage_entry.reports import SPEEDS_PATH, Reports
+from berylstage_entry.responses import Response as PageResponse
 from berylstage_entry.router import Router
 from berylstage_entry.senders import Senders
 from berylstage_entry.server import CallerServer, split_address
-from berylstage_entry.stopping import (
-    BALANCER_LAG,
+from berylstage_entry.shutdown import (
+    BALANCER_LAG_SECONDS,
     STOP_SIGNALS,
     Phase,
-    PhaseTimes,
-    StopPlan,
+    PhaseTimer,
+    ShutdownPlan,
 )
 from berylstage_entry.turn_messages import (
     ASK_FORMAT,
@@ -60,9 +60,9 @@
     from berylstage_entry.wire import CallerWire, RecordReader, TargetWire
 
 # Seconds for which other VMs still ask this one for turns after its record is gone.
-RECORD_LAG = 0.5
+RECORD_LAG_SECONDS = 0.5
 # Seconds between two looks at what a stop waits for.
-STOP_LOOK = 0.02
+DRAIN_POLL_SECONDS = 0.02
 # Status of a page that tells no.
 UNAVAILABLE = 503
 
@@ -79,7 +79,7 @@
     callers : CallerWire
     targets : TargetWire
     records : RecordReader
-    log_writing : callable, optional
+    log_write_seconds : callable, optional
         Returns the seconds that log lines have taken to write since the start.
     """
 
@@ -90,7 +90,7 @@
         callers: CallerWire,
         targets: TargetWire,
         records: RecordReader,
-        log_writing: Callable[[], float] = lambda: 0.0,
+        log_write_seconds: Callable[[], float] = lambda: 0.0,
     ):
         self.cfg = cfg
         self.rng = Random()
@@ -98,7 +98,7 @@
         self.directory = Directory()
         self.feed = Feed(store, records, self.directory)
         self.metrics = Metrics()
-        self.loop_watch = LoopWatch(self.metrics, log_writing)
+        self.loop_watch = LoopWatch(self.metrics, log_write_seconds)
         self.senders = Senders(targets)
         self.router = Router(
             self.directory,
@@ -149,8 +149,8 @@
         self.probes = LoadProbes(self.router.loads, self.directory, self.turns, targets)
         journal = RequestJournal(self.metrics)
         self.server = CallerServer(callers, self.router, journal, self._limits)
-        self.ready_page = PageServer({callers.ready_path: self._ready})
-        self.control_page = PageServer(
+        self.ready_server = InternalServer({callers.ready_path: self._ready})
+        self.control_server = InternalServer(
             {
                 HAND_ON_PATH: self._hand_on,
                 CONTACT_PATH: self._contact,
@@ -158,14 +158,14 @@
                 TOLD_PATH: self._take_told,
             }
         )
-        self.metrics_page = PageServer({"/metrics": self._metrics_text})
+        self.metrics_server = InternalServer({"/metrics": self._metrics_text})
         self._members_revision = 0
         self.feed.listeners.append(self._heard)
         # Keeps the task that tells large values from being collected.
-        self._telling: asyncio.Task | None = None
+        self._announce_task: asyncio.Task | None = None
         self._stop = asyncio.Event()
         self.stopping = False
-        self._phase_times = PhaseTimes()
+        self._phase_timer = PhaseTimer()
 
     def ready(self) -> bool:
         """Tell whether the balancer should send callers here."""
@@ -189,10 +189,10 @@
     def start(self) -> None:
         """Start all parts."""
         self.server.listen(self.cfg.callers)
-        self.ready_page.listen(self.cfg.ready)
-        self.control_page.listen(self.cfg.control)
+        self.ready_server.listen(self.cfg.ready)
+        self.control_server.listen(self.cfg.control)
         host, _ = split_address(self.cfg.callers)
-        self.metrics_page.listen(f"{host}:{self.cfg.metrics_port}")
+        self.metrics_server.listen(f"{host}:{self.cfg.metrics_port}")
         self.loop_watch.start()
         self.feed.start()
         self.membership.start()
@@ -206,28 +206,28 @@
 
     async def stop(self) -> None:
         """Shut down: not ready at once, the duty handed over, no request cut."""
-        plan = StopPlan(now(), self.cfg.bounds.stop_time)
+        plan = ShutdownPlan(now(), self.cfg.bounds.stop_time)
         self.stopping = True
-        self._phase_times.enter(Phase.LEAVING, plan.begun)
-        self.server.closing = True
-        self.server.time_limit = lambda: plan.time_left(now())
+        self._phase_timer.enter(Phase.LEAVING, plan.started_at)
+        self.server.is_stopping = True
+        self.server.shutdown_time_left = lambda: plan.time_left(now())
         log.info("stopping", extra={"in_flight": self.server.in_flight})
-        await self._within(plan, self.office.resign())
+        await self._run_step(plan, self.office.resign())
         self.granting.stop()
         self.reports.stop()
         self.announcements.close()
         self.probes.stop()
-        await self._within(plan, self.membership.stop())
-        await asyncio.sleep(max(plan.leave_at - now(), RECORD_LAG))
-        self.server.refuse_more()
+        await self._run_step(plan, self.membership.stop())
+        await asyncio.sleep(max(plan.drain_at - now(), RECORD_LAG_SECONDS))
+        self.server.start_draining()
         await self._drain(plan)
         self.feed.stop()
         # Until here callers came and waited for their turns, and other VMs did for
         # theirs at the queues that this VM keeps.
         self.keeper.stop()
         await self.server.close()
-        self._tell_stop()
-        pages = self.ready_page, self.control_page, self.metrics_page
+        self._log_stopped()
+        pages = self.ready_server, self.control_server, self.metrics_server
         await asyncio.gather(*(page.close() for page in pages))
         # Requests that were cut have given their turns back by now.
         self.datagrams.close()
@@ -236,46 +236,46 @@
         self.store.close()
         self.loop_watch.stop()
 
-    async def _drain(self, plan: StopPlan) -> None:
+    async def _drain(self, plan: ShutdownPlan) -> None:
         """Wait until nothing is under way, and log how long each phase took."""
         phase = Phase.LEAVING
         while phase is not Phase.ENDED:
-            self.server.close_idle()
-            standing = self.server.standing()
-            reached = plan.phase(now(), standing)
+            self.server.close_idle_connections()
+            pending_work = self.server.pending_work()
+            reached = plan.phase(now(), pending_work)
             if reached is not phase:
-                seconds = round(self._phase_times.enter(reached, now()), 3)
+                seconds = round(self._phase_timer.enter(reached, now()), 3)
                 log.info(
                     "stop phase ended",
                     extra={
                         "phase": phase.value,
                         "seconds": seconds,
-                        "serving": standing.serving,
-                        "flushing": standing.flushing,
-                        "bytes_left": standing.bytes_left,
+                        "serving": pending_work.serving,
+                        "flushing": pending_work.flushing,
+                        "bytes_left": pending_work.unacknowledged_bytes,
                     },
                 )
                 phase = reached
                 continue
-            await asyncio.sleep(STOP_LOOK)
+            await asyncio.sleep(DRAIN_POLL_SECONDS)
 
-    def _tell_stop(self) -> None:
+    def _log_stopped(self) -> None:
         counts = self.server.counts
         log.info(
             "stopped",
             extra={
-                "begun": counts.begun,
-                "closed_idle": counts.closed_idle,
-                "cut": counts.cut,
+                "begun": counts.requests_received,
+                "closed_idle": counts.idle_closed,
+                "cut": counts.connections_cut,
                 "bytes_cut": counts.bytes_cut,
             },
         )
 
-    async def _within(self, plan: StopPlan, step) -> None:
+    async def _run_step(self, plan: ShutdownPlan, step) -> None:
         """Do one step of the shutdown, in the time that callers need not have."""
         # What callers have sent by the time that the balancer notices may take as long
         # again.
-        left = plan.end - BALANCER_LAG - now()
+        left = plan.cut_off_at - BALANCER_LAG_SECONDS - now()
         try:
             async with asyncio.timeout(max(0.0, left)):
                 await step
@@ -331,7 +331,7 @@
 
     def _tell_news(self, told: News) -> None:
         if told.large:
-            self._telling = asyncio.create_task(self._tell_large(told))
+            self._announce_task = asyncio.create_task(self._tell_large(told))
         else:
             self._send_news(told)
 
@@ -358,25 +358,27 @@
             return
         self.feed.take_news(told)
 
-    def _ready(self, body: bytes) -> PageReply:
-        return PageReply(200 if self.ready() else UNAVAILABLE)
+    def _ready(self, body: bytes) -> PageResponse:
+        return PageResponse(200 if self.ready() else UNAVAILABLE)
 
-    def _hand_on(self, body: bytes) -> PageReply:
+    def _hand_on(self, body: bytes) -> PageResponse:
         # Orders under way may still arrive while this VM has the duty for certain.
         if not self.office.may_hand_on(body):
-            return PageReply(UNAVAILABLE)
-        return PageReply(200, body=self.granting.handed_on())
+            return PageResponse(UNAVAILABLE)
+        return PageResponse(200, body=self.granting.handed_on())
 
-    async def _contact(self, body: bytes) -> PageReply:
-        return PageReply(200, body=str(await self.feed.contact()).encode())
+    async def _contact(self, body: bytes) -> PageResponse:
+        return PageResponse(200, body=str(await self.feed.contact()).encode())
 
-    def _take_speeds(self, body: bytes) -> PageReply:
-        return PageReply(200 if self.reports.take_speeds(body) else 400)
+    def _take_speeds(self, body: bytes) -> PageResponse:
+        return PageResponse(200 if self.reports.take_speeds(body) else 400)
 
-    def _take_told(self, body: bytes) -> PageReply:
-        return PageReply(200 if self.announcements.take(body) else 400)
+    def _take_told(self, body: bytes) -> PageResponse:
+        return PageResponse(200 if self.announcements.take(body) else 400)
 
-    def _metrics_text(self, body: bytes) -> PageReply:
+    def _metrics_text(self, body: bytes) -> PageResponse:
         headers = [("Content-Type", "text/plain; version=0.0.4")]
-        stop = stop_text(self.server.counts, self._phase_times.seconds(now()))
-        return PageReply(200, headers, (self.metrics.text() + stop).encode())
+        stop = format_shutdown_metrics(
+            self.server.counts, self._phase_timer.seconds(now())
+        )
+        return PageResponse(200, headers, (self.metrics.text() + stop).encode())
--- a/packages/entry/src/berylstage_entry/exchange.py
+++ b/packages/entry/src/berylstage_entry/exchange.py
@@ -10,7 +10,7 @@
     from asyncio import Task
 
     from berylstage_entry.errors import BadRequest, Refused
-    from berylstage_entry.replies import Reply
+    from berylstage_entry.responses import Response
     from berylstage_entry.wire import CallerRequest
 
 
@@ -19,49 +19,49 @@
 
     Parameters
     ----------
-    safe : bool
+    is_safe : bool
         Whether it may be begun beside others of its connection.
-    keeps_alive : bool
+    keep_alive : bool
         Whether the caller means to send more on the connection.
 
     Attributes
     ----------
-    arrived : float
+    received_at : float
         When its head was whole.
-    held : int
+    reserved_bytes : int
         Bytes counted against what all bodies may take.
-    whole : bool
+    is_complete : bool
         Whether all of it has been read.
     """
 
     __slots__ = (
-        "arrived",
-        "chunks",
-        "held",
-        "keeps_alive",
+        "received_at",
+        "body_chunks",
+        "reserved_bytes",
+        "keep_alive",
         "refusal",
-        "reply",
+        "response",
         "req",
-        "safe",
-        "size",
+        "is_safe",
+        "body_size",
         "task",
-        "whole",
+        "is_complete",
     )
 
-    def __init__(self, safe: bool, keeps_alive: bool):
-        self.arrived = now()
-        self.safe = safe
-        self.keeps_alive = keeps_alive
+    def __init__(self, is_safe: bool, keep_alive: bool):
+        self.received_at = now()
+        self.is_safe = is_safe
+        self.keep_alive = keep_alive
         self.req: CallerRequest | None = None
         self.refusal: BadRequest | Refused | None = None
-        self.chunks: list[bytes] = []
-        self.size = 0
-        self.held = 0
-        self.whole = False
+        self.body_chunks: list[bytes] = []
+        self.body_size = 0
+        self.reserved_bytes = 0
+        self.is_complete = False
         self.task: Task | None = None
-        self.reply: Reply | None = None
+        self.response: Response | None = None
 
     @property
-    def closes(self) -> bool:
+    def closes_connection(self) -> bool:
         """Whether the connection ends with it."""
-        return self.refusal is not None or not self.keeps_alive
+        return self.refusal is not None or not self.keep_alive
--- a/packages/entry/src/berylstage_entry/pages.py
+++ b/packages/entry/src/berylstage_entry/internal_http.py
@@ -16,9 +16,9 @@
 )
 
 from berylstage_entry.clock import now
-from berylstage_entry.replies import Reply
-from berylstage_entry.server import FIRST_BODY_LIMIT, split_address
-from berylstage_entry.sockets import Unread, unread_in, unsent_in
+from berylstage_entry.responses import Response
+from berylstage_entry.server import DEFAULT_MAX_BODY_BYTES, split_address
+from berylstage_entry.sockets import Unread, socket_send_queue_bytes, unread_in
 
 if TYPE_CHECKING:
     from asyncio import Future
@@ -26,16 +26,16 @@
 
     from tornado.iostream import IOStream
 
-    Page = Callable[[bytes], "Reply | Awaitable[Reply]"]
+    Handler = Callable[[bytes], "Response | Awaitable[Response]"]
 
 # Seconds that the end waits for what is under way: half of what a stop keeps for what
 # comes after its last request.
-LONGEST_WAIT = 0.3
+CLOSE_TIMEOUT_SECONDS = 0.3
 # Seconds between two looks at that.
-LOOK = 0.005
+CLOSE_POLL_SECONDS = 0.005
 
 
-def write_reply(conn, reply: Reply, closing: bool) -> Future[None]:
+def write_response(conn, reply: Response, closing: bool) -> Future[None]:
     """Write a reply on a connection of tornado's; the future ends when it has left."""
     headers = HTTPHeaders()
     for name, value in reply.headers:
@@ -50,7 +50,7 @@
     return sent
 
 
-class _PageConnection:
+class _InternalConnection:
     """A connection of the balancer or another VM.
 
     Parameters
@@ -66,21 +66,21 @@
         self.is_serving = False
 
     @property
-    def under_way(self) -> bool:
+    def has_pending_work(self) -> bool:
         """Whether anything would be lost if the connection ended now."""
         if self.is_serving or self.stream.writing():
             return True
         sock = self.stream.socket
-        if unsent_in(sock) > 0 or unread_in(sock) is Unread.BYTES:
+        if socket_send_queue_bytes(sock) > 0 or unread_in(sock) is Unread.BYTES:
             return True
         # Between two reads the stream has bytes of a question that nobody has seen yet.
         return not self.stream.reading()
 
 
-class _PageExchange(HTTPMessageDelegate):
+class _InternalExchange(HTTPMessageDelegate):
     """A small request of the balancer or another VM."""
 
-    def __init__(self, pages: PageServer, page_conn: _PageConnection, conn):
+    def __init__(self, pages: InternalServer, page_conn: _InternalConnection, conn):
         self._pages = pages
         self._page_conn = page_conn
         self._conn = conn
@@ -106,9 +106,9 @@
     async def _answer(self) -> None:
         try:
             reply = self._pages.answer(self._path, b"".join(self._chunks))
-            if not isinstance(reply, Reply):
+            if not isinstance(reply, Response):
                 reply = await reply
-            write_reply(self._conn, reply, self._pages.closing)
+            write_response(self._conn, reply, self._pages.is_closing)
         finally:
             self._page_conn.is_serving = False
 
@@ -116,7 +116,7 @@
         """Let the answer be made; nobody takes it."""
 
 
-class PageServer(HTTPServerConnectionDelegate):
+class InternalServer(HTTPServerConnectionDelegate):
     """Serves small pages that need no waiting.
 
     Parameters
@@ -130,15 +130,15 @@
         Whether answers say that their connection closes.
     """
 
-    def __init__(self, pages: dict[str, Page]):
+    def __init__(self, pages: dict[str, Handler]):
         self._pages = pages
         self._server: HTTPServer | None = None
-        self._connections: dict[object, _PageConnection] = {}
-        self.closing = False
+        self._connections: dict[object, _InternalConnection] = {}
+        self.is_closing = False
 
     def listen(self, address: str) -> None:
         """Accept connections."""
-        self._server = HTTPServer(self, max_body_size=FIRST_BODY_LIMIT)
+        self._server = HTTPServer(self, max_body_size=DEFAULT_MAX_BODY_BYTES)
         host, port = split_address(address)
         self._server.listen(port, host)
 
@@ -146,33 +146,33 @@
         """Return what takes a new request."""
         known = self._connections.get(server_conn)
         if known is None:
-            known = _PageConnection(server_conn.stream)
+            known = _InternalConnection(server_conn.stream)
             self._connections[server_conn] = known
-        return _PageExchange(self, known, request_conn)
+        return _InternalExchange(self, known, request_conn)
 
     def on_close(self, server_conn) -> None:
         """Note that a connection is no more."""
         self._connections.pop(server_conn, None)
 
-    def answer(self, path: str, body: bytes) -> Reply | Awaitable[Reply]:
+    def answer(self, path: str, body: bytes) -> Response | Awaitable[Response]:
         """Return the reply for a path, or what brings it."""
         page = self._pages.get(path)
-        return page(body) if page is not None else Reply(404)
+        return page(body) if page is not None else Response(404)
 
     async def close(self) -> None:
         """Close all connections, those with something under way when it has left."""
         if self._server is None:
             return
-        self.closing = True
+        self.is_closing = True
         self._server.stop()
-        end = now() + LONGEST_WAIT
+        end = now() + CLOSE_TIMEOUT_SECONDS
         while self._close_idle() and now() < end:
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(CLOSE_POLL_SECONDS)
         await self._server.close_all_connections()
 
     def _close_idle(self) -> int:
         """Close what has nothing under way; return how many connections are left."""
         for conn in list(self._connections.values()):
-            if not conn.under_way:
+            if not conn.has_pending_work:
                 conn.stream.close()
         return sum(not conn.stream.closed() for conn in self._connections.values())
--- a/packages/entry/src/berylstage_entry/journal.py
+++ b/packages/entry/src/berylstage_entry/journal.py
@@ -16,10 +16,10 @@
 # Lines a second about requests that failed or were refused, and about those that went
 # well. One line costs about 60 us of processor time, so both together stay below 0.3%
 # of a core; what is left out is counted.
-FAILURE_LINES = 40.0
-SUCCESS_LINES = 3.0
+FAILURE_LINES_PER_SECOND = 40.0
+SUCCESS_LINES_PER_SECOND = 3.0
 # Times the lines of a second that may come at once.
-BURST = 2.0
+BURST_SECONDS = 2.0
 SERVER_ERROR = 500
 
 log = Logger(__name__)
@@ -34,20 +34,20 @@
         Lines a second.
     """
 
-    __slots__ = ("_at", "_rate", "_tokens", "left_out")
+    __slots__ = ("_refilled_at", "_rate", "_tokens", "left_out")
 
     def __init__(self, rate: float):
         self._rate = rate
-        self._tokens = rate * BURST
-        self._at = now()
+        self._tokens = rate * BURST_SECONDS
+        self._refilled_at = now()
         self.left_out = 0
 
     def take(self) -> bool:
         """Tell whether one more line may be written, and count it."""
         moment = now()
-        filled = self._tokens + (moment - self._at) * self._rate
-        self._tokens = min(self._rate * BURST, filled)
-        self._at = moment
+        filled = self._tokens + (moment - self._refilled_at) * self._rate
+        self._tokens = min(self._rate * BURST_SECONDS, filled)
+        self._refilled_at = moment
         if self._tokens < 1:
             self.left_out += 1
             return False
@@ -70,16 +70,16 @@
 
     def __init__(self, metrics: Metrics):
         self._metrics = metrics
-        self._failures = LineBudget(FAILURE_LINES)
-        self._successes = LineBudget(SUCCESS_LINES)
+        self._failure_limiter = LineBudget(FAILURE_LINES_PER_SECOND)
+        self._success_limiter = LineBudget(SUCCESS_LINES_PER_SECOND)
 
-    def answered(self, req: CallerRequest, done: Answered, seconds: float) -> None:
+    def log_answered(self, req: CallerRequest, done: Answered, seconds: float) -> None:
         """Note a target's answer that went to the caller."""
         answer = done.answer
         outcome = "failed" if answer.status >= SERVER_ERROR else "answered"
         self._metrics.request(req.host, outcome, seconds)
         failed = outcome == "failed"
-        budget = self._failures if failed else self._successes
+        budget = self._failure_limiter if failed else self._success_limiter
         if not budget.take():
             return
         log.info(
@@ -95,7 +95,7 @@
             },
         )
 
-    def ended(
+    def log_unanswered(
         self,
         req: CallerRequest,
         status: int,
@@ -117,7 +117,7 @@
             What decided it, and how old that was.
         """
         self._metrics.request(req.host, reason, seconds)
-        if not self._failures.take():
+        if not self._failure_limiter.take():
             return
         log.info(
             "request ended",
@@ -129,12 +129,12 @@
                 "path": req.path,
                 "seconds": round(seconds, 4),
                 "time_left": round(req.time_left - seconds, 4),
-                "left_out": self._failures.take_left_out(),
+                "left_out": self._failure_limiter.take_left_out(),
             },
         )
 
-    def malformed(self, cause: str) -> None:
+    def log_malformed(self, cause: str) -> None:
         """Note a request that could not be read."""
         self._metrics.count("malformed")
-        if self._failures.take():
+        if self._failure_limiter.take():
             log.info("request malformed", extra={"cause": cause})
--- a/packages/entry/src/berylstage_entry/line_writers.py
+++ b/packages/entry/src/berylstage_entry/line_writers.py
@@ -9,12 +9,12 @@
 from abc import ABC, abstractmethod
 
 from berylstage_entry.clock import now
-from berylstage_entry.stopping import STOP_SIGNALS
+from berylstage_entry.shutdown import STOP_SIGNALS
 
 # Bytes kept while they can't be written; what comes beyond is left out.
-KEPT = 256 * 1024
+MAX_BUFFERED_BYTES = 256 * 1024
 # Seconds for which the end of the process waits for lines that are not written yet.
-CLOSE_TIME = 1.0
+CLOSE_TIMEOUT_SECONDS = 1.0
 
 
 class LineWriter(ABC):
@@ -40,7 +40,7 @@
         """Write what was kept, as far as that takes no time."""
 
 
-class PipeWriter(LineWriter):
+class NonBlockingWriter(LineWriter):
     """Writes what the other end takes at once, and keeps the rest.
 
     A pipe that nobody reads is full after 64 KB, and a blocking write would then stop
@@ -51,38 +51,38 @@
     fd : int
     """
 
-    __slots__ = ("_fd", "_kept")
+    __slots__ = ("_fd", "_buffer")
 
     def __init__(self, fd: int):
         super().__init__()
         self._fd = fd
-        self._kept = b""
+        self._buffer = b""
         os.set_blocking(fd, False)
 
     def write(self, data: bytes) -> bool:  # noqa: D102
-        if len(self._kept) + len(data) > KEPT:
+        if len(self._buffer) + len(data) > MAX_BUFFERED_BYTES:
             return False
-        self._kept += data
+        self._buffer += data
         began = now()
         try:
-            written = os.write(self._fd, self._kept)
+            written = os.write(self._fd, self._buffer)
         except BlockingIOError:
             return True
         except OSError:
             # Nobody will read any more; there is no place left to say so.
-            self._kept = b""
+            self._buffer = b""
             return True
         finally:
             self.writing += now() - began
-        self._kept = self._kept[written:]
+        self._buffer = self._buffer[written:]
         return True
 
     def close(self) -> None:  # noqa: D102
-        if self._kept:
+        if self._buffer:
             self.write(b"")
 
 
-class FileWriter(LineWriter):
+class ThreadedWriter(LineWriter):
     """Has a thread write to a file.
 
     A file is always ready, as far as anybody can ask, and a write to it still takes
@@ -93,39 +93,39 @@
     fd : int
     """
 
-    __slots__ = ("_closing", "_fd", "_kept", "_thread", "_wake")
+    __slots__ = ("_closing", "_fd", "_buffer", "_thread", "_condition")
 
     def __init__(self, fd: int):
         super().__init__()
         self._fd = fd
-        self._kept = b""
+        self._buffer = b""
         self._closing = False
-        self._wake = threading.Condition()
+        self._condition = threading.Condition()
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
 
     def write(self, data: bytes) -> bool:  # noqa: D102
-        with self._wake:
-            if len(self._kept) + len(data) > KEPT:
+        with self._condition:
+            if len(self._buffer) + len(data) > MAX_BUFFERED_BYTES:
                 return False
-            self._kept += data
-            self._wake.notify()
+            self._buffer += data
+            self._condition.notify()
         return True
 
     def close(self) -> None:  # noqa: D102
-        with self._wake:
+        with self._condition:
             self._closing = True
-            self._wake.notify()
-        self._thread.join(CLOSE_TIME)
+            self._condition.notify()
+        self._thread.join(CLOSE_TIMEOUT_SECONDS)
 
     def _run(self) -> None:
         # A signal that came to this thread, when the event loop has closed and the main
         # thread blocks it, would end the process with a status that looks like a crash.
         signal.pthread_sigmask(signal.SIG_BLOCK, STOP_SIGNALS)
         while True:
-            with self._wake:
-                self._wake.wait_for(lambda: self._kept or self._closing)
-                data, self._kept = self._kept, b""
+            with self._condition:
+                self._condition.wait_for(lambda: self._buffer or self._closing)
+                data, self._buffer = self._buffer, b""
             if not data:
                 return
             self._write_all(data)
@@ -139,8 +139,8 @@
                 return
 
 
-def line_writer(fd: int) -> LineWriter:
+def create_line_writer(fd: int) -> LineWriter:
     """Return what writes lines to a file descriptor, by what it leads to."""
     if stat.S_ISREG(os.fstat(fd).st_mode):
-        return FileWriter(fd)
-    return PipeWriter(fd)
+        return ThreadedWriter(fd)
+    return NonBlockingWriter(fd)
--- a/packages/entry/src/berylstage_entry/logs.py
+++ b/packages/entry/src/berylstage_entry/logs.py
@@ -9,7 +9,7 @@
 
 from logbook import INFO, Handler, set_datetime_format
 
-from berylstage_entry.line_writers import line_writer
+from berylstage_entry.line_writers import create_line_writer
 
 if TYPE_CHECKING:
     from logbook import LogRecord
@@ -26,8 +26,8 @@
     def __init__(self, vm: str):
         super().__init__(level=INFO)
         self._vm = vm
-        self._writer = line_writer(sys.stdout.fileno())
-        self._left_out = 0
+        self._writer = create_line_writer(sys.stdout.fileno())
+        self._lines_lost = 0
         set_datetime_format(lambda: datetime.now(timezone.utc))
 
     @property
@@ -49,12 +49,12 @@
         line |= {k: v for k, v in record.extra.items() if k not in line}
         if record.exc_info:
             line["exception"] = record.formatted_exception
-        if self._left_out:
-            line["lines_lost"] = self._left_out
+        if self._lines_lost:
+            line["lines_lost"] = self._lines_lost
         if self._writer.write((json.dumps(line, default=str) + "\n").encode()):
-            self._left_out = 0
+            self._lines_lost = 0
         else:
-            self._left_out += 1
+            self._lines_lost += 1
 
     def close(self) -> None:
         """Write what is kept, as far as that takes no time."""
--- a/packages/entry/src/berylstage_entry/metrics.py
+++ b/packages/entry/src/berylstage_entry/metrics.py
@@ -9,25 +9,46 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from berylstage_entry.server import StopCounts
+    from berylstage_entry.server import ShutdownCounts
 
 # Upper bounds of the histograms' buckets, in seconds: finer than a factor of 1.6 where
 # objectives lie (0.15 to 0.8 s).
-BUCKETS = (0.01, 0.02, 0.04, 0.07, 0.1, 0.15, 0.2, 0.3, 0.4, 0.6, 0.8, 1.2, 2.0, 5.0)
+LATENCY_BUCKETS_SECONDS = (
+    0.01,
+    0.02,
+    0.04,
+    0.07,
+    0.1,
+    0.15,
+    0.2,
+    0.3,
+    0.4,
+    0.6,
+    0.8,
+    1.2,
+    2.0,
+    5.0,
+)
 
 
 class Metrics:
     """Counts and times since the start of the process."""
 
-    __slots__ = ("_counts", "_histograms", "_loop_late", "_loop_lates", "_sums")
+    __slots__ = (
+        "_counts",
+        "_histograms",
+        "_loop_delay_seconds",
+        "_loop_delay_count",
+        "_sums",
+    )
 
     def __init__(self) -> None:
         self._counts: dict[str, int] = {}
         self._histograms: dict[tuple[str, str], list[int]] = {}
         self._sums: dict[tuple[str, str], float] = {}
         # How often the event loop was late, and the seconds of that.
-        self._loop_lates = 0
-        self._loop_late = 0.0
+        self._loop_delay_count = 0
+        self._loop_delay_seconds = 0.0
 
     def count(self, name: str, amount: int = 1) -> None:
         """Count something."""
@@ -40,8 +61,8 @@
         ----------
         seconds : float
         """
-        self._loop_lates += 1
-        self._loop_late += seconds
+        self._loop_delay_count += 1
+        self._loop_delay_seconds += seconds
 
     def request(self, tenant: str, outcome: str, seconds: float) -> None:
         """Record a request that has ended.
@@ -56,9 +77,11 @@
         pair = (tenant, outcome)
         histogram = self._histograms.get(pair)
         if histogram is None:
-            histogram = self._histograms[pair] = [0] * (len(BUCKETS) + 1)
+            histogram = self._histograms[pair] = [0] * (
+                len(LATENCY_BUCKETS_SECONDS) + 1
+            )
             self._sums[pair] = 0.0
-        histogram[bisect_left(BUCKETS, seconds)] += 1
+        histogram[bisect_left(LATENCY_BUCKETS_SECONDS, seconds)] += 1
         self._sums[pair] += seconds
 
     def text(self) -> str:
@@ -70,18 +93,22 @@
         for (tenant, outcome), histogram in sorted(self._histograms.items()):
             labels = f'tenant="{tenant}",outcome="{outcome}"'
             totals = list(accumulate(histogram))
-            for bound, total in zip((*BUCKETS, "+Inf"), totals, strict=True):
+            for bound, total in zip(
+                (*LATENCY_BUCKETS_SECONDS, "+Inf"), totals, strict=True
+            ):
                 name = "berylstage_request_seconds_bucket"
                 lines.append(f'{name}{{{labels},le="{bound}"}} {total}')
             total_time = self._sums[tenant, outcome]
             lines.append(f"berylstage_request_seconds_sum{{{labels}}} {total_time:.6f}")
             lines.append(f"berylstage_request_seconds_count{{{labels}}} {totals[-1]}")
-        lines.append(f"berylstage_loop_late_seconds_sum {self._loop_late:.3f}")
-        lines.append(f"berylstage_loop_late_seconds_count {self._loop_lates}")
+        lines.append(f"berylstage_loop_late_seconds_sum {self._loop_delay_seconds:.3f}")
+        lines.append(f"berylstage_loop_late_seconds_count {self._loop_delay_count}")
         return "\n".join(lines) + "\n"
 
 
-def stop_text(counts: StopCounts, seconds: Mapping[str, float]) -> str:
+def format_shutdown_metrics(
+    counts: ShutdownCounts, seconds: Mapping[str, float]
+) -> str:
     """Return what a stop costs in the text format that scrapers read.
 
     Parameters
@@ -95,9 +122,9 @@
     str
     """
     lines = [
-        f'berylstage_stop_events_total{{event="begun"}} {counts.begun}',
-        f'berylstage_stop_events_total{{event="closed_idle"}} {counts.closed_idle}',
-        f'berylstage_stop_events_total{{event="cut"}} {counts.cut}',
+        f'berylstage_stop_events_total{{event="begun"}} {counts.requests_received}',
+        f'berylstage_stop_events_total{{event="closed_idle"}} {counts.idle_closed}',
+        f'berylstage_stop_events_total{{event="cut"}} {counts.connections_cut}',
         f"berylstage_stop_bytes_cut_total {counts.bytes_cut}",
     ]
     lines += [
--- a/packages/entry/src/berylstage_entry/replies.py
+++ b/packages/entry/src/berylstage_entry/responses.py
@@ -8,18 +8,18 @@
 NO_CONTENT = 204
 NOT_MODIFIED = 304
 BAD_REQUEST = 400
-TOO_LARGE = 413
-HEAD_TOO_LARGE = 431
+CONTENT_TOO_LARGE = 413
+HEADERS_TOO_LARGE = 431
 BAD_GATEWAY = 502
 UNAVAILABLE = 503
 GATEWAY_TIMEOUT = 504
 
 # Statuses whose answers have no body, and so no length.
-_BODILESS = frozenset({NO_CONTENT, NOT_MODIFIED})
-_REASONS = {status.value: status.phrase for status in HTTPStatus}
+_STATUSES_WITHOUT_BODY = frozenset({NO_CONTENT, NOT_MODIFIED})
+_REASON_PHRASES = {status.value: status.phrase for status in HTTPStatus}
 
 
-class Reply:
+class Response:
     """What goes back to a caller.
 
     Parameters
@@ -39,30 +39,34 @@
         self.body = body
 
 
-def reply_bytes(reply: Reply, closing: bool) -> bytes:
+def encode_response(response: Response, closes_connection: bool) -> bytes:
     """Return a reply as it is sent.
 
     Parameters
     ----------
-    reply : Reply
-    closing : bool
+    response : Reply
+    closes_connection : bool
         Whether the connection ends with it.
 
     Returns
     -------
     bytes
     """
-    reason = _REASONS.get(reply.status, "Unknown")
-    lines = [f"HTTP/1.1 {reply.status} {reason}"]
-    lines += [f"{name}: {value}" for name, value in reply.headers if _is_clean(value)]
-    if reply.status not in _BODILESS:
-        lines.append(f"Content-Length: {len(reply.body)}")
-    if closing:
+    reason = _REASON_PHRASES.get(response.status, "Unknown")
+    lines = [f"HTTP/1.1 {response.status} {reason}"]
+    lines += [
+        f"{name}: {value}"
+        for name, value in response.headers
+        if _has_no_line_break(value)
+    ]
+    if response.status not in _STATUSES_WITHOUT_BODY:
+        lines.append(f"Content-Length: {len(response.body)}")
+    if closes_connection:
         lines.append("Connection: close")
     head = "\r\n".join(lines) + "\r\n\r\n"
-    return head.encode("latin-1") + reply.body
+    return head.encode("latin-1") + response.body
 
 
-def _is_clean(value: str) -> bool:
+def _has_no_line_break(value: str) -> bool:
     # A line break in it would begin a header, or an answer, that nobody made.
     return "\r" not in value and "\n" not in value
--- a/packages/entry/src/berylstage_entry/server.py
+++ b/packages/entry/src/berylstage_entry/server.py
@@ -9,18 +9,18 @@
 from logbook import Logger
 
 from berylstage_entry.clock import now
-from berylstage_entry.connection import READ_BODY, CallerConnection
+from berylstage_entry.connection import MAX_BODY_BYTES, CallerConnection
 from berylstage_entry.errors import BadRequest, Refused, Unanswered
-from berylstage_entry.replies import (
+from berylstage_entry.responses import (
     BAD_GATEWAY,
     BAD_REQUEST,
     GATEWAY_TIMEOUT,
-    HEAD_TOO_LARGE,
+    HEADERS_TOO_LARGE,
     UNAVAILABLE,
-    Reply,
+    Response,
 )
 from berylstage_entry.router import LEAST_TIME, RETURN_AT_ONCE
-from berylstage_entry.stopping import Standing
+from berylstage_entry.shutdown import PendingWork
 
 if TYPE_CHECKING:
     from asyncio import AbstractServer
@@ -33,30 +33,30 @@
     from berylstage_entry.wire import CallerRequest, CallerWire
 
 # Bytes of a request's body at most while no configuration says so.
-FIRST_BODY_LIMIT = 1024 * 1024
+DEFAULT_MAX_BODY_BYTES = 1024 * 1024
 # Bytes of all bodies together that are buffered at most: a third of the memory of a VM
 # of 300 MB, since a body is copied once on its way out and the process takes 26 MB.
 # Five bodies of 64 MB at a time would have the VM killed, and its requests with it.
-BODY_MEMORY = 100 * 1024 * 1024
+DEFAULT_MAX_BUFFERED_BYTES = 100 * 1024 * 1024
 # Connections that may wait to be accepted.
-BACKLOG = 1024
+LISTEN_BACKLOG = 1024
 # Seconds for which a connection may stay idle while no configuration says so.
-FIRST_IDLE = 60.0
+DEFAULT_IDLE_SECONDS = 60.0
 # Seconds beyond the operators' idle time after which a connection closes, so that a
 # request sent within that time doesn't cross the close.
-IDLE_MARGIN = 2.0
+IDLE_MARGIN_SECONDS = 2.0
 
 log = Logger(__name__)
 
 
-class StopCounts:
+class ShutdownCounts:
     """What a stop has brought to callers.
 
     Attributes
     ----------
     begun : int
         Requests that came after SIGTERM.
-    closed_idle : int
+    idle_closed : int
         Connections closed without a request.
     cut : int
         Connections that ended with something under way.
@@ -64,12 +64,17 @@
         Bytes of answers that did not leave.
     """
 
-    __slots__ = ("begun", "bytes_cut", "closed_idle", "cut")
+    __slots__ = (
+        "requests_received",
+        "bytes_cut",
+        "idle_closed",
+        "connections_cut",
+    )
 
     def __init__(self) -> None:
-        self.begun = 0
-        self.closed_idle = 0
-        self.cut = 0
+        self.requests_received = 0
+        self.idle_closed = 0
+        self.connections_cut = 0
         self.bytes_cut = 0
 
 
@@ -102,32 +107,32 @@
         self._router = router
         self._journal = journal
         self._limits = limits
-        self.closing = False
+        self.is_stopping = False
         # Seconds for which a connection may stay idle.
-        self.idle_time = FIRST_IDLE
+        self.idle_timeout = DEFAULT_IDLE_SECONDS
         # Bytes of bodies that are buffered, and may be at most.
         self._buffered = 0
-        self.body_memory = BODY_MEMORY
+        self.max_buffered_bytes = DEFAULT_MAX_BUFFERED_BYTES
         # All that are not closed yet, those whose last answer goes out among them.
         self._connections: set[CallerConnection] = set()
         # Whether connections without a request are closed by now.
-        self._has_refused = False
+        self._is_draining = False
         # Returns the seconds that a request has while the program stops.
-        self.time_limit: Callable[[], float] | None = None
-        self.counts = StopCounts()
-        self._opening: asyncio.Task | None = None
+        self.shutdown_time_left: Callable[[], float] | None = None
+        self.counts = ShutdownCounts()
+        self._open_task: asyncio.Task | None = None
         self._socket: socket | None = None
         self._server: AbstractServer | None = None
 
     def listen(self, address: str) -> None:
         """Accept connections."""
-        self._socket = create_server(split_address(address), backlog=BACKLOG)
-        self._opening = asyncio.create_task(self._open(self._socket))
+        self._socket = create_server(split_address(address), backlog=LISTEN_BACKLOG)
+        self._open_task = asyncio.create_task(self._open(self._socket))
 
     async def _open(self, sock: socket) -> None:
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: CallerConnection(self), sock=sock, backlog=BACKLOG
+            lambda: CallerConnection(self), sock=sock, backlog=LISTEN_BACKLOG
         )
 
     @property
@@ -137,52 +142,54 @@
         After idle ones were closed those are all that are left: a request that is still
         unread in its socket is under way as well.
         """
-        if self._has_refused:
+        if self._is_draining:
             return len(self._connections)
-        return sum(conn.under_way for conn in self._connections)
+        return sum(conn.has_pending_work for conn in self._connections)
 
-    def standing(self) -> Standing:
+    def pending_work(self) -> PendingWork:
         """Return what stands between this server and its end."""
         flushing = [conn for conn in self._connections if not conn.is_serving]
-        bytes_left = sum(conn.bytes_left for conn in self._connections)
+        unacknowledged_bytes = sum(
+            conn.unacknowledged_bytes for conn in self._connections
+        )
         serving = len(self._connections) - len(flushing)
-        return Standing(serving, len(flushing), bytes_left)
+        return PendingWork(serving, len(flushing), unacknowledged_bytes)
 
-    def opened(self, conn: CallerConnection) -> None:
+    def add_connection(self, conn: CallerConnection) -> None:
         """Note a new connection."""
         self._connections.add(conn)
-        if self._has_refused:
-            conn.read_no_more()
+        if self._is_draining:
+            conn.stop_taking_requests()
 
-    def begun(self) -> None:
+    def count_request(self) -> None:
         """Note that a request has come."""
-        self.counts.begun += self.closing
+        self.counts.requests_received += self.is_stopping
 
-    def gone(self, conn: CallerConnection) -> None:
+    def remove_connection(self, conn: CallerConnection) -> None:
         """Note that a connection is no more."""
         self._connections.discard(conn)
 
-    def refuse_more(self) -> None:
+    def start_draining(self) -> None:
         """Close what waits for callers and the connections without a request.
 
         A request that is read while the process ends would be cut off. Closing the idle
         connections first leaves only those that end with their answer.
         """
         self._stop_listening()
-        self._has_refused = True
-        self.close_idle()
+        self._is_draining = True
+        self.close_idle_connections()
         for conn in self._connections:
-            conn.read_no_more()
+            conn.stop_taking_requests()
 
-    def close_idle(self) -> None:
+    def close_idle_connections(self) -> None:
         """Close the connections on which nothing is under way for anybody."""
         for conn in list(self._connections):
-            conn.drop_if_left()
-            self.counts.closed_idle += conn.close_idle()
+            conn.abort_if_peer_closed()
+            self.counts.idle_closed += conn.close_if_idle()
 
     def _stop_listening(self) -> None:
-        if self._opening is not None:
-            self._opening.cancel()
+        if self._open_task is not None:
+            self._open_task.cancel()
         if self._server is not None:
             self._server.close()
         if self._socket is not None:
@@ -190,12 +197,16 @@
 
     def set_limits(self, limits: Limits) -> None:
         """Take over how long connections may be idle."""
-        self.idle_time = max(limits.idle_time, limits.header_time) + IDLE_MARGIN
+        self.idle_timeout = (
+            max(limits.idle_time, limits.header_time) + IDLE_MARGIN_SECONDS
+        )
 
     def body_limit(self) -> int:
         """Return the bytes that a body may have."""
         limits = self._limits()
-        return min(limits.body_bytes, READ_BODY) if limits else FIRST_BODY_LIMIT
+        return (
+            min(limits.body_bytes, MAX_BODY_BYTES) if limits else DEFAULT_MAX_BODY_BYTES
+        )
 
     def check_head(self, fields: list[tuple[str, str]]) -> None:
         """Check the size of a head.
@@ -213,62 +224,66 @@
             return
         size = sum(len(name) + len(value) + 4 for name, value in fields)
         if size > limits.header_bytes:
-            raise BadRequest(HEAD_TOO_LARGE, "the headers are over the limit")
+            raise BadRequest(HEADERS_TOO_LARGE, "the headers are over the limit")
 
-    def hold(self, size: int) -> bool:
+    def reserve_body_memory(self, size: int) -> bool:
         """Count bytes of a body; False when all bodies would take too much."""
-        if self._buffered + size > self.body_memory:
+        if self._buffered + size > self.max_buffered_bytes:
             return False
         self._buffered += size
         return True
 
-    def hold_reply(self, size: int) -> int:
+    def reserve_response_memory(self, size: int) -> int:
         """Count bytes of an answer that waits for those before it, and return them."""
         self._buffered += size
         return size
 
-    def memory_is_short(self) -> bool:
+    def is_memory_full(self) -> bool:
         """Tell whether bodies and answers take all that they may take."""
-        return self._buffered >= self.body_memory
+        return self._buffered >= self.max_buffered_bytes
 
-    def release(self, size: int) -> None:
+    def release_memory(self, size: int) -> None:
         """Give counted bytes back."""
         self._buffered -= size
 
-    def refused_unserved(self, exc: BadRequest | Refused | None) -> Reply:
+    def reject_request(self, exc: BadRequest | Refused | None) -> Response:
         """Log a request that is not served, and return the reply to it."""
-        self._journal.malformed(str(exc) if exc else "unreadable request")
+        self._journal.log_malformed(str(exc) if exc else "unreadable request")
         if isinstance(exc, Refused):
-            return Reply(UNAVAILABLE, self.wire.refusal_headers(exc.retry_after))
-        return Reply(exc.status if exc else BAD_REQUEST)
+            return Response(UNAVAILABLE, self.wire.refusal_headers(exc.retry_after))
+        return Response(exc.status if exc else BAD_REQUEST)
 
-    async def reply(self, req: CallerRequest) -> Reply:
+    async def handle_request(self, req: CallerRequest) -> Response:
         """Return the reply to a request."""
         began = now() - req.waited
         try:
-            self._limit_time(req)
-            done = await self._router.serve(req)
+            self._cap_time_left(req)
+            routed = await self._router.serve(req)
         except BadRequest as exc:
-            self._journal.ended(req, exc.status, str(exc), now() - began)
-            return Reply(exc.status)
+            self._journal.log_unanswered(req, exc.status, str(exc), now() - began)
+            return Response(exc.status)
         except Refused as exc:
-            self._journal.ended(req, UNAVAILABLE, exc.reason, now() - began, exc.detail)
-            return Reply(UNAVAILABLE, self.wire.refusal_headers(exc.retry_after))
+            self._journal.log_unanswered(
+                req, UNAVAILABLE, exc.reason, now() - began, exc.detail
+            )
+            return Response(UNAVAILABLE, self.wire.refusal_headers(exc.retry_after))
         except Unanswered as exc:
             status = GATEWAY_TIMEOUT if exc.timed_out else BAD_GATEWAY
-            self._journal.ended(req, status, exc.reason, now() - began, exc.detail)
-            return Reply(status)
+            self._journal.log_unanswered(
+                req, status, exc.reason, now() - began, exc.detail
+            )
+            return Response(status)
         except asyncio.CancelledError:
-            self._journal.ended(req, 0, "caller-left", now() - began)
+            self._journal.log_unanswered(req, 0, "caller-left", now() - began)
             raise
         except Exception:
             # Without an answer the caller would wait out its whole time.
             log.exception("a request met a fault of this program")
-            return Reply(BAD_GATEWAY)
-        self._journal.answered(req, done, now() - began)
-        return Reply(done.answer.status, done.answer.headers, done.answer.body)
+            return Response(BAD_GATEWAY)
+        self._journal.log_answered(req, routed, now() - began)
+        return Response(routed.answer.status, routed.answer.headers, routed.answer.body)
 
-    def _limit_time(self, req: CallerRequest) -> None:
+    def _cap_time_left(self, req: CallerRequest) -> None:
         """Give a request no more time than the program has.
 
         Raises
@@ -276,9 +291,9 @@
         Refused
             There is none left; other VMs take it at once.
         """
-        if self.time_limit is None:
+        if self.shutdown_time_left is None:
             return
-        left = self.time_limit()
+        left = self.shutdown_time_left()
         if left < LEAST_TIME:
             raise Refused("stopping", RETURN_AT_ONCE)
         req.time_left = min(req.time_left, left + req.waited)
@@ -287,24 +302,24 @@
         """Close all connections."""
         self._stop_listening()
         for conn in list(self._connections):
-            self._tell_cut(conn)
-            conn.cut()
+            self._log_cut(conn)
+            conn.close_now()
         # The event loop closes them in its next turn.
         await asyncio.sleep(0)
 
-    def _tell_cut(self, conn: CallerConnection) -> None:
+    def _log_cut(self, conn: CallerConnection) -> None:
         """Log a request without an answer, or an answer that is not out."""
-        has_unread = conn.has_unread()
-        if not conn.under_way and not has_unread:
+        has_unread_bytes = conn.has_unread_bytes()
+        if not conn.has_pending_work and not has_unread_bytes:
             return
-        self.counts.cut += 1
-        self.counts.bytes_cut += conn.bytes_left
+        self.counts.connections_cut += 1
+        self.counts.bytes_cut += conn.unacknowledged_bytes
         log.warning(
             "connection cut",
             extra={
-                "id": conn.last_id,
+                "id": conn.last_request_id,
                 "phase": "serving" if conn.is_serving else "flushing",
-                "bytes_left": conn.bytes_left,
-                "unread": has_unread,
+                "bytes_left": conn.unacknowledged_bytes,
+                "unread": has_unread_bytes,
             },
         )
--- a/packages/entry/src/berylstage_entry/sockets.py
+++ b/packages/entry/src/berylstage_entry/sockets.py
@@ -16,7 +16,7 @@
 
 _INT = struct.Struct("i")
 # What tells of the other side's end, whatever waits to be read before it.
-_END = POLLRDHUP | POLLHUP | POLLERR
+_PEER_CLOSED_EVENTS = POLLRDHUP | POLLHUP | POLLERR
 
 
 class Unread(Enum):
@@ -68,7 +68,7 @@
         peeked.detach()
 
 
-def has_ended(transport: BaseTransport) -> bool:
+def peer_has_closed(transport: BaseTransport) -> bool:
     """Tell whether the other side has closed or reset the connection.
 
     Unlike :func:`unread` it sees that also behind bytes that wait to be read.
@@ -85,11 +85,11 @@
     if sock is None or sock.fileno() < 0:
         return False
     look = poll()
-    look.register(sock.fileno(), _END)
+    look.register(sock.fileno(), _PEER_CLOSED_EVENTS)
     return bool(look.poll(0))
 
 
-def unsent(transport: BaseTransport) -> int:
+def send_queue_bytes(transport: BaseTransport) -> int:
     """Return the bytes in the kernel that the other side has not acknowledged.
 
     Parameters
@@ -101,10 +101,10 @@
     int
         0 as well where the kernel does not tell.
     """
-    return unsent_in(transport.get_extra_info("socket"))
+    return socket_send_queue_bytes(transport.get_extra_info("socket"))
 
 
-def unsent_in(sock: TransportSocket | socket | None) -> int:
+def socket_send_queue_bytes(sock: TransportSocket | socket | None) -> int:
     """Return the bytes of a socket that the other side has not acknowledged.
 
     Parameters
@@ -114,7 +114,7 @@
     Returns
     -------
     int
-        As for :func:`unsent`.
+        As for :func:`send_queue_bytes`.
     """
     if sock is None or sock.fileno() < 0:
         return 0
--- a/packages/entry/tests/test_application.py
+++ b/packages/entry/tests/test_application.py
@@ -6,7 +6,7 @@
 import socket
 
 import pytest
-from berylstage_entry import stopping
+from berylstage_entry import shutdown
 from berylstage_entry.application import EntryApplication
 from berylstage_entry.settings import Bounds
 from berylstage_entry.turn_messages import Return
@@ -53,7 +53,7 @@
     @pytest.mark.parametrize("page", ["ready", "control", "metrics"])
     def test_question_that_comes_last_is_answered(self, page, monkeypatch):
         # Guards against the end of the program with a question in a page's socket.
-        monkeypatch.setattr(stopping, "BALANCER_LAG", 0.0)
+        monkeypatch.setattr(shutdown, "BALANCER_LAG_SECONDS", 0.0)
 
         async def play():
             app = application()
@@ -67,8 +67,8 @@
             with socket.create_connection(("127.0.0.1", ports[page])) as asker:
                 await asyncio.sleep(0.1)
                 asker.settimeout(1.0)
-                tell = app._tell_stop
-                app._tell_stop = lambda: (tell(), asker.sendall(QUESTION))
+                tell = app._log_stopped
+                app._log_stopped = lambda: (tell(), asker.sendall(QUESTION))
                 await app.stop()
                 # The loop turns no more: what is not out by now never leaves.
                 assert asker.recv(65536).startswith(b"HTTP/1.1 ")
@@ -78,7 +78,7 @@
     def test_turn_of_a_request_that_is_cut_is_given_back(self, monkeypatch):
         # Guards against slots that stay out of use at the keeper of a queue until the
         # deadlines of requests that ended with their VM.
-        monkeypatch.setattr(stopping, "BALANCER_LAG", 0.0)
+        monkeypatch.setattr(shutdown, "BALANCER_LAG_SECONDS", 0.0)
 
         async def play():
             app = application()
@@ -100,7 +100,7 @@
 
     def test_idle_pages_hold_no_stop_up(self, monkeypatch):
         # Guards against a VM that is killed because it waited for the balancer.
-        monkeypatch.setattr(stopping, "BALANCER_LAG", 0.0)
+        monkeypatch.setattr(shutdown, "BALANCER_LAG_SECONDS", 0.0)
 
         async def play():
             app = application()
--- a/packages/entry/tests/test_connection.py
+++ b/packages/entry/tests/test_connection.py
@@ -5,7 +5,11 @@
 import asyncio
 
 import pytest
-from berylstage_entry.connection import MOST_AT_ONCE, UNREAD, CallerConnection
+from berylstage_entry.connection import (
+    MAX_PIPELINED_REQUESTS,
+    MAX_UNPARSED_BYTES,
+    CallerConnection,
+)
 from berylstage_entry.errors import Refused
 from berylstage_entry.journal import RequestJournal
 from berylstage_entry.journey import Answered
@@ -94,12 +98,12 @@
 class Played:
     """A connection with what stands on both of its sides."""
 
-    def __init__(self, idle_time=60.0):
+    def __init__(self, idle_timeout=60.0):
         self.router = HeldRouter()
         journal = RequestJournal(Metrics())
         callers = PlainCallers()
         self.server = CallerServer(callers, self.router, journal, lambda: LIMITS)
-        self.server.idle_time = idle_time
+        self.server.idle_timeout = idle_timeout
         self.transport = Transport()
         self.conn = CallerConnection(self.server)
         self.conn.connection_made(self.transport)
@@ -201,7 +205,7 @@
             paths = [f"/{n}" for n in range(1000)]
             it.send(b"".join(get(path) for path in paths))
             await it.turn()
-            assert len(it.router.begun) == MOST_AT_ONCE
+            assert len(it.router.begun) == MAX_PIPELINED_REQUESTS
             assert len(it.conn._exchanges) < 200
             for path in paths:
                 await it.end(path)
@@ -215,7 +219,7 @@
             it.send(post("/a"))
             it.send(b"".join(post("/b", b"y" * 900) for _ in range(100)))
             assert not it.transport.reading
-            assert len(it.conn._unread) < UNREAD + 100_000
+            assert len(it.conn._unparsed) < MAX_UNPARSED_BYTES + 100_000
             await it.turn()
             await it.end("/a")
             while it.server.in_flight:
@@ -244,7 +248,7 @@
         # Large answers wait for a slow first one. Nothing more is begun when they take
         # what a VM has for bodies, and all of it is given back.
         async def step(it):
-            it.server.body_memory = 1000
+            it.server.max_buffered_bytes = 1000
             it.router.size = 1000
             it.send(get("/a") + get("/b"))
             await it.turn()
@@ -255,7 +259,7 @@
             await it.end("/a")
             assert it.router.begun == ["/a", "/b", "/c"]
             await it.end("/c")
-            assert it.server.hold(1000)
+            assert it.server.reserve_body_memory(1000)
 
         play(step)
 
@@ -269,7 +273,7 @@
             await it.turn()
             assert it.router.cancelled == ["/a", "/b"]
             assert it.server.in_flight == 0
-            assert it.server.hold(it.server.body_memory)
+            assert it.server.reserve_body_memory(it.server.max_buffered_bytes)
 
         play(step)
 
@@ -295,8 +299,8 @@
         async def step(it):
             it.send(get("/a") + get("/b"))
             await it.turn()
-            it.server.closing = True
-            it.server.refuse_more()
+            it.server.is_stopping = True
+            it.server.start_draining()
             await it.end("/a")
             assert not it.transport.closed
             await it.end("/b")
@@ -311,8 +315,8 @@
         async def step(it):
             it.send(get("/a") + get("/b")[:9])
             await it.turn()
-            it.server.closing = True
-            it.server.refuse_more()
+            it.server.is_stopping = True
+            it.server.start_draining()
             assert it.transport.reading
             it.send(get("/b")[9:])
             await it.turn()
@@ -331,8 +335,8 @@
         async def step(it):
             it.send(get("/a"))
             await it.turn()
-            it.server.closing = True
-            it.server.refuse_more()
+            it.server.is_stopping = True
+            it.server.start_draining()
             it.transport.get_write_buffer_size = lambda: 10
             await it.end("/a")
             assert not it.transport.closed
@@ -346,8 +350,8 @@
         async def step(it):
             it.send(get("/a") + get("/b")[:9])
             await it.turn()
-            it.server.closing = True
-            it.server.refuse_more()
+            it.server.is_stopping = True
+            it.server.start_draining()
             await it.end("/a")
             assert not it.transport.closed
             it.send(get("/b")[9:])
@@ -363,11 +367,11 @@
         async def step(it):
             it.send(get("/a"))
             await it.turn()
-            assert it.conn.last_id == "/a"
+            assert it.conn.last_request_id == "/a"
             await it.end("/a")
-            assert it.conn.last_id == "/a"
+            assert it.conn.last_request_id == "/a"
             it.send(get("/b")[:9])
-            assert it.conn.last_id == ""
+            assert it.conn.last_request_id == ""
 
         play(step)
 
@@ -386,7 +390,7 @@
 
     def test_idle_connection_closes_and_a_busy_one_does_not(self, play):
         async def step(_):
-            it = Played(idle_time=2.0)
+            it = Played(idle_timeout=2.0)
             await asyncio.sleep(1.0)
             it.send(get("/a"))
             await asyncio.sleep(9.0)
@@ -403,7 +407,7 @@
         # A caller sends its head a byte at a time, for hours, on all connections that
         # the VM has descriptors for.
         async def step(_):
-            it = Played(idle_time=2.0)
+            it = Played(idle_timeout=2.0)
             for byte in b"GET /a HTTP/1.1\r\nHost: hhhhhhhh":
                 it.send(bytes([byte]))
                 await asyncio.sleep(0.2)
@@ -474,7 +478,7 @@
                 it.conn.connection_lost(None)
                 await it.turn()
                 assert it.server.in_flight == 0
-                assert it.server.hold(it.server.body_memory)
+                assert it.server.reserve_body_memory(it.server.max_buffered_bytes)
 
             loop.run_until_complete(step())
 
@@ -500,10 +504,10 @@
     async def play_all(self, requests, pieces):
         it = Played()
         data, wanted = b"", []
-        for n, (safe, size, _) in enumerate(requests):
+        for n, (is_safe, size, _) in enumerate(requests):
             body = b"b" * size
-            data += get(f"/{n}") if safe else post(f"/{n}", body)
-            wanted.append(f"/{n}" + ("" if safe else "b" * size))
+            data += get(f"/{n}") if is_safe else post(f"/{n}", body)
+            wanted.append(f"/{n}" + ("" if is_safe else "b" * size))
         ends = {f"/{n}": order for n, (_, _, order) in enumerate(requests)}
         at = 0
         for length in [*pieces, len(data)]:
@@ -519,4 +523,4 @@
             del ends[first]
             await it.end(first)
         assert it.transport.bodies == wanted
-        assert it.server.hold(it.server.body_memory)
+        assert it.server.reserve_body_memory(it.server.max_buffered_bytes)
--- a/packages/entry/tests/test_ending.py
+++ b/packages/entry/tests/test_graceful_close.py
@@ -5,8 +5,8 @@
 import asyncio
 
 import pytest
-from berylstage_entry import ending
-from berylstage_entry.ending import GONE_PATIENCE, Ending
+from berylstage_entry import graceful_close
+from berylstage_entry.graceful_close import PEER_CLOSED_TIMEOUT_SECONDS, GracefulClose
 from virtual_time import virtual_loop
 
 
@@ -53,7 +53,7 @@
     def test_closes_at_once_when_nothing_is_left(self, loop):
         async def play():
             transport = Transport(0)
-            Ending(transport, lambda: 2.0).begin()
+            GracefulClose(transport, lambda: 2.0).begin()
             assert transport.end == "closed"
             assert transport.shut
 
@@ -63,7 +63,7 @@
         # Guards against cutting a large answer on a slow link.
         async def play():
             transport = Transport(100)
-            Ending(transport, lambda: 2.0).begin()
+            GracefulClose(transport, lambda: 2.0).begin()
             assert transport.shut
             assert not transport.reading
             while transport.left:
@@ -78,7 +78,7 @@
         # Guards against connections that stay for ever and take descriptors.
         async def play():
             transport = Transport(100)
-            Ending(transport, lambda: 2.0).begin()
+            GracefulClose(transport, lambda: 2.0).begin()
             await asyncio.sleep(1.9)
             assert transport.end == ""
             await asyncio.sleep(0.3)
@@ -88,12 +88,12 @@
 
     def test_other_side_that_has_ended_is_not_waited_for_long(self, loop, monkeypatch):
         # Guards against waiting for acknowledgements that a reset has ended.
-        monkeypatch.setattr(ending, "has_ended", lambda transport: True)
+        monkeypatch.setattr(graceful_close, "peer_has_closed", lambda transport: True)
 
         async def play():
             transport = Transport(100)
-            Ending(transport, lambda: 60.0).begin()
-            await asyncio.sleep(2 * GONE_PATIENCE)
+            GracefulClose(transport, lambda: 60.0).begin()
+            await asyncio.sleep(2 * PEER_CLOSED_TIMEOUT_SECONDS)
             assert transport.end == "aborted"
 
         loop.run_until_complete(play())
@@ -101,7 +101,7 @@
     def test_connection_that_is_gone_already(self, loop):
         async def play():
             transport = GoneTransport(100)
-            Ending(transport, lambda: 2.0).begin()
+            GracefulClose(transport, lambda: 2.0).begin()
             assert transport.end == "aborted"
 
         loop.run_until_complete(play())
@@ -109,7 +109,7 @@
     def test_lost_connection_is_looked_at_no_more(self, loop):
         async def play():
             transport = Transport(100)
-            end = Ending(transport, lambda: 2.0)
+            end = GracefulClose(transport, lambda: 2.0)
             end.begin()
             end.cancel()
             await asyncio.sleep(5.0)
--- a/packages/entry/tests/test_pages.py
+++ b/packages/entry/tests/test_internal_http.py
@@ -7,8 +7,8 @@
 import time
 
 import pytest
-from berylstage_entry.pages import LONGEST_WAIT, PageServer
-from berylstage_entry.replies import Reply
+from berylstage_entry.internal_http import CLOSE_TIMEOUT_SECONDS, InternalServer
+from berylstage_entry.responses import Response
 
 SIZE = 4 * 1024 * 1024
 QUESTION = b"POST /slow HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx"
@@ -17,21 +17,21 @@
 
 async def slow(body):
     await asyncio.sleep(0.1)
-    return Reply(200, body=b"whole")
+    return Response(200, body=b"whole")
 
 
 async def endless(body):
     await asyncio.sleep(60)
-    return Reply(200)
+    return Response(200)
 
 
 def listen():
     """Return a server of some pages, and its port."""
-    pages = PageServer(
+    pages = InternalServer(
         {
             "/slow": slow,
             "/endless": endless,
-            "/large": lambda body: Reply(200, body=b"x" * SIZE),
+            "/large": lambda body: Response(200, body=b"x" * SIZE),
         }
     )
     with socket.socket() as sock:
@@ -105,7 +105,7 @@
             await asyncio.sleep(0.1)
             began = time.monotonic()
             await pages.close()
-            assert time.monotonic() - began < LONGEST_WAIT + 0.5
+            assert time.monotonic() - began < CLOSE_TIMEOUT_SECONDS + 0.5
             writer.close()
 
         asyncio.run(play())
@@ -120,7 +120,7 @@
             await asyncio.sleep(0.05)
             began = time.monotonic()
             await pages.close()
-            assert time.monotonic() - began < LONGEST_WAIT / 2
+            assert time.monotonic() - began < CLOSE_TIMEOUT_SECONDS / 2
             assert await reader.read() == b""
             writer.close()
 
--- a/packages/entry/tests/test_logs.py
+++ b/packages/entry/tests/test_logs.py
@@ -10,9 +10,13 @@
 
 import pytest
 from berylstage_entry import line_writers
-from berylstage_entry.line_writers import FileWriter, PipeWriter, line_writer
+from berylstage_entry.line_writers import (
+    NonBlockingWriter,
+    ThreadedWriter,
+    create_line_writer,
+)
 from berylstage_entry.logs import JsonLines
-from berylstage_entry.stopping import STOP_SIGNALS
+from berylstage_entry.shutdown import STOP_SIGNALS
 from logbook import Logger
 
 BUSY_DISK = 0.3
@@ -52,10 +56,10 @@
         assert read == list(range(20))
 
     def test_what_is_too_much_is_left_out(self, path, slow_disk, monkeypatch):
-        monkeypatch.setattr(line_writers, "KEPT", 100)
+        monkeypatch.setattr(line_writers, "MAX_BUFFERED_BYTES", 100)
         with path.open("wb") as file:
-            writer = line_writer(file.fileno())
-            assert isinstance(writer, FileWriter)
+            writer = create_line_writer(file.fileno())
+            assert isinstance(writer, ThreadedWriter)
             time.sleep(0.01)
             taken = [writer.write(b"x" * 40) for _ in range(9)]
             assert True in taken
@@ -67,7 +71,7 @@
         # Guards against a VM that stops and ends with the status of a crash: a signal
         # that the main thread blocks would come to the thread that writes.
         with path.open("wb") as file:
-            writer = line_writer(file.fileno())
+            writer = create_line_writer(file.fileno())
             writer.write(b"x")
             time.sleep(0.05)
             task = Path(f"/proc/self/task/{writer._thread.native_id}/status")
@@ -83,7 +87,7 @@
             raise OSError("no space left")
 
         with path.open("wb") as file:
-            writer = line_writer(file.fileno())
+            writer = create_line_writer(file.fileno())
             monkeypatch.setattr(os, "write", fail)
             assert writer.write(b"x")
             writer.close()
@@ -92,8 +96,8 @@
 class TestPipe:
     def test_pipe_that_nobody_reads_holds_up_nobody(self):
         reader, fd = os.pipe()
-        writer = line_writer(fd)
-        assert isinstance(writer, PipeWriter)
+        writer = create_line_writer(fd)
+        assert isinstance(writer, NonBlockingWriter)
         line = b"x" * 9999 + b"\n"
         taken = [writer.write(line) for _ in range(60)]
         assert taken[0]
@@ -103,7 +107,7 @@
 
     def test_what_was_kept_is_written_when_there_is_room(self):
         reader, fd = os.pipe()
-        writer = line_writer(fd)
+        writer = create_line_writer(fd)
         line = b"x" * 9999 + b"\n"
         for _ in range(10):
             writer.write(line)
--- a/packages/entry/tests/test_server.py
+++ b/packages/entry/tests/test_server.py
@@ -8,7 +8,7 @@
 import time
 
 import pytest
-from berylstage_entry.connection import ON_ITS_WAY, CallerConnection
+from berylstage_entry.connection import IN_TRANSIT_SECONDS, CallerConnection
 from berylstage_entry.journal import RequestJournal
 from berylstage_entry.journey import Answered
 from berylstage_entry.metrics import Metrics
@@ -109,12 +109,12 @@
             callers = [asyncio.create_task(call_on()) for _ in range(20)]
             await asyncio.sleep(0.3)
             # Beside other load the callers may take longer to come.
-            while not server.standing().serving:
+            while not server.pending_work().serving:
                 await asyncio.sleep(0.01)
-            server.closing = True
-            server.refuse_more()
+            server.is_stopping = True
+            server.start_draining()
             # Connections whose last answer is not acknowledged are in flight as well.
-            begun = server.standing().serving
+            begun = server.pending_work().serving
             while server.in_flight:
                 await asyncio.sleep(0.01)
             await server.close()
@@ -162,7 +162,7 @@
             await asyncio.sleep(0.01)
             assert transport.written
             transport.written = b""
-            server.refuse_more()
+            server.start_draining()
             assert transport.closed
             conn.data_received(REQUEST)
             assert server.in_flight == 0
@@ -182,8 +182,8 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(REQUEST[:9])
             await asyncio.sleep(0.05)
-            server.closing = True
-            server.refuse_more()
+            server.is_stopping = True
+            server.start_draining()
             assert server.in_flight == 1
             writer.write(REQUEST[9:])
             answer = await reader.read()
@@ -201,9 +201,9 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(REQUEST[:9])
             await asyncio.sleep(0.05)
-            server.refuse_more()
-            await asyncio.sleep(ON_ITS_WAY)
-            server.close_idle()
+            server.start_draining()
+            await asyncio.sleep(IN_TRANSIT_SECONDS)
+            server.close_idle_connections()
             assert await reader.read() == b""
             assert server.in_flight == 0
             writer.close()
@@ -261,10 +261,10 @@
 async def stop(server, seconds=5.0):
     """Stop a server as the application does."""
     end = asyncio.get_running_loop().time() + seconds
-    server.closing = True
-    server.refuse_more()
+    server.is_stopping = True
+    server.start_draining()
     while server.in_flight and asyncio.get_running_loop().time() < end:
-        server.close_idle()
+        server.close_idle_connections()
         await asyncio.sleep(0.02)
     await server.close()
 
@@ -313,7 +313,7 @@
         # Guards against the idle timer cutting off a request in the socket.
         async def play():
             server, port = serve(SlowRouter(0.0))
-            server.idle_time = 0.2
+            server.idle_timeout = 0.2
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             # Both timers are due in one turn of the loop, which is held up.
             asyncio.get_running_loop().call_later(0.19, writer.write, REQUEST)
@@ -329,7 +329,7 @@
         async def play():
             server, port = serve(LargeRouter(self.SIZE))
             reader, writer = await connect_slowly(port)
-            server.closing = True
+            server.is_stopping = True
             writer.write(REQUEST)
             await asyncio.sleep(0.1)
             writer.write(REQUEST)
@@ -348,14 +348,18 @@
             server, port = serve(LargeRouter(self.SIZE))
             idle, kept = await asyncio.open_connection("127.0.0.1", port)
             _, writer = await connect_slowly(port)
-            await asyncio.sleep(ON_ITS_WAY + 0.1)
-            server.closing = True
+            await asyncio.sleep(IN_TRANSIT_SECONDS + 0.1)
+            server.is_stopping = True
             writer.write(REQUEST)
             await asyncio.sleep(0.1)
             await stop(server, 0.1)
             assert await idle.read() == b""
             counts = server.counts
-            assert (counts.begun, counts.closed_idle, counts.cut) == (1, 1, 1)
+            assert (
+                counts.requests_received,
+                counts.idle_closed,
+                counts.connections_cut,
+            ) == (1, 1, 1)
             assert 0 < counts.bytes_cut < self.SIZE
             kept.close()
             writer.close()
@@ -393,7 +397,7 @@
         async def play():
             server, port = serve(LargeRouter(TestStop.SIZE))
             _reader, writer = await connect_slowly(port)
-            server.closing = True
+            server.is_stopping = True
             writer.write(REQUEST)
             await asyncio.sleep(0.1)
             writer.write(sent)
@@ -404,7 +408,7 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE)
             writer.transport.abort()
             await asyncio.wait_for(stopped, 2.0)
-            assert server.counts.cut == 0
+            assert server.counts.connections_cut == 0
 
         asyncio.run(play())
 
@@ -417,7 +421,7 @@
         async def play():
             router = SlowRouter(0.0)
             server, port = serve(router)
-            server.time_limit = lambda: 0.7
+            server.shutdown_time_left = lambda: 0.7
             answer = await exchange(port, REQUEST)
             assert answer.startswith(b"HTTP/1.1 200")
             assert router.time_left == pytest.approx(0.7, abs=0.1)
@@ -429,7 +433,7 @@
         async def play():
             router = SlowRouter(0.0)
             server, port = serve(router)
-            server.time_limit = lambda: 0.0
+            server.shutdown_time_left = lambda: 0.0
             answer = await exchange(port, REQUEST)
             assert answer.startswith(b"HTTP/1.1 503")
             assert router.served == 0
@@ -495,7 +499,7 @@
         # told when to come back instead.
         async def play():
             server, port = serve(SlowRouter(0.3))
-            server.body_memory = 1500
+            server.max_buffered_bytes = 1500
             text = head("Content-Length: 1000") + b"x" * 1000
             first = asyncio.create_task(exchange(port, text))
             await asyncio.sleep(0.1)
@@ -507,7 +511,7 @@
             await asyncio.sleep(0.1)
             writer.close()
             await asyncio.sleep(0.1)
-            assert server.hold(1500)
+            assert server.reserve_body_memory(1500)
             await server.close()
 
         asyncio.run(play())
--- a/packages/entry/tests/test_stopping.py
+++ b/packages/entry/tests/test_shutdown.py
@@ -3,53 +3,53 @@
 from __future__ import annotations
 
 import pytest
-from berylstage_entry.stopping import (
-    BALANCER_LAG,
-    STOP_MARGIN,
+from berylstage_entry.shutdown import (
+    BALANCER_LAG_SECONDS,
+    STOP_MARGIN_SECONDS,
+    PendingWork,
     Phase,
-    Standing,
-    StopPlan,
+    ShutdownPlan,
 )
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 STOP_TIME = 6.0
-NOTHING = Standing(0, 0, 0)
+NOTHING = PendingWork(0, 0, 0)
 
 
 class TestPhases:
     def test_callers_come_until_the_balancer_has_noticed(self):
-        plan = StopPlan(100.0, STOP_TIME)
+        plan = ShutdownPlan(100.0, STOP_TIME)
         assert plan.phase(100.0, NOTHING) is Phase.LEAVING
-        assert plan.phase(99.99 + BALANCER_LAG, NOTHING) is Phase.LEAVING
-        assert plan.phase(100.0 + BALANCER_LAG, NOTHING) is Phase.ENDED
+        assert plan.phase(99.99 + BALANCER_LAG_SECONDS, NOTHING) is Phase.LEAVING
+        assert plan.phase(100.0 + BALANCER_LAG_SECONDS, NOTHING) is Phase.ENDED
 
     def test_what_has_come_is_served_and_its_answer_leaves(self):
-        plan = StopPlan(0.0, STOP_TIME)
-        assert plan.phase(3.0, Standing(1, 2, 90_000)) is Phase.DRAINING
-        assert plan.phase(3.0, Standing(0, 2, 90_000)) is Phase.FLUSHING
+        plan = ShutdownPlan(0.0, STOP_TIME)
+        assert plan.phase(3.0, PendingWork(1, 2, 90_000)) is Phase.DRAINING
+        assert plan.phase(3.0, PendingWork(0, 2, 90_000)) is Phase.FLUSHING
         assert plan.phase(3.0, NOTHING) is Phase.ENDED
 
     def test_stop_time_bounds_every_phase(self):
-        plan = StopPlan(0.0, STOP_TIME)
-        end = STOP_TIME - STOP_MARGIN
-        assert plan.phase(end - 0.01, Standing(1, 1, 1)) is Phase.DRAINING
-        assert plan.phase(end, Standing(1, 1, 1)) is Phase.ENDED
+        plan = ShutdownPlan(0.0, STOP_TIME)
+        end = STOP_TIME - STOP_MARGIN_SECONDS
+        assert plan.phase(end - 0.01, PendingWork(1, 1, 1)) is Phase.DRAINING
+        assert plan.phase(end, PendingWork(1, 1, 1)) is Phase.ENDED
 
     def test_stop_time_shorter_than_the_lag_of_the_balancer(self):
-        plan = StopPlan(0.0, 1.0)
+        plan = ShutdownPlan(0.0, 1.0)
         assert plan.phase(0.3, NOTHING) is Phase.LEAVING
-        assert plan.phase(0.4, Standing(1, 0, 0)) is Phase.ENDED
+        assert plan.phase(0.4, PendingWork(1, 0, 0)) is Phase.ENDED
 
 
 class TestTimeLeft:
     def test_answer_has_time_to_leave_before_the_end(self):
         # Guards against answers that come in time and cannot leave over a slow link.
-        plan = StopPlan(0.0, STOP_TIME)
+        plan = ShutdownPlan(0.0, STOP_TIME)
         # Bytes and Mbit/s.
         answer, link = 300_000, 10
-        assert plan.time_left(plan.end - answer * 8 / (link * 1e6)) <= 0
-        assert plan.time_left(3.0) == pytest.approx(plan.end - 3.0, abs=0.5)
+        assert plan.time_left(plan.cut_off_at - answer * 8 / (link * 1e6)) <= 0
+        assert plan.time_left(3.0) == pytest.approx(plan.cut_off_at - 3.0, abs=0.5)
 
 
 class AnyStop(RuleBasedStateMachine):
@@ -57,7 +57,7 @@
 
     def __init__(self):
         super().__init__()
-        self.plan = StopPlan(0.0, STOP_TIME)
+        self.plan = ShutdownPlan(0.0, STOP_TIME)
         self.moment = 0.0
         self.serving = self.flushing = 0
         self.seen = [Phase.LEAVING]
@@ -69,7 +69,7 @@
     @rule()
     def request_comes(self):
         # New ones come as long as the VM listens, and behind others at any time.
-        if self.moment < self.plan.leave_at or self.serving:
+        if self.moment < self.plan.drain_at or self.serving:
             self.serving += 1
 
     @rule()
@@ -84,16 +84,18 @@
 
     @invariant()
     def follow(self):
-        standing = Standing(self.serving, self.flushing, 1000 * self.flushing)
-        phase = self.plan.phase(self.moment, standing)
+        pending_work = PendingWork(self.serving, self.flushing, 1000 * self.flushing)
+        phase = self.plan.phase(self.moment, pending_work)
         if phase is not self.seen[-1]:
             self.seen.append(phase)
         left = self.serving + self.flushing
         # It ends neither before its time with something under way, nor after it.
-        assert phase is not Phase.ENDED or not left or self.moment >= self.plan.end
-        assert phase is Phase.ENDED or self.moment < self.plan.end
+        assert (
+            phase is not Phase.ENDED or not left or self.moment >= self.plan.cut_off_at
+        )
+        assert phase is Phase.ENDED or self.moment < self.plan.cut_off_at
         # Callers may come for as long as they are sent here.
-        assert phase is Phase.LEAVING or self.moment >= self.plan.leave_at
+        assert phase is Phase.LEAVING or self.moment >= self.plan.drain_at
         assert phase is not Phase.LEAVING or self.seen == [Phase.LEAVING]
 
 
--- a/packages/entry/tests/test_sockets.py
+++ b/packages/entry/tests/test_sockets.py
@@ -6,7 +6,7 @@
 import socket
 import struct
 
-from berylstage_entry.sockets import Unread, has_ended, unread, unsent
+from berylstage_entry.sockets import Unread, peer_has_closed, send_queue_bytes, unread
 
 LINGER_NONE = struct.pack("ii", 1, 0)
 
@@ -62,11 +62,11 @@
             for is_reset in (False, True):
                 transport, far = await pair()
                 far.send(b"abc")
-                assert not has_ended(transport)
+                assert not peer_has_closed(transport)
                 if is_reset:
                     far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE)
                 far.close()
-                assert has_ended(transport)
+                assert peer_has_closed(transport)
                 transport.abort()
 
         asyncio.run(play())
@@ -77,7 +77,7 @@
             transport.abort()
             await asyncio.sleep(0.01)
             assert unread(transport) is Unread.NOTHING
-            assert unsent(transport) == 0
+            assert send_queue_bytes(transport) == 0
             far.close()
 
         asyncio.run(play())
@@ -88,7 +88,7 @@
         async def play():
             transport, far = await pair()
             transport.write(b"x" * 50_000_000)
-            assert unsent(transport) > 0
+            assert send_queue_bytes(transport) > 0
             far.close()
             transport.abort()
 
@@ -99,7 +99,7 @@
             transport, far = await pair()
             transport.write(b"abc")
             await asyncio.sleep(0.01)
-            assert unsent(transport) == 0
+            assert send_queue_bytes(transport) == 0
             far.close()
             transport.abort()
 
