--- a/deploy/start.py
+++ b/deploy/start.py
@@ -1,4 +1,4 @@
-"""Starts the entry VM's program from a checkout, without an installed workspace."""
+"""Start the program of an entry VM from a checkout, without installed packages."""
 
 from __future__ import annotations
 
--- a/packages/entry/src/berylstage_entry/__init__.py
+++ b/packages/entry/src/berylstage_entry/__init__.py
@@ -1,1 +1,1 @@
-"""Router of an entry VM for targets that check fence tokens themselves."""
+"""HTTP router of an entry VM for targets that check fence tokens themselves."""
--- a/packages/entry/src/berylstage_entry/application.py
+++ b/packages/entry/src/berylstage_entry/application.py
@@ -1,4 +1,4 @@
-"""The application of an entry VM: it wires the parts and runs them."""
+"""The application of an entry VM: creates, connects and runs its components."""
 
 from __future__ import annotations
 
@@ -59,18 +59,19 @@
     from berylstage_entry.store import Store
     from berylstage_entry.wire import CallerWire, RecordReader, TargetWire
 
-# Seconds for which other VMs still ask this one for turns after its record is gone.
+# Seconds for which other VMs still request permits from this VM after its record has
+# been removed.
 RECORD_LAG_SECONDS = 0.5
-# Seconds between two looks at what a stop waits for.
+# Seconds between two checks of the work that a shutdown waits for.
 DRAIN_POLL_SECONDS = 0.02
-# Status of a page that tells no.
+# Status of a request that is answered in the negative.
 UNAVAILABLE = 503
 
 log = Logger(__name__)
 
 
 class EntryApplication:
-    """Owns the parts of an entry VM.
+    """Owns the components of an entry VM.
 
     Parameters
     ----------
@@ -80,7 +81,7 @@
     targets : TargetWire
     records : RecordReader
     log_write_seconds : callable, optional
-        Returns the seconds that log lines have taken to write since the start.
+        Returns the seconds spent on writing log lines since the start.
     """
 
     def __init__(
@@ -129,65 +130,65 @@
         )
         self.keeper = QueueKeeper(self.router.loads, self.directory, self.membership)
         self.turns = Turns(self.membership, host)
-        self.keeper.send = self._send_reply
-        self.turns.ask = self._send_ask
-        self.turns.give_back = self._send_return
+        self.keeper.send = self._send_permit_reply
+        self.turns.ask = self._send_permit_request
+        self.turns.give_back = self._send_permit_release
         self.datagrams.takers[ASK_FORMAT] = self.keeper.take_ask
         self.datagrams.takers[RETURN_FORMAT] = self.keeper.take_return
         self.datagrams.takers[REPLY_FORMAT] = self.turns.take_reply
         self.router.turns = self.turns
         self.datagrams.takers[COUNTS_FORMAT] = self.reports.take_counts
-        self.datagrams.takers[NEWS_FORMAT] = self._take_news
+        self.datagrams.takers[NEWS_FORMAT] = self._handle_delta
         self.datagrams.takers[CHANGE_FORMAT] = self.announcements.take_change
         self.announcements.send = self.datagrams.send
         self.feed.is_teller = self.office.holds
-        self.feed.tell = self._tell_news
-        self.feed.is_standby = self._stands_by
-        self.feed.is_deputy = self._is_deputy
+        self.feed.tell = self._publish_delta
+        self.feed.is_standby = self._is_standby
+        self.feed.is_deputy = self._is_local_publisher
         self.feed.leaves_duty = lambda: bool(self.membership.better())
         self.office.better = self.membership.better
         self.probes = LoadProbes(self.router.loads, self.directory, self.turns, targets)
         journal = RequestJournal(self.metrics)
-        self.server = CallerServer(callers, self.router, journal, self._limits)
-        self.ready_server = InternalServer({callers.ready_path: self._ready})
+        self.server = CallerServer(callers, self.router, journal, self._current_limits)
+        self.ready_server = InternalServer({callers.ready_path: self._handle_ready})
         self.control_server = InternalServer(
             {
-                HAND_ON_PATH: self._hand_on,
-                CONTACT_PATH: self._contact,
-                SPEEDS_PATH: self._take_speeds,
-                TOLD_PATH: self._take_told,
+                HAND_ON_PATH: self._handle_export,
+                CONTACT_PATH: self._handle_store_contact,
+                SPEEDS_PATH: self._handle_service_times,
+                TOLD_PATH: self._handle_peer_updates,
             }
         )
-        self.metrics_server = InternalServer({"/metrics": self._metrics_text})
-        self._members_revision = 0
-        self.feed.listeners.append(self._heard)
-        # Keeps the task that tells large values from being collected.
+        self.metrics_server = InternalServer({"/metrics": self._handle_metrics})
+        self._seen_members_revision = 0
+        self.feed.listeners.append(self._on_store_update)
+        # Reference that keeps the task of publishing large items from being collected.
         self._announce_task: asyncio.Task | None = None
-        self._stop = asyncio.Event()
-        self.stopping = False
+        self._stop_event = asyncio.Event()
+        self.is_stopping = False
         self._phase_timer = PhaseTimer()
 
     def ready(self) -> bool:
-        """Tell whether the balancer should send callers here."""
-        known = self.directory.configuration is not None and self.feed.complete
-        return known and not self.stopping
+        """Return whether the load balancer should send callers to this VM."""
+        has_view = self.directory.configuration is not None and self.feed.complete
+        return has_view and not self.is_stopping
 
     async def run(self) -> int:
         """Run until SIGTERM and return the exit status."""
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGTERM, self._stop.set)
-        loop.add_signal_handler(signal.SIGINT, self._stop.set)
+        loop.add_signal_handler(signal.SIGTERM, self._stop_event.set)
+        loop.add_signal_handler(signal.SIGINT, self._stop_event.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload)
         self.start()
-        await self._stop.wait()
+        await self._stop_event.wait()
         await self.stop()
-        # The loop takes its handlers along when it closes. A signal that comes then
-        # would end the process with a status that looks like a crash.
+        # The loop removes its signal handlers when it closes. A signal that arrives
+        # later would end the process with a status that looks like a crash.
         signal.pthread_sigmask(signal.SIG_BLOCK, STOP_SIGNALS)
         return 0
 
     def start(self) -> None:
-        """Start all parts."""
+        """Start all components."""
         self.server.listen(self.cfg.callers)
         self.ready_server.listen(self.cfg.ready)
         self.control_server.listen(self.cfg.control)
@@ -205,9 +206,13 @@
         log.info("started", extra={"callers": self.cfg.callers})
 
     async def stop(self) -> None:
-        """Shut down: not ready at once, the duty handed over, no request cut."""
+        """Shut down gracefully.
+
+        The VM reports not ready, steps down as coordinator and drains its connections
+        before it closes them.
+        """
         plan = ShutdownPlan(now(), self.cfg.bounds.stop_time)
-        self.stopping = True
+        self.is_stopping = True
         self._phase_timer.enter(Phase.LEAVING, plan.started_at)
         self.server.is_stopping = True
         self.server.shutdown_time_left = lambda: plan.time_left(now())
@@ -222,14 +227,14 @@
         self.server.start_draining()
         await self._drain(plan)
         self.feed.stop()
-        # Until here callers came and waited for their turns, and other VMs did for
-        # theirs at the queues that this VM keeps.
+        # Until here, callers still waited for permits, and other VMs for permits from
+        # the queues that this VM serves.
         self.keeper.stop()
         await self.server.close()
         self._log_stopped()
-        pages = self.ready_server, self.control_server, self.metrics_server
-        await asyncio.gather(*(page.close() for page in pages))
-        # Requests that were cut have given their turns back by now.
+        servers = self.ready_server, self.control_server, self.metrics_server
+        await asyncio.gather(*(server.close() for server in servers))
+        # Requests that were cut have released their permits by now.
         self.datagrams.close()
         self.senders.close()
         self.peers.close()
@@ -237,14 +242,14 @@
         self.loop_watch.stop()
 
     async def _drain(self, plan: ShutdownPlan) -> None:
-        """Wait until nothing is under way, and log how long each phase took."""
+        """Wait until no work is pending, and log how long each phase took."""
         phase = Phase.LEAVING
         while phase is not Phase.ENDED:
             self.server.close_idle_connections()
             pending_work = self.server.pending_work()
-            reached = plan.phase(now(), pending_work)
-            if reached is not phase:
-                seconds = round(self._phase_timer.enter(reached, now()), 3)
+            next_phase = plan.phase(now(), pending_work)
+            if next_phase is not phase:
+                seconds = round(self._phase_timer.enter(next_phase, now()), 3)
                 log.info(
                     "stop phase ended",
                     extra={
@@ -255,7 +260,7 @@
                         "bytes_left": pending_work.unacknowledged_bytes,
                     },
                 )
-                phase = reached
+                phase = next_phase
                 continue
             await asyncio.sleep(DRAIN_POLL_SECONDS)
 
@@ -272,111 +277,113 @@
         )
 
     async def _run_step(self, plan: ShutdownPlan, step) -> None:
-        """Do one step of the shutdown, in the time that callers need not have."""
-        # What callers have sent by the time that the balancer notices may take as long
-        # again.
+        """Run one step of the shutdown within the time that callers do not need."""
+        # Requests that arrive until the load balancer has noticed may take as long
+        # again to finish.
         left = plan.cut_off_at - BALANCER_LAG_SECONDS - now()
         try:
             async with asyncio.timeout(max(0.0, left)):
                 await step
         except TimeoutError:
-            log.warning("a step of the shutdown took too long")
+            log.warning("shutdown step timed out")
 
     def _reload(self) -> None:
-        # All settings of a VM hold for the life of its process; what changes in the
-        # midst of it comes through the store.
-        log.info("settings are read at the start only; restart to change them")
+        # Settings apply for the lifetime of the process; whatever changes at run time
+        # comes from the store.
+        log.info("ignoring reload; settings are read at startup, restart to apply them")
 
-    def _send_ask(self, host: str, ask: Ask) -> None:
+    def _send_permit_request(self, host: str, ask: Ask) -> None:
         if host == self._host:
             self.keeper.asked(ask, host)
         else:
             self.datagrams.send_to(host, ask.encode())
 
-    def _send_return(self, host: str, back: Return) -> None:
+    def _send_permit_release(self, host: str, release: Return) -> None:
         if host == self._host:
-            self.keeper.returned(back, host)
+            self.keeper.returned(release, host)
         else:
-            self.datagrams.send_to(host, back.encode())
+            self.datagrams.send_to(host, release.encode())
 
-    def _send_reply(self, host: str, reply: Reply) -> None:
+    def _send_permit_reply(self, host: str, reply: Reply) -> None:
         if host == self._host:
             self.turns.replied(reply)
         else:
             self.datagrams.send_to(host, reply.encode())
 
-    def _stands_by(self) -> bool:
+    def _is_standby(self) -> bool:
         return self.membership.stands_by(self.office.holder_address())
 
-    def _is_deputy(self) -> bool:
-        # Before its own record is known, each VM would be the one of its data centre.
-        return self.cfg.vm in self.membership.names() and self._stands_by()
+    def _is_local_publisher(self) -> bool:
+        # Until its own record is known, every VM would consider itself the local
+        # publisher of its data centre.
+        return self.cfg.vm in self.membership.names() and self._is_standby()
 
-    def _limits(self) -> Limits | None:
+    def _current_limits(self) -> Limits | None:
         cfg = self.directory.configuration
         return cfg.limits if cfg is not None else None
 
-    def _heard(self, what: str) -> None:
-        if what in ("configuration", "read"):
-            limits = self._limits()
+    def _on_store_update(self, kind: str) -> None:
+        if kind in ("configuration", "read"):
+            limits = self._current_limits()
             if limits is not None:
                 self.server.set_limits(limits)
-        if self._members_revision != self.membership.revision:
-            self._members_revision = self.membership.revision
+        if self._seen_members_revision != self.membership.revision:
+            self._seen_members_revision = self.membership.revision
             names = self.membership.names()
             self.router.cold.vm_names = names
             vms = len(names) + UNKNOWN
             self.router.vms = self.router.cold.vms = vms
             self.senders.vms = self.feed.vms = vms
 
-    def _tell_news(self, told: News) -> None:
-        if told.large:
-            self._announce_task = asyncio.create_task(self._tell_large(told))
+    def _publish_delta(self, delta: News) -> None:
+        if delta.large:
+            self._announce_task = asyncio.create_task(self._publish_large_items(delta))
         else:
-            self._send_news(told)
+            self._send_delta(delta)
 
-    async def _tell_large(self, told: News) -> None:
-        """Tell large values before the news that names them."""
+    async def _publish_large_items(self, delta: News) -> None:
+        """Publish large items before the delta that refers to them."""
         began = now()
         if self.office.holds():
-            await self.announcements.tell_first(told.large)
-        told.age += now() - began
-        self._send_news(told)
+            await self.announcements.tell_first(delta.large)
+        delta.age += now() - began
+        self._send_delta(delta)
 
-    def _send_news(self, told: News) -> None:
-        for part in told.parts():
+    def _send_delta(self, delta: News) -> None:
+        for part in delta.parts():
             data = part.encode()
-            # What is too much for a datagram the others read for themselves.
+            # The other VMs read items from the store that do not fit in a datagram.
             if data is not None:
                 self.datagrams.send(data, near=not self.office.holds())
 
-    def _take_news(self, data: bytes, host: str) -> None:
+    def _handle_delta(self, data: bytes, host: str) -> None:
         try:
-            told = News.decode(data)
+            delta = News.decode(data)
         except UnreadableRecord as exc:
-            log.warning("news passed over", extra={"cause": str(exc)})
+            log.warning("ignoring invalid store delta", extra={"cause": str(exc)})
             return
-        self.feed.take_news(told)
+        self.feed.take_news(delta)
 
-    def _ready(self, body: bytes) -> PageResponse:
+    def _handle_ready(self, body: bytes) -> PageResponse:
         return PageResponse(200 if self.ready() else UNAVAILABLE)
 
-    def _hand_on(self, body: bytes) -> PageResponse:
-        # Orders under way may still arrive while this VM has the duty for certain.
+    def _handle_export(self, body: bytes) -> PageResponse:
+        # While this VM is certainly the coordinator, its grants in flight may still
+        # reach targets, so its state is not exported yet.
         if not self.office.may_hand_on(body):
             return PageResponse(UNAVAILABLE)
         return PageResponse(200, body=self.granting.handed_on())
 
-    async def _contact(self, body: bytes) -> PageResponse:
+    async def _handle_store_contact(self, body: bytes) -> PageResponse:
         return PageResponse(200, body=str(await self.feed.contact()).encode())
 
-    def _take_speeds(self, body: bytes) -> PageResponse:
+    def _handle_service_times(self, body: bytes) -> PageResponse:
         return PageResponse(200 if self.reports.take_speeds(body) else 400)
 
-    def _take_told(self, body: bytes) -> PageResponse:
+    def _handle_peer_updates(self, body: bytes) -> PageResponse:
         return PageResponse(200 if self.announcements.take(body) else 400)
 
-    def _metrics_text(self, body: bytes) -> PageResponse:
+    def _handle_metrics(self, body: bytes) -> PageResponse:
         headers = [("Content-Type", "text/plain; version=0.0.4")]
         stop = format_shutdown_metrics(
             self.server.counts, self._phase_timer.seconds(now())
--- a/packages/entry/src/berylstage_entry/connection.py
+++ b/packages/entry/src/berylstage_entry/connection.py
@@ -1,10 +1,10 @@
-"""One connection of a caller: its requests as they are read, its answers in order.
+"""One connection from a caller: reads pipelined requests and responds in order.
 
-The load it answers: callers that send several requests at once on a connection. Read
-one after the other, each would wait for all before it, unseen, and come late into the
-queue of its target. So requests of safe methods are begun as they are read; an unsafe
-one waits for those before it and holds up those behind it. Answers go out in the order
-of the requests, as HTTP asks for.
+Callers may pipeline several requests on a connection. If these were served one after
+the other, each would wait for all earlier ones without any queue seeing it, and would
+enter its target's queue late. Requests with safe methods therefore start as soon as
+they are read. A request with an unsafe method waits for the earlier ones and blocks the
+later ones. Responses are written in the order of the requests, as HTTP requires.
 """
 
 from __future__ import annotations
@@ -25,43 +25,48 @@
     HEADERS_TOO_LARGE,
     encode_response,
 )
-from berylstage_entry.sockets import Unread, peer_has_closed, send_queue_bytes, unread
+from berylstage_entry.sockets import (
+    Unread,
+    peek_transport,
+    peer_has_closed,
+    send_queue_bytes,
+)
 
 if TYPE_CHECKING:
     from berylstage_entry.server import CallerServer
     from berylstage_entry.wire import CallerRequest
 
-# Requests of one connection that are under way or wait for their answers to go out:
-# more than a browser sends at once, and few enough that no caller takes a VM for
-# itself.
+# Requests of one connection that are in progress or wait for their response to be
+# written. The limit exceeds what a browser sends at once and keeps a single caller from
+# using up the VM.
 MAX_PIPELINED_REQUESTS = 16
-# Bytes that are parsed at a time. What a connection may have no more requests for
-# stays unread, to the length of such a chunk.
+# Bytes that are parsed at a time. When a connection has reached its limit of requests,
+# it may already have parsed up to one chunk beyond that limit.
 PARSE_CHUNK_BYTES = 4096
-# Bytes that are kept unread before the connection itself is read no further.
+# Bytes that are buffered unparsed before reading from the socket pauses.
 MAX_UNPARSED_BYTES = 64 * 1024
-# Bytes of a request's head at most; larger ones than the operators allow get their own
-# status up to this size.
+# Maximum bytes of a request head that are read. Up to this size, a head that exceeds
+# the configured limit is answered with status 431.
 MAX_HEAD_BYTES = 256 * 1024
-# Bytes of a request's body that are read at most, whatever the operators allow.
+# Maximum bytes of a request body that are read, whatever limit is configured.
 MAX_BODY_BYTES = 64 * 1024 * 1024
-# Seconds after which a caller may come back that was refused for want of memory for
-# its body: the time in which a target takes a body of that size in.
+# Retry-After for a request that is rejected because the body memory is full. Within
+# this time a target receives a body of that size.
 BODY_RETRY_AFTER_SECONDS = 0.5
 
-# Seconds in which the rest of a request is on its way, or the first one on a new
-# connection: twice the time for which a lost packet is waited for.
+# Seconds for which the rest of a request, or the first request of a new connection, may
+# still be in transit: twice the retransmission timeout of a lost packet.
 IN_TRANSIT_SECONDS = 0.5
-# Seconds until a connection is looked at again that has bytes unread.
+# Seconds between idle checks while the socket has unread bytes.
 UNREAD_POLL_SECONDS = 0.02
 
-# Methods of requests that may be begun beside others of their connection.
+# Methods whose requests may run concurrently with others of the same connection.
 SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class CallerConnection(asyncio.Protocol):
-    """Reads requests of one caller and writes the answers.
+    """Reads the requests of one connection and writes the responses.
 
     Parameters
     ----------
@@ -73,39 +78,40 @@
         self._transport: asyncio.Transport | None = None
         self._parser = HttpRequestParser(self)
         self._unparsed = bytearray()
-        # Requests in the order in which they came, the first one to be answered first.
+        # Requests in the order of arrival; their responses are written in this order.
         self._exchanges: deque[Exchange] = deque()
-        # What is being read.
+        # State of the message that is being parsed.
         self._request_target = b""
         self._header_fields: list[tuple[str, str]] = []
         self._head_bytes = 0
         self._in_head = True
-        # Whether nothing more is to be read, and whether the caller takes no answers.
+        # Whether no more input is parsed, and whether the caller does not read its
+        # responses.
         self._input_closed = False
         self._write_paused = False
         self._is_reading = True
-        # Whether nothing is read behind the requests that have begun to come.
+        # Whether only requests that have begun to arrive are still read.
         self._takes_no_new_requests = False
         self._idle_since = now()
-        # When bytes came last, and whether a request has been read to its end.
+        # When bytes arrived last, and whether a complete request has been received.
         self._last_data_at = now()
         self._in_request = False
         self._has_received_request = False
         self._last_request_id = ""
-        # Set once the last answer is written.
+        # Set once the last response is written.
         self._graceful_close: GracefulClose | None = None
         self._timer: asyncio.TimerHandle | None = None
 
-    # Calls of the event loop.
+    # Callbacks of the event loop.
 
     def connection_made(self, transport) -> None:
-        """Begin to wait for a request."""
+        """Register the connection and start its idle timer."""
         self._transport = transport
         self._server.add_connection(self)
         self._check_idle()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End all work, since nobody waits for it."""
+        """Cancel all requests, because the caller can no longer receive responses."""
         self._input_closed = True
         if self._timer is not None:
             self._timer.cancel()
@@ -116,7 +122,7 @@
         self._server.remove_connection(self)
 
     def data_received(self, data: bytes) -> None:
-        """Take in bytes, and read what may be read of them."""
+        """Buffer received bytes and parse as many as the limits allow."""
         if self._input_closed:
             return
         self._last_data_at = now()
@@ -124,33 +130,33 @@
         self._advance()
 
     def pause_writing(self) -> None:
-        """Begin nothing more: the caller does not take its answers."""
+        """Start no more requests while the caller does not read its responses."""
         self._write_paused = True
 
     def resume_writing(self) -> None:
-        """Go on, since the caller takes answers again."""
+        """Resume once the caller reads its responses again."""
         self._write_paused = False
         self._advance()
 
-    # Calls of the parser.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Begin to read a head."""
+        """Reset the parse state for a new request."""
         self._request_target = b""
         self._header_fields = []
         self._in_head = True
         self._in_request = True
 
     def on_url(self, url: bytes) -> None:
-        """Keep a part of the request's target."""
+        """Append a part of the request target."""
         self._request_target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a field of the head."""
+        """Store a header field."""
         self._header_fields.append((name.decode("latin-1"), value.decode("latin-1")))
 
     def on_headers_complete(self) -> None:
-        """Read the head."""
+        """Create the exchange and interpret the request head."""
         self._in_head = False
         self._head_bytes = 0
         method = self._parser.get_method().decode("ascii")
@@ -179,14 +185,14 @@
             self._transport.write(CONTINUE_RESPONSE)
 
     def on_body(self, body: bytes) -> None:
-        """Keep a part of the body, up to the limits."""
+        """Buffer a part of the body, within the size and memory limits."""
         exchange = self._exchanges[-1]
         exchange.body_size += len(body)
         if exchange.refusal is not None:
             return
         if exchange.body_size > self._server.body_limit():
             exchange.refusal = BadRequest(
-                CONTENT_TOO_LARGE, "the body is over the limit"
+                CONTENT_TOO_LARGE, "request body exceeds the size limit"
             )
         elif not self._server.reserve_body_memory(len(body)):
             exchange.refusal = Refused("body-memory", BODY_RETRY_AFTER_SECONDS)
@@ -198,7 +204,7 @@
         self._release_memory(exchange)
 
     def on_message_complete(self) -> None:
-        """Note that a request is whole."""
+        """Mark the request as completely received."""
         exchange = self._exchanges[-1]
         exchange.is_complete = True
         self._in_request = False
@@ -206,19 +212,19 @@
         self._head_bytes = 0
         self._in_head = True
         if exchange.closes_connection:
-            # What follows on this connection is not read, and so never runs.
+            # Anything after this request is not parsed, so it is never executed.
             self._input_closed = True
 
-    # Calls of the server.
+    # Calls from the server.
 
     @property
     def is_serving(self) -> bool:
-        """Whether a request is read or served."""
+        """Whether a request is being received or served."""
         return bool(self._exchanges) or self._in_request
 
     @property
     def unacknowledged_bytes(self) -> int:
-        """Bytes of answers that the other side has not acknowledged."""
+        """Bytes of responses that the peer has not acknowledged."""
         if self._transport is None:
             return 0
         return self._transport.get_write_buffer_size() + send_queue_bytes(
@@ -227,7 +233,7 @@
 
     @property
     def has_pending_work(self) -> bool:
-        """Whether anything would be lost if the connection ended now."""
+        """Whether closing the connection now would lose a request or a response."""
         return (
             self.is_serving
             or self._graceful_close is not None
@@ -235,14 +241,17 @@
         )
 
     def has_unread_bytes(self) -> bool:
-        """Tell whether bytes wait in the socket that nobody has read."""
-        return self._transport is not None and unread(self._transport) is Unread.BYTES
+        """Return whether the socket holds bytes that have not been read."""
+        return (
+            self._transport is not None
+            and peek_transport(self._transport) is Unread.BYTES
+        )
 
     @property
     def last_request_id(self) -> str:
-        """Id of the request that is answered next, or was answered last.
+        """Id of the next request to be answered, else of the last one answered.
 
-        Empty while nothing but a part of a head has come.
+        Empty while only a part of a request head has arrived.
         """
         for exchange in self._exchanges:
             if exchange.req is not None:
@@ -250,19 +259,19 @@
         return "" if self._in_request else self._last_request_id
 
     def stop_taking_requests(self) -> None:
-        """Read nothing behind the requests that have begun to come.
+        """Read no requests beyond those that have begun to arrive.
 
-        A caller that always has another one behind would be read until it is cut off.
-        What stays unread it may send again elsewhere.
+        A caller that pipelines without a pause would otherwise be served until the
+        connection is cut. It may send the unread requests again to another VM.
         """
         self._takes_no_new_requests = True
         self._update_reading()
 
     def close_if_idle(self) -> bool:
-        """Close the connection if nothing is under way; tell whether it was closed.
+        """Close the connection if it has no work; return whether it was closed.
 
-        The rest of a request that has begun, and the first one of a new connection, are
-        waited for as long as they may be on their way.
+        Waits up to `IN_TRANSIT_SECONDS` for the rest of a partly received request and
+        for the first request of a new connection.
         """
         is_expected = self._in_request or not self._has_received_request
         if is_expected and now() - self._last_data_at <= IN_TRANSIT_SECONDS:
@@ -277,9 +286,9 @@
         return True
 
     def abort_if_peer_closed(self) -> None:
-        """End all work if the caller has left, while the connection is not read.
+        """Abort if the caller has closed the connection while reading is paused.
 
-        The event loop notices an end only by reading.
+        The event loop detects a closed connection only by reading.
         """
         if (
             self._is_reading
@@ -291,7 +300,7 @@
             self._transport.abort()
 
     def close_now(self) -> None:
-        """Close the connection, whatever is under way; nothing more runs."""
+        """Close the connection regardless of pending work; start nothing more."""
         self._input_closed = True
         self._unparsed.clear()
         if self._transport is not None:
@@ -299,7 +308,7 @@
         self._server.remove_connection(self)
 
     def _close_idle(self) -> None:
-        """Close once the last answer has arrived, which may be on its way still."""
+        """Close once the last response, which may be in transit, is acknowledged."""
         if self.unacknowledged_bytes:
             self._close()
         else:
@@ -308,7 +317,7 @@
     # Reading.
 
     def _advance(self) -> None:
-        """Read, begin and answer what may be, until nothing changes any more."""
+        """Parse, start and answer requests until no more progress is possible."""
         answered = False
         while True:
             self._parse()
@@ -329,12 +338,13 @@
             try:
                 self._parser.feed_data(chunk)
             except HttpParserUpgrade:
-                # It is answered as it is; what follows is in no protocol known here.
+                # The request is answered without an upgrade. The bytes after it belong
+                # to a protocol that is not supported.
                 self._close_after_last()
             except HttpParserError as exc:
-                self._reject(BadRequest(BAD_REQUEST, f"no request: {exc}"))
+                self._reject(BadRequest(BAD_REQUEST, f"invalid HTTP request: {exc}"))
             if self._in_head and self._head_bytes > MAX_HEAD_BYTES:
-                cause = "the headers are over the limit"
+                cause = "request headers exceed the size limit"
                 self._reject(BadRequest(HEADERS_TOO_LARGE, cause))
             if self._exchanges and self._exchanges[-1].body_size > MAX_BODY_BYTES:
                 self._close_after_last()
@@ -344,22 +354,22 @@
             return True
         is_last_complete = self._exchanges[-1].is_complete
         if len(self._exchanges) == 1 and not is_last_complete:
-            # Nothing else would ever end the wait for the rest of its body.
+            # Reading must go on, because no other event would complete its body.
             return True
         if self._write_paused or self._server.is_memory_full():
             return False
         return len(self._exchanges) - (not is_last_complete) < MAX_PIPELINED_REQUESTS
 
     def _close_after_last(self) -> None:
-        """Read nothing more; the last request is the last one that is answered."""
+        """Stop parsing, and close the connection after the last request's response."""
         self._input_closed = True
         if self._exchanges and not self._exchanges[-1].is_complete:
-            self._reject(BadRequest(BAD_REQUEST, "the request is cut short"))
+            self._reject(BadRequest(BAD_REQUEST, "incomplete request"))
         elif self._exchanges:
             self._exchanges[-1].keep_alive = False
 
     def _reject(self, exc: BadRequest) -> None:
-        """Refuse what is being read, and read nothing more."""
+        """Reject the request that is being received, and stop parsing."""
         self._input_closed = True
         last = self._exchanges[-1] if self._exchanges else None
         if last is None or last.is_complete:
@@ -373,7 +383,7 @@
         self._release_memory(last)
 
     def _update_reading(self) -> None:
-        """Read the connection no further than what is waiting to be parsed."""
+        """Pause or resume reading, depending on how many bytes wait to be parsed."""
         if self._transport is None or self._transport.is_closing():
             return
         if self._graceful_close is not None:
@@ -392,7 +402,7 @@
     # Serving.
 
     def _start_ready_requests(self) -> None:
-        """Begin the requests that need not wait for those before them."""
+        """Start the requests that need not wait for earlier ones."""
         is_blocked = self._write_paused or self._server.is_memory_full()
         for index, exchange in enumerate(self._exchanges):
             if not exchange.is_complete or index == MAX_PIPELINED_REQUESTS:
@@ -410,7 +420,7 @@
             return
         exchange.req.body = b"".join(exchange.body_chunks)
         exchange.body_chunks.clear()
-        # Its caller has waited since it was read.
+        # The caller has been waiting since the request head was read.
         exchange.req.waited = now() - exchange.received_at
         exchange.task = asyncio.create_task(self._serve(exchange, exchange.req))
 
@@ -420,14 +430,14 @@
         finally:
             self._release_memory(exchange)
         exchange.response = response
-        # Until it goes out it takes the index of a body.
+        # A buffered response counts against the body memory until it is written.
         exchange.reserved_bytes = self._server.reserve_response_memory(
             len(response.body)
         )
         self._advance()
 
     def _write_ready_responses(self) -> bool:
-        """Write the answers that have none before them; tell whether there were any."""
+        """Write the responses whose turn has come; return whether there were any."""
         answered = False
         while self._exchanges and self._exchanges[0].response is not None:
             exchange = self._exchanges.popleft()
@@ -445,16 +455,16 @@
         return answered
 
     def _is_last_response(self) -> bool:
-        """Tell whether the program stops and no other request has come.
+        """Return whether the process is stopping and no other request has arrived.
 
-        A caller takes the word that the connection closes as one that nothing behind
-        the answer was taken. What has been read is answered first.
+        Callers take ``Connection: close`` to mean that no request after this response
+        was accepted. Requests that have been read are therefore answered first.
         """
         has_more = self._exchanges or self._unparsed or self._in_request
         return self._server.is_stopping and not has_more
 
     def _close(self) -> None:
-        """Close once all has left; what was begun behind it has no answer."""
+        """Close once all output is acknowledged; later requests get no response."""
         self._input_closed = True
         self._in_request = False
         self._cancel_exchanges(self._exchanges)
@@ -472,21 +482,21 @@
                 exchange.task.cancel()
 
     def _release_memory(self, exchange: Exchange) -> None:
-        """Give back what a body or an answer took."""
+        """Release the memory that is reserved for a body or a response."""
         self._server.release_memory(exchange.reserved_bytes)
         exchange.reserved_bytes = 0
 
     # Idle time.
 
     def _check_idle(self) -> None:
-        """Close the connection if it has been idle for too long, or look again."""
+        """Close the connection after its idle timeout, or schedule the next check."""
         if self._graceful_close is not None:
             return
         left = self._idle_since + self._server.idle_timeout - now()
         if self._exchanges:
             left = self._server.idle_timeout
         elif left <= 0 and self.has_unread_bytes():
-            # The loop was late: a request has come in time.
+            # The event loop was late; a request arrived before the timeout.
             left = UNREAD_POLL_SECONDS
         if left <= 0:
             self._close_idle()
--- a/packages/entry/src/berylstage_entry/exchange.py
+++ b/packages/entry/src/berylstage_entry/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller and its answer."""
+"""A caller's request and its response."""
 
 from __future__ import annotations
 
@@ -15,37 +15,37 @@
 
 
 class Exchange:
-    """One request and its answer.
+    """A request and its response.
 
     Parameters
     ----------
     is_safe : bool
-        Whether it may be begun beside others of its connection.
+        Whether the request may run concurrently with others of its connection.
     keep_alive : bool
-        Whether the caller means to send more on the connection.
+        Whether the caller keeps the connection open for further requests.
 
     Attributes
     ----------
     received_at : float
-        When its head was whole.
+        Monotonic seconds at which the request head was complete.
     reserved_bytes : int
-        Bytes counted against what all bodies may take.
+        Bytes reserved from the memory for bodies and responses.
     is_complete : bool
-        Whether all of it has been read.
+        Whether the whole request has been received.
     """
 
     __slots__ = (
-        "received_at",
         "body_chunks",
-        "reserved_bytes",
+        "body_size",
+        "is_complete",
+        "is_safe",
         "keep_alive",
+        "received_at",
         "refusal",
-        "response",
         "req",
-        "is_safe",
-        "body_size",
+        "reserved_bytes",
+        "response",
         "task",
-        "is_complete",
     )
 
     def __init__(self, is_safe: bool, keep_alive: bool):
@@ -63,5 +63,5 @@
 
     @property
     def closes_connection(self) -> bool:
-        """Whether the connection ends with it."""
+        """Whether the connection closes after the response."""
         return self.refusal is not None or not self.keep_alive
--- a/packages/entry/src/berylstage_entry/graceful_close.py
+++ b/packages/entry/src/berylstage_entry/graceful_close.py
@@ -1,4 +1,4 @@
-"""The end of a connection: what was written leaves before it closes."""
+"""Graceful close of a connection, after all written data is acknowledged."""
 
 from __future__ import annotations
 
@@ -13,36 +13,36 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Seconds between two looks at what is left, at first and at most.
+# Shortest and longest time between two checks of the unacknowledged bytes.
 MIN_POLL_SECONDS = 0.004
 MAX_POLL_SECONDS = 0.05
-# Seconds without progress after which a side that has ended takes nothing more. After a
-# reset nothing is acknowledged, and the kernel goes on to count it as not sent.
+# Seconds without progress after which a connection is aborted whose peer has closed.
+# After a reset nothing is acknowledged, and the kernel still counts the data as unsent.
 PEER_CLOSED_TIMEOUT_SECONDS = 0.2
 
 log = Logger(__name__)
 
 
 class GracefulClose:
-    """Sees the last answer of a connection out, and closes the connection then.
+    """Closes a connection once its last response is delivered.
 
-    A socket that is closed with bytes unread resets the connection, and the reset
-    destroys an answer that is still on its way. So only the sending side is shut down,
-    and the socket closes once the other side has acknowledged everything. What comes
-    meanwhile stays unread: its sender may send it again elsewhere.
+    Closing a socket that has unread bytes resets the connection, and the reset destroys
+    a response that is still in transit. Therefore only the sending side is shut down,
+    and the socket is closed once the peer has acknowledged everything. Data that
+    arrives meanwhile stays unread; its sender may send it again to another VM.
 
     Parameters
     ----------
     transport : asyncio.Transport
     stall_timeout : callable
-        Returns the seconds for which the other side may take nothing.
+        Returns the seconds without progress after which the connection is aborted.
     """
 
     __slots__ = (
+        "_last_progress_at",
         "_last_unacknowledged",
-        "_stall_timeout",
         "_poll_seconds",
-        "_last_progress_at",
+        "_stall_timeout",
         "_timer",
         "_transport",
     )
@@ -59,25 +59,28 @@
 
     @property
     def unacknowledged_bytes(self) -> int:
-        """Bytes that the other side has not acknowledged."""
+        """Bytes that the peer has not acknowledged."""
         return self._transport.get_write_buffer_size() + send_queue_bytes(
             self._transport
         )
 
     def begin(self) -> None:
-        """Shut down the sending side behind what is written."""
+        """Shut down the sending side after the data that is already written."""
         self._transport.pause_reading()
         try:
             self._transport.write_eof()
         except OSError as exc:
-            # The other side is gone; nobody is there to take the rest.
-            log.debug("connection gone at its end", extra={"cause": str(exc)})
+            # The peer has closed the connection and can receive nothing more.
+            log.debug(
+                "peer closed the connection before its graceful close",
+                extra={"cause": str(exc)},
+            )
             self._transport.abort()
             return
         self._check()
 
     def cancel(self) -> None:
-        """Look no more, since the connection is lost."""
+        """Stop checking, because the connection is lost."""
         if self._timer is not None:
             self._timer.cancel()
 
@@ -96,7 +99,7 @@
         self._poll_seconds = min(2 * self._poll_seconds, MAX_POLL_SECONDS)
 
     def _stall_limit(self) -> float:
-        """Return the seconds without progress after which it is given up."""
+        """Return the seconds without progress after which the connection is aborted."""
         return (
             PEER_CLOSED_TIMEOUT_SECONDS
             if peer_has_closed(self._transport)
--- a/packages/entry/src/berylstage_entry/internal_http.py
+++ b/packages/entry/src/berylstage_entry/internal_http.py
@@ -1,4 +1,4 @@
-"""The small HTTP servers of an entry VM: for the balancer and other VMs."""
+"""Small HTTP servers of an entry VM, for the load balancer, other VMs and metrics."""
 
 from __future__ import annotations
 
@@ -28,30 +28,32 @@
 
     Handler = Callable[[bytes], "Response | Awaitable[Response]"]
 
-# Seconds that the end waits for what is under way: half of what a stop keeps for what
-# comes after its last request.
+# Seconds for which closing waits for pending requests and responses: half of the time
+# that a shutdown reserves for the steps after its last request.
 CLOSE_TIMEOUT_SECONDS = 0.3
-# Seconds between two looks at that.
+# Seconds between two checks for pending work.
 CLOSE_POLL_SECONDS = 0.005
 
 
-def write_response(conn, reply: Response, closing: bool) -> Future[None]:
-    """Write a reply on a connection of tornado's; the future ends when it has left."""
+def write_response(
+    request_conn, response: Response, closes_connection: bool
+) -> Future[None]:
+    """Write a response; the returned future completes once tornado has written it."""
     headers = HTTPHeaders()
-    for name, value in reply.headers:
+    for name, value in response.headers:
         headers.add(name, value)
-    headers["Content-Length"] = str(len(reply.body))
-    if closing:
+    headers["Content-Length"] = str(len(response.body))
+    if closes_connection:
         headers["Connection"] = "close"
-    reason = responses.get(reply.status, "Unknown")
-    start = ResponseStartLine("HTTP/1.1", reply.status, reason)
-    sent = conn.write_headers(start, headers, reply.body)
-    conn.finish()
+    reason = responses.get(response.status, "Unknown")
+    start = ResponseStartLine("HTTP/1.1", response.status, reason)
+    sent = request_conn.write_headers(start, headers, response.body)
+    request_conn.finish()
     return sent
 
 
 class _InternalConnection:
-    """A connection of the balancer or another VM.
+    """A connection from the load balancer or another VM.
 
     Parameters
     ----------
@@ -62,105 +64,108 @@
 
     def __init__(self, stream: IOStream):
         self.stream = stream
-        # Whether the answer to a question that has begun to come is not yet written.
+        # Whether a request has begun to arrive whose response is not yet written.
         self.is_serving = False
 
     @property
     def has_pending_work(self) -> bool:
-        """Whether anything would be lost if the connection ended now."""
+        """Whether closing the connection now would lose a request or a response."""
         if self.is_serving or self.stream.writing():
             return True
         sock = self.stream.socket
         if socket_send_queue_bytes(sock) > 0 or unread_in(sock) is Unread.BYTES:
             return True
-        # Between two reads the stream has bytes of a question that nobody has seen yet.
+        # Between two reads, the stream buffers bytes of a request that the HTTP parser
+        # has not seen yet.
         return not self.stream.reading()
 
 
 class _InternalExchange(HTTPMessageDelegate):
-    """A small request of the balancer or another VM."""
-
-    def __init__(self, pages: InternalServer, page_conn: _InternalConnection, conn):
-        self._pages = pages
-        self._page_conn = page_conn
-        self._conn = conn
+    """A request from the load balancer or another VM, and its response."""
+
+    def __init__(
+        self, server: InternalServer, internal_conn: _InternalConnection, request_conn
+    ):
+        self._server = server
+        self._internal_conn = internal_conn
+        self._request_conn = request_conn
         self._path = ""
         self._chunks: list[bytes] = []
 
     def headers_received(
         self, start_line: RequestStartLine | ResponseStartLine, headers: HTTPHeaders
     ) -> None:
-        """Read the path."""
+        """Store the path without its query."""
         assert isinstance(start_line, RequestStartLine)
-        self._page_conn.is_serving = True
+        self._internal_conn.is_serving = True
         self._path = start_line.path.partition("?")[0]
 
     def data_received(self, chunk: bytes) -> None:
-        """Keep a part of the body."""
+        """Append a part of the body."""
         self._chunks.append(chunk)
 
     def finish(self) -> None:
-        """Answer."""
-        self._task = asyncio.create_task(self._answer())
+        """Start the task that responds."""
+        self._task = asyncio.create_task(self._respond())
 
-    async def _answer(self) -> None:
+    async def _respond(self) -> None:
         try:
-            reply = self._pages.answer(self._path, b"".join(self._chunks))
-            if not isinstance(reply, Response):
-                reply = await reply
-            write_response(self._conn, reply, self._pages.is_closing)
+            response = self._server.respond(self._path, b"".join(self._chunks))
+            if not isinstance(response, Response):
+                response = await response
+            write_response(self._request_conn, response, self._server.is_closing)
         finally:
-            self._page_conn.is_serving = False
+            self._internal_conn.is_serving = False
 
     def on_connection_close(self) -> None:
-        """Let the answer be made; nobody takes it."""
+        """Let the handler finish, although its response can no longer be sent."""
 
 
 class InternalServer(HTTPServerConnectionDelegate):
-    """Serves small pages that need no waiting.
+    """Serves requests with small bodies that are answered quickly.
 
     Parameters
     ----------
-    pages : dict of str to callable
-        By path; each takes the body and returns the reply, or what brings it.
+    handlers : dict of str to callable
+        By path; each takes the body and returns the response or an awaitable of it.
 
     Attributes
     ----------
-    closing : bool
-        Whether answers say that their connection closes.
+    is_closing : bool
+        Whether responses announce that their connection closes.
     """
 
-    def __init__(self, pages: dict[str, Handler]):
-        self._pages = pages
+    def __init__(self, handlers: dict[str, Handler]):
+        self._handlers = handlers
         self._server: HTTPServer | None = None
         self._connections: dict[object, _InternalConnection] = {}
         self.is_closing = False
 
     def listen(self, address: str) -> None:
-        """Accept connections."""
+        """Start to accept connections."""
         self._server = HTTPServer(self, max_body_size=DEFAULT_MAX_BODY_BYTES)
         host, port = split_address(address)
         self._server.listen(port, host)
 
     def start_request(self, server_conn, request_conn) -> HTTPMessageDelegate:
-        """Return what takes a new request."""
-        known = self._connections.get(server_conn)
-        if known is None:
-            known = _InternalConnection(server_conn.stream)
-            self._connections[server_conn] = known
-        return _InternalExchange(self, known, request_conn)
+        """Return the delegate for a new request."""
+        internal_conn = self._connections.get(server_conn)
+        if internal_conn is None:
+            internal_conn = _InternalConnection(server_conn.stream)
+            self._connections[server_conn] = internal_conn
+        return _InternalExchange(self, internal_conn, request_conn)
 
     def on_close(self, server_conn) -> None:
-        """Note that a connection is no more."""
+        """Unregister a closed connection."""
         self._connections.pop(server_conn, None)
 
-    def answer(self, path: str, body: bytes) -> Response | Awaitable[Response]:
-        """Return the reply for a path, or what brings it."""
-        page = self._pages.get(path)
-        return page(body) if page is not None else Response(404)
+    def respond(self, path: str, body: bytes) -> Response | Awaitable[Response]:
+        """Return the response for a path, or an awaitable of it."""
+        handler = self._handlers.get(path)
+        return handler(body) if handler is not None else Response(404)
 
     async def close(self) -> None:
-        """Close all connections, those with something under way when it has left."""
+        """Close all connections, waiting for pending work up to a timeout."""
         if self._server is None:
             return
         self.is_closing = True
@@ -171,7 +176,7 @@
         await self._server.close_all_connections()
 
     def _close_idle(self) -> int:
-        """Close what has nothing under way; return how many connections are left."""
+        """Close connections without pending work; return how many remain open."""
         for conn in list(self._connections.values()):
             if not conn.has_pending_work:
                 conn.stream.close()
--- a/packages/entry/src/berylstage_entry/journal.py
+++ b/packages/entry/src/berylstage_entry/journal.py
@@ -1,4 +1,4 @@
-"""Log lines about requests, bounded in number, and their counts."""
+"""Rate-limited log of requests, and their metrics."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
     from berylstage_entry.metrics import Metrics
     from berylstage_entry.wire import CallerRequest
 
-# Lines a second about requests that failed or were refused, and about those that went
-# well. One line costs about 60 us of processor time, so both together stay below 0.3%
-# of a core; what is left out is counted.
+# Log lines per second for failed or rejected requests, and for successful ones. A line
+# takes about 60 us of processor time, so that both together use less than 0.3% of a
+# core. Suppressed lines are counted.
 FAILURE_LINES_PER_SECOND = 40.0
 SUCCESS_LINES_PER_SECOND = 3.0
-# Times the lines of a second that may come at once.
+# Seconds worth of lines that may be written in one burst.
 BURST_SECONDS = 2.0
 SERVER_ERROR = 500
 
@@ -26,15 +26,20 @@
 
 
 class LineBudget:
-    """Lines that may be written, filled up at a steady rate.
+    """Token bucket that limits the rate of log lines.
 
     Parameters
     ----------
     rate : float
-        Lines a second.
+        Lines per second.
+
+    Attributes
+    ----------
+    left_out : int
+        Lines suppressed since they were last reported.
     """
 
-    __slots__ = ("_refilled_at", "_rate", "_tokens", "left_out")
+    __slots__ = ("_rate", "_refilled_at", "_tokens", "left_out")
 
     def __init__(self, rate: float):
         self._rate = rate
@@ -43,7 +48,7 @@
         self.left_out = 0
 
     def take(self) -> bool:
-        """Tell whether one more line may be written, and count it."""
+        """Take a token and return True, or count a suppressed line."""
         moment = now()
         filled = self._tokens + (moment - self._refilled_at) * self._rate
         self._tokens = min(self._rate * BURST_SECONDS, filled)
@@ -55,13 +60,13 @@
         return True
 
     def take_left_out(self) -> int:
-        """Return the lines left out since the last call."""
+        """Return and reset the number of suppressed lines."""
         left_out, self.left_out = self.left_out, 0
         return left_out
 
 
 class RequestJournal:
-    """Writes what became of requests.
+    """Logs the outcomes of requests and records their metrics.
 
     Parameters
     ----------
@@ -73,9 +78,11 @@
         self._failure_limiter = LineBudget(FAILURE_LINES_PER_SECOND)
         self._success_limiter = LineBudget(SUCCESS_LINES_PER_SECOND)
 
-    def log_answered(self, req: CallerRequest, done: Answered, seconds: float) -> None:
-        """Note a target's answer that went to the caller."""
-        answer = done.answer
+    def log_answered(
+        self, req: CallerRequest, routed: Answered, seconds: float
+    ) -> None:
+        """Log a target's answer that is returned to the caller."""
+        answer = routed.answer
         outcome = "failed" if answer.status >= SERVER_ERROR else "answered"
         self._metrics.request(req.host, outcome, seconds)
         failed = outcome == "failed"
@@ -87,10 +94,10 @@
             extra={
                 "id": req.request_id,
                 "status": answer.status,
-                "target": done.target,
-                "attempts": done.attempts,
+                "target": routed.target,
+                "attempts": routed.attempts,
                 "seconds": round(seconds, 4),
-                "waited": round(req.waited + done.waited, 4),
+                "waited": round(req.waited + routed.waited, 4),
                 "left_out": budget.take_left_out(),
             },
         )
@@ -103,18 +110,19 @@
         seconds: float,
         detail: str = "",
     ) -> None:
-        """Note the end of a request that no target's answer ended.
+        """Log a request that ended without a target's answer.
 
         Parameters
         ----------
         req : CallerRequest
         status : int
-            0 when nobody was there to take it.
+            HTTP status of the response; 0 if the caller had left.
         reason : str
+            Reason, which is also the outcome label of the metrics.
         seconds : float
-            From its arrival.
+            Seconds since the request arrived.
         detail : str
-            What decided it, and how old that was.
+            Facts that led to this outcome, and their age.
         """
         self._metrics.request(req.host, reason, seconds)
         if not self._failure_limiter.take():
@@ -134,7 +142,7 @@
         )
 
     def log_malformed(self, cause: str) -> None:
-        """Note a request that could not be read."""
+        """Log a request that could not be parsed or was rejected before routing."""
         self._metrics.count("malformed")
         if self._failure_limiter.take():
             log.info("request malformed", extra={"cause": cause})
--- a/packages/entry/src/berylstage_entry/journey.py
+++ b/packages/entry/src/berylstage_entry/journey.py
@@ -1,4 +1,4 @@
-"""One request on its way through the router, and how it ended."""
+"""State of a request in the router, and its result."""
 
 from __future__ import annotations
 
@@ -12,15 +12,17 @@
 
 
 class Answered:
-    """A request that a target has answered, and how it went.
+    """A target's answer to a request, with details for the log.
 
     Parameters
     ----------
     answer : TargetAnswer
     target : str
+        Name of the target.
     attempts : int
+        Attempts that were sent to targets.
     waited : float
-        Seconds that it waited for its turns.
+        Seconds that the request waited for permits.
     """
 
     __slots__ = ("answer", "attempts", "target", "waited")
@@ -35,7 +37,7 @@
 
 
 class Journey:
-    """One request on its way.
+    """State of a request while the router serves it.
 
     Parameters
     ----------
@@ -43,9 +45,9 @@
     route : Route
     service : Service
     deadline : float
-        Monotonic seconds until which a target may answer.
+        Monotonic seconds by which a target must answer.
     wanted : float
-        Monotonic seconds until which its answer is of full use.
+        Monotonic seconds by which an answer meets the route's latency objective.
     """
 
     __slots__ = (
@@ -78,27 +80,27 @@
         self.service = service
         self.deadline = deadline
         self.wanted = wanted
-        # Its turn at the target, to be given back; None while it has none.
+        # Permit to send to the target, to be released; None while there is none.
         self.turn: Turn | None = None
         self.waited = 0.0
-        # Times that a target turned it away although it had its turn there.
+        # Times that a target rejected it although it had a permit.
         self.shed = 0
         self.attempts = 0
         self.tried: set[str] = set()
-        # Reason of the last attempt that may have run; empty while none has.
+        # Why the last attempt that may have been executed failed; empty if none.
         self.lost = ""
-        # Owner of its key that did not take it, and the revision of the assignment that
-        # named it; seconds before it is asked again.
+        # Owner of the key that rejected the request, with the revision of the
+        # assignment that named it, and the seconds before it is tried again.
         self.turned_away: tuple[str, int] = ("", -1)
         self.pause = 0.0
-        # A target's own failure, which the caller gets when nothing better comes.
+        # A target's error answer, returned to the caller if no retry succeeds.
         self.failure: Answered | None = None
 
     def trace(self) -> str:
-        """Return where the request has been, for the log."""
+        """Return the time waited and the targets tried, for the log."""
         tried = f" tried {','.join(sorted(self.tried))}" if self.tried else ""
         return f"waited {self.waited:.3f} s{tried}"
 
     def left(self, moment: float) -> float:
-        """Return the seconds that are left for a target."""
+        """Return the seconds until the deadline."""
         return self.deadline - moment
--- a/packages/entry/src/berylstage_entry/line_writers.py
+++ b/packages/entry/src/berylstage_entry/line_writers.py
@@ -1,4 +1,4 @@
-"""Write log lines without ever holding up the process."""
+"""Writers of log lines that never block the event loop."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from berylstage_entry.clock import now
 from berylstage_entry.shutdown import STOP_SIGNALS
 
-# Bytes kept while they can't be written; what comes beyond is left out.
+# Bytes that are buffered while they cannot be written; further lines are dropped.
 MAX_BUFFERED_BYTES = 256 * 1024
-# Seconds for which the end of the process waits for lines that are not written yet.
+# Seconds for which the exit of the process waits for buffered lines to be written.
 CLOSE_TIMEOUT_SECONDS = 1.0
 
 
 class LineWriter(ABC):
-    """Writes lines to a file descriptor.
+    """Writes log lines to a file descriptor.
 
     Attributes
     ----------
     writing : float
-        Seconds for which the caller was held up by writing since the start.
+        Seconds for which writes have blocked the caller since the start.
     """
 
     __slots__ = ("writing",)
@@ -33,25 +33,25 @@
 
     @abstractmethod
     def write(self, data: bytes) -> bool:
-        """Write or keep a line; False when there was no room for it."""
+        """Write or buffer a line; return False if the buffer has no room for it."""
 
     @abstractmethod
     def close(self) -> None:
-        """Write what was kept, as far as that takes no time."""
+        """Write the buffered lines, as far as that is possible quickly."""
 
 
 class NonBlockingWriter(LineWriter):
-    """Writes what the other end takes at once, and keeps the rest.
+    """Writes as much as the descriptor accepts without blocking, and buffers the rest.
 
-    A pipe that nobody reads is full after 64 KB, and a blocking write would then stop
-    the event loop: every request would stand still for the sake of its log.
+    A pipe without a reader is full after 64 KB. A blocking write would then stop the
+    event loop, and with it every request.
 
     Parameters
     ----------
     fd : int
     """
 
-    __slots__ = ("_fd", "_buffer")
+    __slots__ = ("_buffer", "_fd")
 
     def __init__(self, fd: int):
         super().__init__()
@@ -69,7 +69,7 @@
         except BlockingIOError:
             return True
         except OSError:
-            # Nobody will read any more; there is no place left to say so.
+            # The pipe has no reader any more, and there is nowhere to report this.
             self._buffer = b""
             return True
         finally:
@@ -83,17 +83,17 @@
 
 
 class ThreadedWriter(LineWriter):
-    """Has a thread write to a file.
+    """Writes lines to a regular file in a separate thread.
 
-    A file is always ready, as far as anybody can ask, and a write to it still takes
-    as long as the disk is busy with what others write.
+    The kernel always reports a regular file as ready, but a write to it still blocks
+    while the disk is busy with other writes.
 
     Parameters
     ----------
     fd : int
     """
 
-    __slots__ = ("_closing", "_fd", "_buffer", "_thread", "_condition")
+    __slots__ = ("_buffer", "_closing", "_condition", "_fd", "_thread")
 
     def __init__(self, fd: int):
         super().__init__()
@@ -119,8 +119,9 @@
         self._thread.join(CLOSE_TIMEOUT_SECONDS)
 
     def _run(self) -> None:
-        # A signal that came to this thread, when the event loop has closed and the main
-        # thread blocks it, would end the process with a status that looks like a crash.
+        # After the event loop has closed, the main thread blocks these signals. If one
+        # were delivered to this thread, the process would end with a status that looks
+        # like a crash.
         signal.pthread_sigmask(signal.SIG_BLOCK, STOP_SIGNALS)
         while True:
             with self._condition:
@@ -135,12 +136,12 @@
             try:
                 data = data[os.write(self._fd, data) :]
             except OSError:
-                # A full disk, say; there is no place left to say so.
+                # For example, the disk is full; there is nowhere to report this.
                 return
 
 
 def create_line_writer(fd: int) -> LineWriter:
-    """Return what writes lines to a file descriptor, by what it leads to."""
+    """Return a line writer that suits the type of file behind a descriptor."""
     if stat.S_ISREG(os.fstat(fd).st_mode):
         return ThreadedWriter(fd)
     return NonBlockingWriter(fd)
--- a/packages/entry/src/berylstage_entry/logs.py
+++ b/packages/entry/src/berylstage_entry/logs.py
@@ -1,4 +1,4 @@
-"""Log lines as JSON on standard output, which never hold up the process."""
+"""Log handler that writes JSON lines to standard output without blocking."""
 
 from __future__ import annotations
 
@@ -16,11 +16,12 @@
 
 
 class JsonLines(Handler):
-    """Writes each record as a line of JSON without waiting for its reader.
+    """Writes each log record as a line of JSON, without waiting for a reader.
 
     Parameters
     ----------
     vm : str
+        Name of the VM, written with each line.
     """
 
     def __init__(self, vm: str):
@@ -32,7 +33,7 @@
 
     @property
     def writing(self) -> float:
-        """Seconds that lines have held up the process since the start."""
+        """Seconds for which writes have blocked the event loop since the start."""
         return self._writer.writing
 
     def emit(self, record: LogRecord) -> None:
@@ -44,8 +45,8 @@
             "logger": record.channel,
             "message": record.message,
         }
-        # A field that is named like one of ours must not replace it: whoever searches
-        # the logs by level or time would miss the line.
+        # An extra field must not replace a standard one of the same name, or searches
+        # of the logs by level or time would miss the line.
         line |= {k: v for k, v in record.extra.items() if k not in line}
         if record.exc_info:
             line["exception"] = record.formatted_exception
@@ -57,5 +58,5 @@
             self._lines_lost += 1
 
     def close(self) -> None:
-        """Write what is kept, as far as that takes no time."""
+        """Write the buffered lines, as far as that is possible quickly."""
         self._writer.close()
--- a/packages/entry/src/berylstage_entry/metrics.py
+++ b/packages/entry/src/berylstage_entry/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of an entry VM, as text for a scraper."""
+"""Counters and latency histograms of an entry VM, in Prometheus text format."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
     from berylstage_entry.server import ShutdownCounts
 
-# Upper bounds of the histograms' buckets, in seconds: finer than a factor of 1.6 where
-# objectives lie (0.15 to 0.8 s).
+# Upper bounds of the histogram buckets. Neighbouring bounds differ by less than a
+# factor of 1.6 between 0.15 and 0.8 s, where latency objectives lie.
 LATENCY_BUCKETS_SECONDS = (
     0.01,
     0.02,
@@ -32,13 +32,13 @@
 
 
 class Metrics:
-    """Counts and times since the start of the process."""
+    """Counters and latency histograms since the start of the process."""
 
     __slots__ = (
         "_counts",
         "_histograms",
-        "_loop_delay_seconds",
         "_loop_delay_count",
+        "_loop_delay_seconds",
         "_sums",
     )
 
@@ -46,33 +46,34 @@
         self._counts: dict[str, int] = {}
         self._histograms: dict[tuple[str, str], list[int]] = {}
         self._sums: dict[tuple[str, str], float] = {}
-        # How often the event loop was late, and the seconds of that.
+        # Number of event loop delays, and their total in seconds.
         self._loop_delay_count = 0
         self._loop_delay_seconds = 0.0
 
     def count(self, name: str, amount: int = 1) -> None:
-        """Count something."""
+        """Increase a counter."""
         self._counts[name] = self._counts.get(name, 0) + amount
 
     def loop_late(self, seconds: float) -> None:
-        """Record that the event loop stood still.
+        """Record a delay of the event loop.
 
         Parameters
         ----------
         seconds : float
+            Length of the delay.
         """
         self._loop_delay_count += 1
         self._loop_delay_seconds += seconds
 
     def request(self, tenant: str, outcome: str, seconds: float) -> None:
-        """Record a request that has ended.
+        """Record a finished request.
 
         Parameters
         ----------
         tenant : str
         outcome : str
         seconds : float
-            From its arrival.
+            Seconds since the request arrived.
         """
         pair = (tenant, outcome)
         histogram = self._histograms.get(pair)
@@ -85,7 +86,7 @@
         self._sums[pair] += seconds
 
     def text(self) -> str:
-        """Return everything in the text format that scrapers read."""
+        """Return all metrics in Prometheus text format."""
         lines = [
             f'berylstage_events_total{{event="{name}"}} {count}'
             for name, count in sorted(self._counts.items())
@@ -109,13 +110,14 @@
 def format_shutdown_metrics(
     counts: ShutdownCounts, seconds: Mapping[str, float]
 ) -> str:
-    """Return what a stop costs in the text format that scrapers read.
+    """Return the shutdown metrics in Prometheus text format.
 
     Parameters
     ----------
-    counts : StopCounts
+    counts : ShutdownCounts
     seconds : mapping of str to float
-        By phase. All stand there from the start, so that a scraper sees them rise.
+        Seconds by phase. All phases are present from the start, so that a scraper sees
+        them increase from zero.
 
     Returns
     -------
--- a/packages/entry/src/berylstage_entry/responses.py
+++ b/packages/entry/src/berylstage_entry/responses.py
@@ -1,4 +1,4 @@
-"""What goes back to a caller, and its bytes."""
+"""HTTP responses and their encoding."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 UNAVAILABLE = 503
 GATEWAY_TIMEOUT = 504
 
-# Statuses whose answers have no body, and so no length.
+# Statuses whose responses have no body and therefore no Content-Length.
 _STATUSES_WITHOUT_BODY = frozenset({NO_CONTENT, NOT_MODIFIED})
 _REASON_PHRASES = {status.value: status.phrase for status in HTTPStatus}
 
 
 class Response:
-    """What goes back to a caller.
+    """An HTTP response.
 
     Parameters
     ----------
@@ -40,13 +40,13 @@
 
 
 def encode_response(response: Response, closes_connection: bool) -> bytes:
-    """Return a reply as it is sent.
+    """Encode a response as HTTP/1.1.
 
     Parameters
     ----------
-    response : Reply
+    response : Response
     closes_connection : bool
-        Whether the connection ends with it.
+        Whether the connection closes after the response.
 
     Returns
     -------
@@ -68,5 +68,5 @@
 
 
 def _has_no_line_break(value: str) -> bool:
-    # A line break in it would begin a header, or an answer, that nobody made.
+    # A line break in a value would inject a header or a second response.
     return "\r" not in value and "\n" not in value
--- a/packages/entry/src/berylstage_entry/server.py
+++ b/packages/entry/src/berylstage_entry/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server of an entry VM for its callers."""
+"""HTTP server of an entry VM for callers."""
 
 from __future__ import annotations
 
@@ -32,43 +32,44 @@
     from berylstage_entry.services import Limits
     from berylstage_entry.wire import CallerRequest, CallerWire
 
-# Bytes of a request's body at most while no configuration says so.
+# Maximum bytes of a request body while no configuration is known.
 DEFAULT_MAX_BODY_BYTES = 1024 * 1024
-# Bytes of all bodies together that are buffered at most: a third of the memory of a VM
-# of 300 MB, since a body is copied once on its way out and the process takes 26 MB.
-# Five bodies of 64 MB at a time would have the VM killed, and its requests with it.
+# Maximum bytes of all buffered bodies together: a third of the memory of a 300 MB VM,
+# because each body is copied once when it is sent and the process itself uses 26 MB.
+# Without this limit, five concurrent bodies of 64 MB would get the process killed for
+# its memory use, and all its requests would be lost.
 DEFAULT_MAX_BUFFERED_BYTES = 100 * 1024 * 1024
-# Connections that may wait to be accepted.
+# Connections that may wait in the listen queue.
 LISTEN_BACKLOG = 1024
-# Seconds for which a connection may stay idle while no configuration says so.
+# Idle timeout of a connection while no configuration is known.
 DEFAULT_IDLE_SECONDS = 60.0
-# Seconds beyond the operators' idle time after which a connection closes, so that a
-# request sent within that time doesn't cross the close.
+# Added to the configured idle timeout, so that a request which is sent just within the
+# configured time does not cross the close of its connection.
 IDLE_MARGIN_SECONDS = 2.0
 
 log = Logger(__name__)
 
 
 class ShutdownCounts:
-    """What a stop has brought to callers.
+    """Counts of what callers experienced during a shutdown.
 
     Attributes
     ----------
-    begun : int
-        Requests that came after SIGTERM.
+    requests_received : int
+        Requests that arrived after SIGTERM.
     idle_closed : int
-        Connections closed without a request.
-    cut : int
-        Connections that ended with something under way.
+        Connections closed without pending work.
+    connections_cut : int
+        Connections closed with pending work.
     bytes_cut : int
-        Bytes of answers that did not leave.
+        Bytes of responses that callers did not acknowledge.
     """
 
     __slots__ = (
-        "requests_received",
         "bytes_cut",
-        "idle_closed",
         "connections_cut",
+        "idle_closed",
+        "requests_received",
     )
 
     def __init__(self) -> None:
@@ -79,13 +80,13 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return host and port of ``ip:port``."""
+    """Return the host and the port of ``ip:port``."""
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
 
 
 class CallerServer:
-    """Serves callers.
+    """Accepts callers' connections and answers their requests through the router.
 
     Parameters
     ----------
@@ -93,7 +94,7 @@
     router : Router
     journal : RequestJournal
     limits : callable
-        Returns the limits in force, or None.
+        Returns the configured limits, or None while no configuration is known.
     """
 
     def __init__(
@@ -110,14 +111,14 @@
         self.is_stopping = False
         # Seconds for which a connection may stay idle.
         self.idle_timeout = DEFAULT_IDLE_SECONDS
-        # Bytes of bodies that are buffered, and may be at most.
+        # Bytes of bodies and responses that are buffered, and their limit.
         self._buffered = 0
         self.max_buffered_bytes = DEFAULT_MAX_BUFFERED_BYTES
-        # All that are not closed yet, those whose last answer goes out among them.
+        # All open connections, including those that still send their last response.
         self._connections: set[CallerConnection] = set()
-        # Whether connections without a request are closed by now.
+        # Whether the listening socket and idle connections have been closed.
         self._is_draining = False
-        # Returns the seconds that a request has while the program stops.
+        # Returns the seconds that a request may take during a shutdown; None before it.
         self.shutdown_time_left: Callable[[], float] | None = None
         self.counts = ShutdownCounts()
         self._open_task: asyncio.Task | None = None
@@ -125,7 +126,7 @@
         self._server: AbstractServer | None = None
 
     def listen(self, address: str) -> None:
-        """Accept connections."""
+        """Start to accept connections."""
         self._socket = create_server(split_address(address), backlog=LISTEN_BACKLOG)
         self._open_task = asyncio.create_task(self._open(self._socket))
 
@@ -137,17 +138,17 @@
 
     @property
     def in_flight(self) -> int:
-        """Connections on which something is under way.
+        """Number of connections with pending work.
 
-        After idle ones were closed those are all that are left: a request that is still
-        unread in its socket is under way as well.
+        Once the idle connections have been closed, all that remain count, because a
+        request may be unread in the socket of any of them.
         """
         if self._is_draining:
             return len(self._connections)
         return sum(conn.has_pending_work for conn in self._connections)
 
     def pending_work(self) -> PendingWork:
-        """Return what stands between this server and its end."""
+        """Return the work that must finish before the server can close."""
         flushing = [conn for conn in self._connections if not conn.is_serving]
         unacknowledged_bytes = sum(
             conn.unacknowledged_bytes for conn in self._connections
@@ -156,24 +157,24 @@
         return PendingWork(serving, len(flushing), unacknowledged_bytes)
 
     def add_connection(self, conn: CallerConnection) -> None:
-        """Note a new connection."""
+        """Register a new connection."""
         self._connections.add(conn)
         if self._is_draining:
             conn.stop_taking_requests()
 
     def count_request(self) -> None:
-        """Note that a request has come."""
+        """Count a request that arrives during a shutdown."""
         self.counts.requests_received += self.is_stopping
 
     def remove_connection(self, conn: CallerConnection) -> None:
-        """Note that a connection is no more."""
+        """Unregister a closed connection."""
         self._connections.discard(conn)
 
     def start_draining(self) -> None:
-        """Close what waits for callers and the connections without a request.
+        """Close the listening socket and the connections without a request.
 
-        A request that is read while the process ends would be cut off. Closing the idle
-        connections first leaves only those that end with their answer.
+        A request that is read while the process ends would be cut off. Once the idle
+        connections are closed, only those remain that close with their response.
         """
         self._stop_listening()
         self._is_draining = True
@@ -182,7 +183,7 @@
             conn.stop_taking_requests()
 
     def close_idle_connections(self) -> None:
-        """Close the connections on which nothing is under way for anybody."""
+        """Close the connections without pending work or without a caller."""
         for conn in list(self._connections):
             conn.abort_if_peer_closed()
             self.counts.idle_closed += conn.close_if_idle()
@@ -196,65 +197,67 @@
             self._socket.close()
 
     def set_limits(self, limits: Limits) -> None:
-        """Take over how long connections may be idle."""
+        """Apply the configured idle timeout."""
         self.idle_timeout = (
             max(limits.idle_time, limits.header_time) + IDLE_MARGIN_SECONDS
         )
 
     def body_limit(self) -> int:
-        """Return the bytes that a body may have."""
+        """Return the maximum number of bytes of a request body."""
         limits = self._limits()
         return (
             min(limits.body_bytes, MAX_BODY_BYTES) if limits else DEFAULT_MAX_BODY_BYTES
         )
 
     def check_head(self, fields: list[tuple[str, str]]) -> None:
-        """Check the size of a head.
+        """Check the size of a request head.
 
         Parameters
         ----------
         fields : list of tuple
+            Names and values of the header fields.
 
         Raises
         ------
         BadRequest
+            The head exceeds the configured limit.
         """
         limits = self._limits()
         if limits is None:
             return
         size = sum(len(name) + len(value) + 4 for name, value in fields)
         if size > limits.header_bytes:
-            raise BadRequest(HEADERS_TOO_LARGE, "the headers are over the limit")
+            raise BadRequest(HEADERS_TOO_LARGE, "request headers exceed the size limit")
 
     def reserve_body_memory(self, size: int) -> bool:
-        """Count bytes of a body; False when all bodies would take too much."""
+        """Reserve memory for bytes of a body; return False if the limit is reached."""
         if self._buffered + size > self.max_buffered_bytes:
             return False
         self._buffered += size
         return True
 
     def reserve_response_memory(self, size: int) -> int:
-        """Count bytes of an answer that waits for those before it, and return them."""
+        """Reserve memory for a response that waits for earlier ones; return `size`."""
         self._buffered += size
         return size
 
     def is_memory_full(self) -> bool:
-        """Tell whether bodies and answers take all that they may take."""
+        """Return whether buffered bodies and responses have reached the limit."""
         return self._buffered >= self.max_buffered_bytes
 
     def release_memory(self, size: int) -> None:
-        """Give counted bytes back."""
+        """Release reserved memory."""
         self._buffered -= size
 
     def reject_request(self, exc: BadRequest | Refused | None) -> Response:
-        """Log a request that is not served, and return the reply to it."""
+        """Log a request that cannot be served, and return its response."""
         self._journal.log_malformed(str(exc) if exc else "unreadable request")
         if isinstance(exc, Refused):
             return Response(UNAVAILABLE, self.wire.refusal_headers(exc.retry_after))
         return Response(exc.status if exc else BAD_REQUEST)
 
     async def handle_request(self, req: CallerRequest) -> Response:
-        """Return the reply to a request."""
+        """Route a request, log its outcome and return the response."""
         began = now() - req.waited
         try:
             self._cap_time_left(req)
@@ -277,19 +280,19 @@
             self._journal.log_unanswered(req, 0, "caller-left", now() - began)
             raise
         except Exception:
-            # Without an answer the caller would wait out its whole time.
-            log.exception("a request met a fault of this program")
+            # Without a response the caller would wait until its own timeout.
+            log.exception("unexpected error while serving a request")
             return Response(BAD_GATEWAY)
         self._journal.log_answered(req, routed, now() - began)
         return Response(routed.answer.status, routed.answer.headers, routed.answer.body)
 
     def _cap_time_left(self, req: CallerRequest) -> None:
-        """Give a request no more time than the program has.
+        """Limit a request's time to the time that the process has left.
 
         Raises
         ------
         Refused
-            There is none left; other VMs take it at once.
+            No time is left; the caller may retry at another VM immediately.
         """
         if self.shutdown_time_left is None:
             return
@@ -304,11 +307,11 @@
         for conn in list(self._connections):
             self._log_cut(conn)
             conn.close_now()
-        # The event loop closes them in its next turn.
+        # The event loop closes the transports in its next iteration.
         await asyncio.sleep(0)
 
     def _log_cut(self, conn: CallerConnection) -> None:
-        """Log a request without an answer, or an answer that is not out."""
+        """Log a connection that is closed before its response was delivered."""
         has_unread_bytes = conn.has_unread_bytes()
         if not conn.has_pending_work and not has_unread_bytes:
             return
--- a/packages/entry/src/berylstage_entry/settings.py
+++ b/packages/entry/src/berylstage_entry/settings.py
@@ -1,4 +1,4 @@
-"""What a VM is told about itself and the bounds that it keeps."""
+"""Settings of an entry VM, and limits that all VMs observe together."""
 
 from __future__ import annotations
 
@@ -6,22 +6,23 @@
 
 
 class Bounds:
-    """Bounds that the VMs keep together.
+    """Limits that all VMs observe together.
 
     Parameters
     ----------
     retry_ratio : float
-        Repeats of requests for each request of a service.
+        Retries allowed per request of a service.
     retry_allowance : float
-        Repeats of a service in each window beyond that.
+        Further retries allowed per service in each window.
     cold_overshoot : float
-        Times the rate of a cold target that it may get in one second.
+        Factor on the rate of a cold target that gives the requests it may get in one
+        second.
     cold_slack : float
-        Requests beyond that.
+        Further requests that a cold target may get in one second.
     stop_time : float
         Seconds from SIGTERM to the end of the process.
     longest_hold : float
-        Seconds for which a target takes a grant at most.
+        Longest duration, in seconds, of a grant that targets accept.
     """
 
     __slots__ = (
@@ -50,33 +51,33 @@
         self.longest_hold = longest_hold
 
     def cold_bound(self, rate: float) -> float:
-        """Return the requests that a cold target may get in any one second."""
+        """Return the most requests that a cold target may get in any one second."""
         return rate * self.cold_overshoot + self.cold_slack
 
 
 class EntrySettings:
-    """What an entry VM is told when it starts.
+    """Settings that an entry VM reads when it starts.
 
     Parameters
     ----------
     vm : str
     data_centre : str
     callers : str
-        ``ip:port`` where callers connect.
+        ``ip:port`` to listen on for callers.
     ready : str
-        ``ip:port`` where the balancer asks.
+        ``ip:port`` to listen on for readiness checks of the load balancer.
     control : str
-        ``ip:port`` where other VMs connect.
+        ``ip:port`` to listen on for other VMs.
     metrics_port : int
     store : str
         ``ip:port`` of the store.
     shortest_lease : float
-        Seconds.
+        Shortest TTL of a lease in the store, in seconds.
     bounds : Bounds
     cores : float
         Processor cores that the VM may use, in cores of the usual speed.
     link : float
-        Mbit/s of the VM's link.
+        Bandwidth of the VM's network link in Mbit/s.
     """
 
     __slots__ = (
@@ -121,5 +122,5 @@
 
     @property
     def power(self) -> float:
-        """How much of what duties need the VM has, up to 1."""
+        """Share of the coordinator's resource needs that the VM has, up to 1."""
         return power_of(self.cores, self.link)
--- a/packages/entry/src/berylstage_entry/shutdown.py
+++ b/packages/entry/src/berylstage_entry/shutdown.py
@@ -1,7 +1,7 @@
-"""The phases of a stop, apart from sockets and clocks.
+"""Phases of a VM's shutdown, independent of sockets and clocks.
 
-The load it answers: callers who go on using their connections until the process is
-gone, and answers that leave over a slow link while the stop time runs.
+During a shutdown, callers keep using their connections until the process exits, and
+responses may still be sent over a slow link while the stop timeout runs.
 """
 
 from __future__ import annotations
@@ -9,44 +9,45 @@
 import signal
 from enum import Enum
 
-# Signals that may come until the process is gone.
+# Signals that may arrive until the process exits.
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-# Seconds after SIGTERM in which callers still come: the balancer asks once a second and
-# leaves a VM out after two misses.
+# Seconds after SIGTERM in which callers still connect: the load balancer checks
+# readiness once a second and removes a VM after two failed checks.
 BALANCER_LAG_SECONDS = 2.6
-# Seconds before the end of the stop time at which what is left is cut.
+# Seconds before the end of the stop timeout at which remaining connections are cut.
 STOP_MARGIN_SECONDS = 0.6
-# Seconds before that by which a target must have answered: an answer of some hundred
-# kilobytes leaves over a link of 10 Mbit/s meanwhile.
+# Seconds before that cut-off by which a target must have answered. In this time, a
+# response of a few hundred kilobytes is sent over a link of 10 Mbit/s.
 ANSWER_FLUSH_SECONDS = 0.3
 
 
 class Phase(Enum):
-    """What a VM that stops is at."""
+    """Phase of a VM's shutdown."""
 
-    # Not ready; callers come until the balancer has noticed.
+    # Not ready; callers still connect until the load balancer has noticed.
     LEAVING = "leaving"
-    # No new connections; what has come is served.
+    # No new connections; requests that have arrived are served.
     DRAINING = "draining"
-    # All is served; the last answers leave.
+    # All requests are served; the last responses are being sent.
     FLUSHING = "flushing"
     ENDED = "ended"
 
 
 class PendingWork:
-    """What stands between a VM and its end.
+    """Work that must finish before a VM can exit.
 
     Parameters
     ----------
     serving : int
-        Connections with a request that is read, waited for or served.
+        Connections with a request that is being received or served.
     flushing : int
-        All others: their last answer leaves, or a request may be on its way.
+        All other connections: they send their last response, or a request may be in
+        transit.
     unacknowledged_bytes : int
-        Bytes of answers that callers have not taken.
+        Bytes of responses that callers have not acknowledged.
     """
 
-    __slots__ = ("unacknowledged_bytes", "flushing", "serving")
+    __slots__ = ("flushing", "serving", "unacknowledged_bytes")
 
     def __init__(self, serving: int, flushing: int, unacknowledged_bytes: int):
         self.serving = serving
@@ -55,17 +56,17 @@
 
 
 class ShutdownPlan:
-    """Says what a VM that stops is at, and how much time a request has.
+    """Determines the phase of a shutdown and the time that a request may take.
 
     Parameters
     ----------
     started_at : float
-        When the VM was told to stop, in seconds.
+        Monotonic seconds at which the shutdown began.
     stop_time : float
-        Seconds from then to the end of the process.
+        Seconds from then until the process must have exited.
     """
 
-    __slots__ = ("started_at", "cut_off_at", "drain_at")
+    __slots__ = ("cut_off_at", "drain_at", "started_at")
 
     def __init__(self, started_at: float, stop_time: float):
         self.started_at = started_at
@@ -73,13 +74,13 @@
         self.drain_at = min(started_at + BALANCER_LAG_SECONDS, self.cut_off_at)
 
     def phase(self, moment: float, pending_work: PendingWork) -> Phase:
-        """Return the phase.
+        """Return the phase of the shutdown.
 
         Parameters
         ----------
         moment : float
-            Seconds, as in `started_at`.
-        pending_work : Standing
+            Current time in monotonic seconds.
+        pending_work : PendingWork
 
         Returns
         -------
@@ -94,55 +95,56 @@
         return Phase.FLUSHING if pending_work.flushing else Phase.ENDED
 
     def time_left(self, moment: float) -> float:
-        """Return the seconds in which a target must have answered.
+        """Return the seconds within which a target must answer.
 
         Parameters
         ----------
         moment : float
+            Current time in monotonic seconds.
 
         Returns
         -------
         float
-            Negative when there is no time for another answer.
+            Negative when no time is left for another response.
         """
         return self.cut_off_at - ANSWER_FLUSH_SECONDS - moment
 
 
 class PhaseTimer:
-    """How long each phase of a stop takes; all are zero before it."""
+    """Measures how long each phase of a shutdown takes; zero before a shutdown."""
 
-    __slots__ = ("_seconds_by_phase", "_phase", "_since")
+    __slots__ = ("_entered_at", "_phase", "_seconds_by_phase")
 
     def __init__(self) -> None:
         self._phase = Phase.ENDED
-        self._since = 0.0
+        self._entered_at = 0.0
         self._seconds_by_phase = {
             phase.value: 0.0 for phase in Phase if phase is not Phase.ENDED
         }
 
     def enter(self, phase: Phase, moment: float) -> float:
-        """Begin a phase, and return the seconds that the one before it took.
+        """Enter a phase and return the seconds that the previous one took.
 
         Parameters
         ----------
         phase : Phase
         moment : float
-            In seconds.
+            Current time in monotonic seconds.
 
         Returns
         -------
         float
         """
-        seconds = moment - self._since
+        seconds = moment - self._entered_at
         if self._phase is not Phase.ENDED:
             self._seconds_by_phase[self._phase.value] += seconds
         self._phase = phase
-        self._since = moment
+        self._entered_at = moment
         return seconds
 
     def seconds(self, moment: float) -> dict[str, float]:
-        """Return the seconds by phase up to now, of the one under way as well."""
-        found = dict(self._seconds_by_phase)
+        """Return the seconds spent in each phase, including the current one."""
+        totals = dict(self._seconds_by_phase)
         if self._phase is not Phase.ENDED:
-            found[self._phase.value] += moment - self._since
-        return found
+            totals[self._phase.value] += moment - self._entered_at
+        return totals
--- a/packages/entry/src/berylstage_entry/sockets.py
+++ b/packages/entry/src/berylstage_entry/sockets.py
@@ -1,4 +1,4 @@
-"""What the kernel holds of a connection: bytes unread, and bytes not yet taken."""
+"""Kernel state of a connection: unread input and unacknowledged output."""
 
 from __future__ import annotations
 
@@ -15,36 +15,36 @@
     from asyncio.trsock import TransportSocket
 
 _INT = struct.Struct("i")
-# What tells of the other side's end, whatever waits to be read before it.
+# Events that report the peer's close even while unread bytes precede it.
 _PEER_CLOSED_EVENTS = POLLRDHUP | POLLHUP | POLLERR
 
 
 class Unread(Enum):
-    """What waits to be read on a connection."""
+    """State of a connection's receive queue."""
 
     NOTHING = "nothing"
     BYTES = "bytes"
     END = "end"
 
 
-def unread(transport: BaseTransport) -> Unread:
-    """Tell what waits in the socket of a transport, without reading it.
+def peek_transport(transport: BaseTransport) -> Unread:
+    """Peek at the receive queue of a transport's socket without reading it.
 
     Parameters
     ----------
     transport : BaseTransport
-        One without a socket has nothing to read.
+        A transport without a socket has nothing to read.
 
     Returns
     -------
     Unread
-        ``END`` when the other side has closed or reset the connection.
+        ``END`` if the peer has closed or reset the connection.
     """
     return unread_in(transport.get_extra_info("socket"))
 
 
 def unread_in(sock: TransportSocket | socket | None) -> Unread:
-    """Tell what waits in a socket, as for :func:`unread`.
+    """Peek at the receive queue of a socket, as :func:`peek_transport` does.
 
     Parameters
     ----------
@@ -56,22 +56,24 @@
     """
     if sock is None or sock.fileno() < 0:
         return Unread.NOTHING
-    peeked = socket(fileno=sock.fileno())
+    peek_sock = socket(fileno=sock.fileno())
     try:
-        return Unread.BYTES if peeked.recv(1, MSG_PEEK | MSG_DONTWAIT) else Unread.END
+        return (
+            Unread.BYTES if peek_sock.recv(1, MSG_PEEK | MSG_DONTWAIT) else Unread.END
+        )
     except BlockingIOError:
         return Unread.NOTHING
     except OSError:
-        # A reset is an end as well; the transport meets it by itself.
+        # A reset counts as an end as well; the transport detects it itself.
         return Unread.END
     finally:
-        peeked.detach()
+        peek_sock.detach()
 
 
 def peer_has_closed(transport: BaseTransport) -> bool:
-    """Tell whether the other side has closed or reset the connection.
+    """Return whether the peer has closed or reset the connection.
 
-    Unlike :func:`unread` it sees that also behind bytes that wait to be read.
+    Unlike :func:`peek_transport`, this detects a close even if unread bytes precede it.
 
     Parameters
     ----------
@@ -84,13 +86,13 @@
     sock = transport.get_extra_info("socket")
     if sock is None or sock.fileno() < 0:
         return False
-    look = poll()
-    look.register(sock.fileno(), _PEER_CLOSED_EVENTS)
-    return bool(look.poll(0))
+    poller = poll()
+    poller.register(sock.fileno(), _PEER_CLOSED_EVENTS)
+    return bool(poller.poll(0))
 
 
 def send_queue_bytes(transport: BaseTransport) -> int:
-    """Return the bytes in the kernel that the other side has not acknowledged.
+    """Return the bytes in a transport's kernel send queue, sent or not.
 
     Parameters
     ----------
@@ -99,13 +101,13 @@
     Returns
     -------
     int
-        0 as well where the kernel does not tell.
+        Bytes that the peer has not acknowledged; 0 if the kernel does not report them.
     """
     return socket_send_queue_bytes(transport.get_extra_info("socket"))
 
 
 def socket_send_queue_bytes(sock: TransportSocket | socket | None) -> int:
-    """Return the bytes of a socket that the other side has not acknowledged.
+    """Return the bytes in a socket's kernel send queue.
 
     Parameters
     ----------
@@ -121,5 +123,6 @@
     try:
         return _INT.unpack(ioctl(sock.fileno(), TIOCOUTQ, bytes(_INT.size)))[0]
     except OSError:
-        # Some kernels tell it of no socket; its end is then known by the other side's.
+        # Some kernels do not support this call for sockets; the end of a connection is
+        # then detected by the peer's close alone.
         return 0
--- a/packages/entry/src/berylstage_entry/wire.py
+++ b/packages/entry/src/berylstage_entry/wire.py
@@ -1,4 +1,4 @@
-"""The interfaces to callers and targets, as some platform words them."""
+"""Interfaces that a platform adapter implements for callers, targets and records."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
     request_id : str
         Unique for each attempt of a caller.
     method, host, path : str
-        The path with its query, as sent.
+        The path includes the query, as sent.
     headers : dict of str to str
-        What goes on to the target.
+        Headers that are forwarded to the target.
     body : bytes
     time_left : float
-        Seconds that the caller waits.
+        Seconds until the caller stops waiting, counted from the arrival of the request.
     key : int or None
-        Key in a service that owns keys.
+        Key, in a service whose targets own keys.
 
     Attributes
     ----------
     waited : float
-        Seconds that it has waited here for others of its connection.
+        Seconds that it has waited for earlier requests of its connection.
     """
 
     __slots__ = (
@@ -78,17 +78,18 @@
     ----------
     status : int
     headers : list of tuple
-        Name and value of what goes on to the caller.
+        Names and values of the headers that are forwarded to the caller.
     body : bytes
     not_run : bool
-        Whether the target says that it has not run the request.
+        Whether the target states that it has not executed the request.
     misdirected : bool
-        Whether it is another target than the one asked for, or does not hold the key.
+        Whether another target than the requested one answered, or one that does not own
+        the key.
     genuine : bool
-        Whether it bears the mark of a target.
+        Whether the answer carries the header that only targets set.
     load : LoadReport or None
     closing : bool
-        Whether the target ends the connection.
+        Whether the target closes the connection.
     """
 
     __slots__ = (
@@ -124,7 +125,7 @@
 
 
 class CallerWire(ABC):
-    """How callers word their requests."""
+    """Protocol between callers and the entry VM."""
 
     ready_path = "/ready"
 
@@ -132,31 +133,32 @@
     def request(
         self, method: str, uri: str, headers: Iterable[tuple[str, str]]
     ) -> CallerRequest:
-        """Read a request's head.
+        """Interpret a request head.
 
         Raises
         ------
         BadRequest
-            It cannot be served.
+            The request cannot be served.
         """
 
     @abstractmethod
     def refusal_headers(self, retry_after: float) -> list[tuple[str, str]]:
-        """Return the headers that tell when to come back."""
+        """Return the headers that tell a rejected caller when to retry."""
 
 
 class GrantOrder:
-    """Keys that a target is to hold.
+    """Grant of a range of keys to a target.
 
     Parameters
     ----------
     first, last : int
-        Keys, both included.
+        First and last key, both included.
     fence : int
+        Fence token of the grant.
     hold : float
-        Seconds from its arrival.
+        Seconds for which the grant is valid after its arrival.
     handover : str
-        What the former holder handed over; empty for none.
+        State that the previous owner handed over; empty if none.
     """
 
     __slots__ = ("fence", "first", "handover", "hold", "last")
@@ -172,7 +174,7 @@
 
 
 class TargetWire(ABC):
-    """How targets are spoken to."""
+    """Protocol between the entry VM and targets."""
 
     echo_header = b"request-id"
 
@@ -187,75 +189,75 @@
         req : CallerRequest
         target : Target
         seconds : float
-            For which its work may go on.
+            Seconds that the target may work on the request.
         """
 
     @abstractmethod
     def answer(self, answer: Answer) -> TargetAnswer:
-        """Read a target's answer."""
+        """Interpret a target's answer."""
 
     @abstractmethod
     async def grant(self, target: Target, order: GrantOrder, timeout: float) -> bool:
-        """Grant keys; False when the target has seen a higher fence.
+        """Grant keys; return False if the target has seen a higher fence token.
 
         Raises
         ------
         CallFailed
-            Nobody knows whether it is or will be done.
+            It is unknown whether the grant takes effect.
         TargetEnded
-            The target is no more, and holds nothing.
+            The target no longer exists and owns no keys.
         """
 
     @abstractmethod
     async def release(
         self, target: Target, first: int, last: int, fence: int, timeout: float
     ) -> str:
-        """Take keys back once work on them has ended, and return the handover.
+        """Revoke keys after work on them has ended, and return the handover state.
 
         Raises
         ------
         CallFailed
-            Nobody knows whether it is or will be done.
+            It is unknown whether the release takes effect.
         TargetEnded
-            The target is no more, and holds nothing.
+            The target no longer exists and owns no keys.
         """
 
     @abstractmethod
     async def probe(
         self, target: Target, path: str, timeout: float
     ) -> LoadReport | None:
-        """Ask a target for its load; None when it tells none.
+        """Ask a target for its load; return None if it reports none.
 
         Parameters
         ----------
         target : Target
         path : str
-            At which targets of its service tell how they are.
+            Health check path of the target's service.
         timeout : float
             Seconds.
 
         Raises
         ------
         CallFailed
-            No answer came.
+            The target did not answer.
         TargetEnded
             Another target answers at the address.
         """
 
 
 class Record:
-    """One record of the store, read. Every part but one is None.
+    """A decoded record of the store; exactly one field is set.
 
     Parameters
     ----------
     configuration : Configuration, optional
     target : Target, optional
     gone : str
-        Name of a target whose record was removed.
+        Name of a target whose record has been removed.
     closed : str
-        A data centre that gets nothing more.
+        Name of a data centre that receives no more requests.
     opened : str
-        A data centre that was taken back.
+        Name of a data centre that receives requests again.
     """
 
     __slots__ = ("closed", "configuration", "gone", "opened", "target")
@@ -276,14 +278,14 @@
 
 
 class RecordReader(ABC):
-    """How operators and targets word their records in the store."""
+    """Decoder of the records that operators and targets keep in the store."""
 
     @abstractmethod
     def read(self, item: Item) -> Record | None:
-        """Read one record; None when the key is none of theirs.
+        """Decode a record; return None if the key belongs to neither.
 
         Raises
         ------
         UnreadableRecord
-            It names nothing that could be used.
+            The record contains nothing usable.
         """
--- a/packages/entry/tests/test_sockets.py
+++ b/packages/entry/tests/test_sockets.py
@@ -6,7 +6,12 @@
 import socket
 import struct
 
-from berylstage_entry.sockets import Unread, peer_has_closed, send_queue_bytes, unread
+from berylstage_entry.sockets import (
+    Unread,
+    peek_transport,
+    peer_has_closed,
+    send_queue_bytes,
+)
 
 LINGER_NONE = struct.pack("ii", 1, 0)
 
@@ -27,7 +32,7 @@
     def test_nothing_waits(self):
         async def play():
             transport, far = await pair()
-            assert unread(transport) is Unread.NOTHING
+            assert peek_transport(transport) is Unread.NOTHING
             far.close()
             transport.abort()
 
@@ -37,8 +42,8 @@
         async def play():
             transport, far = await pair()
             far.send(b"abc")
-            assert unread(transport) is Unread.BYTES
-            assert unread(transport) is Unread.BYTES
+            assert peek_transport(transport) is Unread.BYTES
+            assert peek_transport(transport) is Unread.BYTES
             far.close()
             transport.abort()
 
@@ -51,7 +56,7 @@
                 if is_reset:
                     far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE)
                 far.close()
-                assert unread(transport) is Unread.END
+                assert peek_transport(transport) is Unread.END
                 transport.abort()
 
         asyncio.run(play())
@@ -76,7 +81,7 @@
             transport, far = await pair()
             transport.abort()
             await asyncio.sleep(0.01)
-            assert unread(transport) is Unread.NOTHING
+            assert peek_transport(transport) is Unread.NOTHING
             assert send_queue_bytes(transport) == 0
             far.close()
 
