--- a/packages/entry/tests/test_application.py
+++ b/packages/entry/tests/test_application.py
@@ -1,4 +1,4 @@
-"""Tests of the application of an entry VM."""
+"""Tests of the entry VM's application."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
     configuration,
     settings,
 )
-from test_server import PlainCallers, free_port
+from test_server import PlainCallerProtocol, free_port
 
-QUESTION = b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx"
-TURN = 7
+REQUEST = b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx"
+PERMIT_NUMBER = 7
 
 
 class ClosableStore(MemoryStore):
@@ -30,33 +30,33 @@
         pass
 
 
-def application():
-    """Return the application of a VM alone, on ports of its own."""
+def create_application():
+    """Return the application of a single VM on free ports."""
     store = ClosableStore()
     store.put("cfg", b"1")
     cfg = settings()
     cfg.callers, cfg.ready, cfg.control = [f"127.0.0.1:{free_port()}" for _ in range(3)]
     cfg.metrics_port = free_port()
     records = JsonRecords({1: configuration()})
-    return EntryApplication(cfg, store, PlainCallers(), FencedTargets(), records)
+    return EntryApplication(cfg, store, PlainCallerProtocol(), FencedTargets(), records)
 
 
-async def hold_turn(app):
-    """Serve a request that has a turn at another VM's queue and never ends."""
+async def hold_permit(app):
+    """Serve a request that never finishes, with a permit from another VM's queue."""
     try:
         await asyncio.sleep(60)
     finally:
-        app.turns.done(Turn(TURN, "s", "127.0.0.2"))
+        app.turns.done(Turn(PERMIT_NUMBER, "s", "127.0.0.2"))
 
 
 class TestStop:
     @pytest.mark.parametrize("page", ["ready", "control", "metrics"])
-    def test_question_that_comes_last_is_answered(self, page, monkeypatch):
-        # Guards against the end of the program with a question in a page's socket.
+    def test_last_internal_request_is_answered(self, page, monkeypatch):
+        # Guards against exiting while an internal server has an unread request.
         monkeypatch.setattr(shutdown, "BALANCER_LAG_SECONDS", 0.0)
 
-        async def play():
-            app = application()
+        async def scenario():
+            app = create_application()
             app.start()
             await asyncio.sleep(0.1)
             ports = {
@@ -64,28 +64,28 @@
                 "control": int(app.cfg.control.rpartition(":")[2]),
                 "metrics": app.cfg.metrics_port,
             }
-            with socket.create_connection(("127.0.0.1", ports[page])) as asker:
+            with socket.create_connection(("127.0.0.1", ports[page])) as client:
                 await asyncio.sleep(0.1)
-                asker.settimeout(1.0)
-                tell = app._log_stopped
-                app._log_stopped = lambda: (tell(), asker.sendall(QUESTION))
+                client.settimeout(1.0)
+                log_stopped = app._log_stopped
+                app._log_stopped = lambda: (log_stopped(), client.sendall(REQUEST))
                 await app.stop()
-                # The loop turns no more: what is not out by now never leaves.
-                assert asker.recv(65536).startswith(b"HTTP/1.1 ")
+                # The event loop no longer runs, so nothing more can be sent.
+                assert client.recv(65536).startswith(b"HTTP/1.1 ")
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    def test_turn_of_a_request_that_is_cut_is_given_back(self, monkeypatch):
-        # Guards against slots that stay out of use at the keeper of a queue until the
-        # deadlines of requests that ended with their VM.
+    def test_cut_request_releases_its_permit(self, monkeypatch):
+        # Guards against slots that a permit server keeps reserved until the deadlines
+        # of requests that ended when their VM stopped.
         monkeypatch.setattr(shutdown, "BALANCER_LAG_SECONDS", 0.0)
 
-        async def play():
-            app = application()
+        async def scenario():
+            app = create_application()
             app.cfg.bounds = Bounds(0.2, 60.0, 1.5, 5.0, 1.5, 10.0)
             app.start()
             await asyncio.sleep(0.1)
-            app.router.serve = lambda req: hold_turn(app)
+            app.router.serve = lambda req: hold_permit(app)
             with socket.socket(type=socket.SOCK_DGRAM) as keeper:
                 keeper.bind(("127.0.0.2", app.cfg.metrics_port))
                 keeper.setblocking(False)
@@ -94,16 +94,17 @@
                     caller.sendall(b"GET /a/ HTTP/1.1\r\nHost: h\r\n\r\n")
                     await asyncio.sleep(0.1)
                     await app.stop()
-                assert Return.decode(keeper.recv(64)).number == TURN
+                assert Return.decode(keeper.recv(64)).number == PERMIT_NUMBER
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    def test_idle_pages_hold_no_stop_up(self, monkeypatch):
-        # Guards against a VM that is killed because it waited for the balancer.
+    def test_idle_internal_connections_do_not_delay_shutdown(self, monkeypatch):
+        # Guards against a VM that is killed because it waited for the load balancer to
+        # close its connection.
         monkeypatch.setattr(shutdown, "BALANCER_LAG_SECONDS", 0.0)
 
-        async def play():
-            app = application()
+        async def scenario():
+            app = create_application()
             app.start()
             await asyncio.sleep(0.1)
             port = int(app.cfg.ready.rpartition(":")[2])
@@ -112,4 +113,4 @@
                 async with asyncio.timeout(BOUNDS.stop_time / 2):
                     await app.stop()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
--- a/packages/entry/tests/test_budget.py
+++ b/packages/entry/tests/test_budget.py
@@ -1,4 +1,4 @@
-"""Tests of the repeats that all VMs spend together."""
+"""Tests of the retry budget that all VMs share."""
 
 from __future__ import annotations
 
@@ -13,51 +13,53 @@
 WINDOW = 10.0
 
 
-def play(vms, rate, restarts, seed=1):
-    """Let every request want to be repeated; return requests and repeats by time."""
+def simulate(vms, rate, restarts, seed=1):
+    """Retry every request as often as allowed; return times of requests and retries."""
     rng = Random(seed)
 
-    def fresh():
+    def new_budget():
         return Budget(RATIO * BUDGET_USE, max(1.0, ALLOWANCE / (2 * (vms + 2))))
 
-    budgets = [fresh() for _ in range(vms)]
-    requests, repeats = [], []
-    now, due = 0.0, list(restarts)
+    budgets = [new_budget() for _ in range(vms)]
+    requests, retries = [], []
+    now, pending_restarts = 0.0, list(restarts)
     while now < 40.0:
         now += rng.expovariate(rate)
-        while due and due[0] <= now:
-            due.pop(0)
-            budgets = [fresh() for _ in budgets]
+        while pending_restarts and pending_restarts[0] <= now:
+            pending_restarts.pop(0)
+            budgets = [new_budget() for _ in budgets]
         budget = rng.choice(budgets)
         budget.earn()
         requests.append(now)
         while budget.spend():
-            repeats.append(now)
-    return requests, repeats
+            retries.append(now)
+    return requests, retries
 
 
-def worst_excess(requests, repeats):
-    """Return by how much the repeats in any window exceed what is allowed there."""
+def worst_excess(requests, retries):
+    """Return the largest excess of retries over the budget in any window."""
 
-    def inside(times, start):
+    def count_in_window(times, start):
         return sum(1 for t in times if start <= t < start + WINDOW)
 
     return max(
-        inside(repeats, start) - RATIO * inside(requests, start) - ALLOWANCE
+        count_in_window(retries, start)
+        - RATIO * count_in_window(requests, start)
+        - ALLOWANCE
         for start in (0.5 * i for i in range(60))
     )
 
 
-class TestBudget:
+class TestRetryBudget:
     @pytest.mark.parametrize("vms", [1, 2, 11, 40])
     @pytest.mark.parametrize("rate", [5.0, 100.0])
-    def test_all_vms_together_stay_within_it(self, vms, rate):
-        # A service fails every request, and each VM would send each one again. Without
-        # a bound over all of them the repeats alone keep the service down.
-        assert worst_excess(*play(vms, rate, [])) <= 0
+    def test_all_vms_together_stay_within_the_budget(self, vms, rate):
+        # A service fails every request, and each VM retries each one. Without a limit
+        # over all VMs, the retries alone would keep the service overloaded.
+        assert worst_excess(*simulate(vms, rate, [])) <= 0
 
     @pytest.mark.parametrize("vms", [1, 11, 28])
-    def test_vms_that_start_again_do_not_go_beyond_it(self, vms):
-        # All VMs are killed and start again within one window, each with what a new
-        # one may spend before it has earned anything.
-        assert worst_excess(*play(vms, 100.0, [12.0])) <= 0
+    def test_restarted_vms_stay_within_the_budget(self, vms):
+        # All VMs are killed and restart within one window, each with the initial
+        # allowance of a new budget.
+        assert worst_excess(*simulate(vms, 100.0, [12.0])) <= 0
--- a/packages/entry/tests/test_connection.py
+++ b/packages/entry/tests/test_connection.py
@@ -1,4 +1,4 @@
-"""Tests of one connection of a caller."""
+"""Tests of a caller's connection."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from virtual_time import virtual_loop
 
 
-class PlainCallers(CallerWire):
+class PlainCallerProtocol(CallerWire):
     def request(self, method, uri, headers):
         return CallerRequest(uri, method, "h", uri, {}, 5.0, None)
 
@@ -30,20 +30,20 @@
         return [("Retry-After", str(retry_after))]
 
 
-class HeldRouter:
-    """Answers a request when it is told to, with the request's path as the body."""
+class ManualRouter:
+    """Answers a request with its path as the body, when `finish` is called."""
 
     def __init__(self):
-        self.begun = []
+        self.started = []
         self.cancelled = []
         self.size = 0
-        self._ends = {}
+        self._futures = {}
 
     async def serve(self, req):
-        self.begun.append(req.path)
-        end = self._ends[req.path] = asyncio.get_running_loop().create_future()
+        self.started.append(req.path)
+        future = self._futures[req.path] = asyncio.get_running_loop().create_future()
         try:
-            await end
+            await future
         except asyncio.CancelledError:
             self.cancelled.append(req.path)
             raise
@@ -51,15 +51,15 @@
         answer = TargetAnswer(200, [], body, False, False, True, None, False)
         return Answered(answer, "a", 1)
 
-    def end(self, path, exc=None):
+    def finish(self, path, exc=None):
         if exc is not None:
-            self._ends[path].set_exception(exc)
+            self._futures[path].set_exception(exc)
         else:
-            self._ends[path].set_result(None)
+            self._futures[path].set_result(None)
 
 
 class Transport(asyncio.Transport):
-    """Keeps what is written, and whether the connection is read."""
+    """Records written data and whether reading is paused."""
 
     def __init__(self):
         super().__init__()
@@ -90,18 +90,18 @@
 
     @property
     def bodies(self):
-        """Bodies of the answers that are out."""
+        """Bodies of the responses written so far."""
         parts = self.written.split(b"HTTP/1.1 ")[1:]
         return [part.split(b"\r\n\r\n", 1)[1].decode() for part in parts]
 
 
-class Played:
-    """A connection with what stands on both of its sides."""
+class ConnectionHarness:
+    """A connection with a fake transport and a manual router."""
 
     def __init__(self, idle_timeout=60.0):
-        self.router = HeldRouter()
+        self.router = ManualRouter()
         journal = RequestJournal(Metrics())
-        callers = PlainCallers()
+        callers = PlainCallerProtocol()
         self.server = CallerServer(callers, self.router, journal, lambda: LIMITS)
         self.server.idle_timeout = idle_timeout
         self.transport = Transport()
@@ -111,13 +111,13 @@
     def send(self, data):
         self.conn.data_received(data)
 
-    async def turn(self):
+    async def run_loop(self):
         for _ in range(4):
             await asyncio.sleep(0)
 
-    async def end(self, path, exc=None):
-        self.router.end(path, exc)
-        await self.turn()
+    async def finish(self, path, exc=None):
+        self.router.finish(path, exc)
+        await self.run_loop()
 
 
 def get(path):
@@ -130,290 +130,293 @@
 
 
 @pytest.fixture
-def play():
-    """Return what plays a coroutine over a connection in virtual time."""
+def run_in_virtual_time():
+    """Return a function that runs a step on a new connection in virtual time."""
 
     def run(step):
         with virtual_loop() as loop:
 
-            async def all_of_it():
-                return await step(Played())
+            async def run_step():
+                return await step(ConnectionHarness())
 
-            return loop.run_until_complete(all_of_it())
+            return loop.run_until_complete(run_step())
 
     return run
 
 
-class TestSeveralAtOnce:
-    def test_safe_requests_are_begun_as_they_are_read(self, play):
-        # A caller sends three lookups in one write. Begun one after the other, the last
-        # one waits for twice the work of a lookup, and nothing shows that it did.
-        async def step(it):
-            it.send(get("/a") + get("/b") + get("/c"))
-            await it.turn()
-            assert it.router.begun == ["/a", "/b", "/c"]
-
-        play(step)
-
-    def test_answers_go_out_in_the_order_of_requests(self, play):
-        async def step(it):
-            it.send(get("/a") + get("/b") + get("/c"))
-            await it.turn()
-            await it.end("/c")
-            await it.end("/b")
-            assert it.transport.bodies == []
-            await it.end("/a")
-            assert it.transport.bodies == ["/a", "/b", "/c"]
-            assert it.server.in_flight == 0
-
-        play(step)
-
-    def test_unsafe_request_waits_and_holds_up_those_behind_it(self, play):
-        # An order behind a lookup: begun beside it, and cut off when the connection
-        # ends with the lookup, nobody could say whether the order was placed.
-        async def step(it):
-            it.send(get("/a") + post("/order", b"1") + get("/b"))
-            await it.turn()
-            assert it.router.begun == ["/a"]
-            await it.end("/a")
-            assert it.router.begun == ["/a", "/order"]
-            await it.end("/order")
-            assert it.router.begun == ["/a", "/order", "/b"]
-            await it.end("/b")
-            assert it.transport.bodies == ["/a", "/order1", "/b"]
-
-        play(step)
-
-    def test_waiting_counts_against_the_time_of_the_caller(self, play):
+class TestPipelining:
+    def test_safe_requests_start_as_they_are_read(self, run_in_virtual_time):
+        # A caller pipelines three lookups. If they were served one after the other, the
+        # last would wait for two others, and no queue would account for that time.
+        async def step(harness):
+            harness.send(get("/a") + get("/b") + get("/c"))
+            await harness.run_loop()
+            assert harness.router.started == ["/a", "/b", "/c"]
+
+        run_in_virtual_time(step)
+
+    def test_responses_are_written_in_request_order(self, run_in_virtual_time):
+        async def step(harness):
+            harness.send(get("/a") + get("/b") + get("/c"))
+            await harness.run_loop()
+            await harness.finish("/c")
+            await harness.finish("/b")
+            assert harness.transport.bodies == []
+            await harness.finish("/a")
+            assert harness.transport.bodies == ["/a", "/b", "/c"]
+            assert harness.server.in_flight == 0
+
+        run_in_virtual_time(step)
+
+    def test_unsafe_request_waits_and_blocks_later_requests(self, run_in_virtual_time):
+        # An order follows a lookup. If both ran concurrently and the connection closed
+        # with the lookup's response, the outcome of the order would be unknown.
+        async def step(harness):
+            harness.send(get("/a") + post("/order", b"1") + get("/b"))
+            await harness.run_loop()
+            assert harness.router.started == ["/a"]
+            await harness.finish("/a")
+            assert harness.router.started == ["/a", "/order"]
+            await harness.finish("/order")
+            assert harness.router.started == ["/a", "/order", "/b"]
+            await harness.finish("/b")
+            assert harness.transport.bodies == ["/a", "/order1", "/b"]
+
+        run_in_virtual_time(step)
+
+    def test_time_waited_on_the_connection_is_counted(self, run_in_virtual_time):
         seen = []
 
-        async def step(it):
-            real = it.router.serve
-            it.router.serve = lambda req: seen.append(req.waited) or real(req)
-            it.send(post("/a") + post("/b"))
-            await it.turn()
+        async def step(harness):
+            real = harness.router.serve
+            harness.router.serve = lambda req: seen.append(req.waited) or real(req)
+            harness.send(post("/a") + post("/b"))
+            await harness.run_loop()
             await asyncio.sleep(0.5)
-            await it.end("/a")
+            await harness.finish("/a")
             assert seen == [0.0, pytest.approx(0.5)]
 
-        play(step)
+        run_in_virtual_time(step)
 
-    def test_one_caller_has_no_more_than_its_share_under_way(self, play):
-        # A caller sends a thousand lookups at once. They must not take the VM's memory
-        # and all slots of its targets.
-        async def step(it):
+    def test_pipelined_requests_per_connection_are_limited(self, run_in_virtual_time):
+        # A caller pipelines a thousand lookups. They must not use up the VM's memory
+        # or all slots of its targets.
+        async def step(harness):
             paths = [f"/{n}" for n in range(1000)]
-            it.send(b"".join(get(path) for path in paths))
-            await it.turn()
-            assert len(it.router.begun) == MAX_PIPELINED_REQUESTS
-            assert len(it.conn._exchanges) < 200
+            harness.send(b"".join(get(path) for path in paths))
+            await harness.run_loop()
+            assert len(harness.router.started) == MAX_PIPELINED_REQUESTS
+            assert len(harness.conn._exchanges) < 200
             for path in paths:
-                await it.end(path)
-            assert it.transport.bodies == paths
-
-        play(step)
-
-    def test_connection_is_not_read_without_end(self, play):
-        # A caller goes on sending while its first order is under way.
-        async def step(it):
-            it.send(post("/a"))
-            it.send(b"".join(post("/b", b"y" * 900) for _ in range(100)))
-            assert not it.transport.reading
-            assert len(it.conn._unparsed) < MAX_UNPARSED_BYTES + 100_000
-            await it.turn()
-            await it.end("/a")
-            while it.server.in_flight:
-                await it.end("/b")
-            assert it.transport.reading
-            assert len(it.transport.bodies) == 101
-
-        play(step)
-
-    def test_caller_that_takes_no_answers_gets_nothing_more_begun(self, play):
-        async def step(it):
-            it.send(get("/a"))
-            await it.turn()
-            it.conn.pause_writing()
-            it.send(get("/b") + get("/c"))
-            await it.turn()
-            assert it.router.begun == ["/a"]
-            await it.end("/a")
-            it.conn.resume_writing()
-            await it.turn()
-            assert it.router.begun == ["/a", "/b", "/c"]
-
-        play(step)
-
-    def test_early_answers_count_against_the_memory_for_bodies(self, play):
-        # Large answers wait for a slow first one. Nothing more is begun when they take
-        # what a VM has for bodies, and all of it is given back.
-        async def step(it):
-            it.server.max_buffered_bytes = 1000
-            it.router.size = 1000
-            it.send(get("/a") + get("/b"))
-            await it.turn()
-            await it.end("/b")
-            it.send(get("/c"))
-            await it.turn()
-            assert it.router.begun == ["/a", "/b"]
-            await it.end("/a")
-            assert it.router.begun == ["/a", "/b", "/c"]
-            await it.end("/c")
-            assert it.server.reserve_body_memory(1000)
-
-        play(step)
-
-
-class TestEnds:
-    def test_caller_that_leaves_ends_all_of_its_requests(self, play):
-        async def step(it):
-            it.send(get("/a") + get("/b") + post("/c"))
-            await it.turn()
-            it.conn.connection_lost(None)
-            await it.turn()
-            assert it.router.cancelled == ["/a", "/b"]
-            assert it.server.in_flight == 0
-            assert it.server.reserve_body_memory(it.server.max_buffered_bytes)
-
-        play(step)
-
-    def test_nothing_behind_the_last_request_of_a_connection_runs(self, play):
-        # The caller says that it sends nothing more. What follows is another's, or a
-        # part of the body that was taken for a request.
-        async def step(it):
+                await harness.finish(path)
+            assert harness.transport.bodies == paths
+
+        run_in_virtual_time(step)
+
+    def test_reading_pauses_when_the_input_buffer_is_full(self, run_in_virtual_time):
+        # A caller keeps sending while its first order is being served.
+        async def step(harness):
+            harness.send(post("/a"))
+            harness.send(b"".join(post("/b", b"y" * 900) for _ in range(100)))
+            assert not harness.transport.reading
+            assert len(harness.conn._unparsed) < MAX_UNPARSED_BYTES + 100_000
+            await harness.run_loop()
+            await harness.finish("/a")
+            while harness.server.in_flight:
+                await harness.finish("/b")
+            assert harness.transport.reading
+            assert len(harness.transport.bodies) == 101
+
+        run_in_virtual_time(step)
+
+    def test_no_request_starts_while_writing_is_paused(self, run_in_virtual_time):
+        async def step(harness):
+            harness.send(get("/a"))
+            await harness.run_loop()
+            harness.conn.pause_writing()
+            harness.send(get("/b") + get("/c"))
+            await harness.run_loop()
+            assert harness.router.started == ["/a"]
+            await harness.finish("/a")
+            harness.conn.resume_writing()
+            await harness.run_loop()
+            assert harness.router.started == ["/a", "/b", "/c"]
+
+        run_in_virtual_time(step)
+
+    def test_buffered_responses_count_against_the_body_memory(
+        self, run_in_virtual_time
+    ):
+        # Large responses wait for a slow first one. No further request starts while
+        # they fill the body memory, and all of that memory is released afterwards.
+        async def step(harness):
+            harness.server.max_buffered_bytes = 1000
+            harness.router.size = 1000
+            harness.send(get("/a") + get("/b"))
+            await harness.run_loop()
+            await harness.finish("/b")
+            harness.send(get("/c"))
+            await harness.run_loop()
+            assert harness.router.started == ["/a", "/b"]
+            await harness.finish("/a")
+            assert harness.router.started == ["/a", "/b", "/c"]
+            await harness.finish("/c")
+            assert harness.server.reserve_body_memory(1000)
+
+        run_in_virtual_time(step)
+
+
+class TestClose:
+    def test_closed_connection_cancels_all_its_requests(self, run_in_virtual_time):
+        async def step(harness):
+            harness.send(get("/a") + get("/b") + post("/c"))
+            await harness.run_loop()
+            harness.conn.connection_lost(None)
+            await harness.run_loop()
+            assert harness.router.cancelled == ["/a", "/b"]
+            assert harness.server.in_flight == 0
+            assert harness.server.reserve_body_memory(harness.server.max_buffered_bytes)
+
+        run_in_virtual_time(step)
+
+    def test_data_after_connection_close_is_not_executed(self, run_in_virtual_time):
+        # The caller announced its last request. Data after it may come from someone
+        # else, or be a part of the body that was parsed as a request.
+        async def step(harness):
             last = b"GET /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"
-            it.send(last + get("/b"))
-            it.send(get("/c"))
-            await it.turn()
-            assert it.router.begun == ["/a"]
-            await it.end("/a")
-            assert it.transport.bodies == ["/a"]
-            assert b"Connection: close" in it.transport.written
-            assert it.transport.closed
-
-        play(step)
-
-    def test_what_was_read_is_answered_before_a_stop(self, play):
-        # The VM stops while three lookups of a caller are under way. An answer that
-        # closes the connection would cut off those behind it.
-        async def step(it):
-            it.send(get("/a") + get("/b"))
-            await it.turn()
-            it.server.is_stopping = True
-            it.server.start_draining()
-            await it.end("/a")
-            assert not it.transport.closed
-            await it.end("/b")
-            assert it.transport.bodies == ["/a", "/b"]
-            assert it.transport.written.count(b"Connection: close") == 1
-            assert it.transport.closed
-
-        play(step)
-
-    def test_caller_that_is_never_without_a_request_is_read_no_further(self, play):
-        # Guards against a stop that one caller holds up until it is cut.
-        async def step(it):
-            it.send(get("/a") + get("/b")[:9])
-            await it.turn()
-            it.server.is_stopping = True
-            it.server.start_draining()
-            assert it.transport.reading
-            it.send(get("/b")[9:])
-            await it.turn()
-            assert not it.transport.reading
-            await it.end("/a")
-            assert not it.transport.closed
-            await it.end("/b")
-            assert it.transport.bodies == ["/a", "/b"]
-            assert it.transport.closed
-            assert it.transport.written.count(b"Connection: close") == 1
-
-        play(step)
-
-    def test_nothing_is_read_while_the_last_answer_leaves(self, play):
-        # Guards against reading a request that nobody will answer.
-        async def step(it):
-            it.send(get("/a"))
-            await it.turn()
-            it.server.is_stopping = True
-            it.server.start_draining()
-            it.transport.get_write_buffer_size = lambda: 10
-            await it.end("/a")
-            assert not it.transport.closed
-            assert not it.transport.reading
-            it.conn.connection_lost(None)
-
-        play(step)
-
-    def test_request_half_read_behind_the_last_answer_is_served(self, play):
-        # Guards against an answer that closes the connection on half a request.
-        async def step(it):
-            it.send(get("/a") + get("/b")[:9])
-            await it.turn()
-            it.server.is_stopping = True
-            it.server.start_draining()
-            await it.end("/a")
-            assert not it.transport.closed
-            it.send(get("/b")[9:])
-            await it.turn()
-            await it.end("/b")
-            assert it.transport.bodies == ["/a", "/b"]
-            assert it.transport.closed
-
-        play(step)
-
-    def test_half_a_head_is_named_after_no_other_request(self, play):
-        # Guards against a log line that names a request which was answered as cut.
-        async def step(it):
-            it.send(get("/a"))
-            await it.turn()
-            assert it.conn.last_request_id == "/a"
-            await it.end("/a")
-            assert it.conn.last_request_id == "/a"
-            it.send(get("/b")[:9])
-            assert it.conn.last_request_id == ""
-
-        play(step)
-
-    def test_refusal_amid_others_leaves_them_alone(self, play):
-        async def step(it):
-            it.send(get("/a") + get("/b") + get("/c"))
-            await it.turn()
-            await it.end("/b", Refused("owner-busy", 0.1))
-            await it.end("/a")
-            await it.end("/c")
-            codes = [p[:3] for p in it.transport.written.split(b"HTTP/1.1 ")[1:]]
+            harness.send(last + get("/b"))
+            harness.send(get("/c"))
+            await harness.run_loop()
+            assert harness.router.started == ["/a"]
+            await harness.finish("/a")
+            assert harness.transport.bodies == ["/a"]
+            assert b"Connection: close" in harness.transport.written
+            assert harness.transport.closed
+
+        run_in_virtual_time(step)
+
+    def test_requests_already_read_are_answered_at_shutdown(self, run_in_virtual_time):
+        # The VM stops while two lookups of a caller are served. If the first response
+        # closed the connection, the second one would be lost.
+        async def step(harness):
+            harness.send(get("/a") + get("/b"))
+            await harness.run_loop()
+            harness.server.is_stopping = True
+            harness.server.start_draining()
+            await harness.finish("/a")
+            assert not harness.transport.closed
+            await harness.finish("/b")
+            assert harness.transport.bodies == ["/a", "/b"]
+            assert harness.transport.written.count(b"Connection: close") == 1
+            assert harness.transport.closed
+
+        run_in_virtual_time(step)
+
+    def test_continuous_pipelining_does_not_delay_shutdown(self, run_in_virtual_time):
+        # Guards against one caller that delays the shutdown until it is cut off.
+        async def step(harness):
+            harness.send(get("/a") + get("/b")[:9])
+            await harness.run_loop()
+            harness.server.is_stopping = True
+            harness.server.start_draining()
+            assert harness.transport.reading
+            harness.send(get("/b")[9:])
+            await harness.run_loop()
+            assert not harness.transport.reading
+            await harness.finish("/a")
+            assert not harness.transport.closed
+            await harness.finish("/b")
+            assert harness.transport.bodies == ["/a", "/b"]
+            assert harness.transport.closed
+            assert harness.transport.written.count(b"Connection: close") == 1
+
+        run_in_virtual_time(step)
+
+    def test_reading_stops_while_the_last_response_is_sent(self, run_in_virtual_time):
+        # Guards against reading a request that will not be answered.
+        async def step(harness):
+            harness.send(get("/a"))
+            await harness.run_loop()
+            harness.server.is_stopping = True
+            harness.server.start_draining()
+            harness.transport.get_write_buffer_size = lambda: 10
+            await harness.finish("/a")
+            assert not harness.transport.closed
+            assert not harness.transport.reading
+            harness.conn.connection_lost(None)
+
+        run_in_virtual_time(step)
+
+    def test_partly_read_request_is_served_at_shutdown(self, run_in_virtual_time):
+        # Guards against a response that closes the connection during a partly read
+        # request.
+        async def step(harness):
+            harness.send(get("/a") + get("/b")[:9])
+            await harness.run_loop()
+            harness.server.is_stopping = True
+            harness.server.start_draining()
+            await harness.finish("/a")
+            assert not harness.transport.closed
+            harness.send(get("/b")[9:])
+            await harness.run_loop()
+            await harness.finish("/b")
+            assert harness.transport.bodies == ["/a", "/b"]
+            assert harness.transport.closed
+
+        run_in_virtual_time(step)
+
+    def test_partial_head_has_no_request_id(self, run_in_virtual_time):
+        # Guards against logging an answered request as cut.
+        async def step(harness):
+            harness.send(get("/a"))
+            await harness.run_loop()
+            assert harness.conn.last_request_id == "/a"
+            await harness.finish("/a")
+            assert harness.conn.last_request_id == "/a"
+            harness.send(get("/b")[:9])
+            assert harness.conn.last_request_id == ""
+
+        run_in_virtual_time(step)
+
+    def test_rejected_request_does_not_affect_others(self, run_in_virtual_time):
+        async def step(harness):
+            harness.send(get("/a") + get("/b") + get("/c"))
+            await harness.run_loop()
+            await harness.finish("/b", Refused("owner-busy", 0.1))
+            await harness.finish("/a")
+            await harness.finish("/c")
+            codes = [p[:3] for p in harness.transport.written.split(b"HTTP/1.1 ")[1:]]
             assert codes == [b"200", b"503", b"200"]
-            assert not it.transport.closed
+            assert not harness.transport.closed
 
-        play(step)
+        run_in_virtual_time(step)
 
-    def test_idle_connection_closes_and_a_busy_one_does_not(self, play):
+    def test_only_idle_connections_time_out(self, run_in_virtual_time):
         async def step(_):
-            it = Played(idle_timeout=2.0)
+            harness = ConnectionHarness(idle_timeout=2.0)
             await asyncio.sleep(1.0)
-            it.send(get("/a"))
+            harness.send(get("/a"))
             await asyncio.sleep(9.0)
-            assert not it.transport.closed
-            await it.end("/a")
+            assert not harness.transport.closed
+            await harness.finish("/a")
             await asyncio.sleep(1.5)
-            assert not it.transport.closed
+            assert not harness.transport.closed
             await asyncio.sleep(3.0)
-            assert it.transport.closed
+            assert harness.transport.closed
 
-        play(step)
+        run_in_virtual_time(step)
 
-    def test_head_that_never_ends_is_given_up(self, play):
-        # A caller sends its head a byte at a time, for hours, on all connections that
-        # the VM has descriptors for.
+    def test_incomplete_head_times_out(self, run_in_virtual_time):
+        # Guards against callers that send a head one byte at a time for hours, and use
+        # up the file descriptors of the VM.
         async def step(_):
-            it = Played(idle_timeout=2.0)
+            harness = ConnectionHarness(idle_timeout=2.0)
             for byte in b"GET /a HTTP/1.1\r\nHost: hhhhhhhh":
-                it.send(bytes([byte]))
+                harness.send(bytes([byte]))
                 await asyncio.sleep(0.2)
-            assert it.transport.closed
+            assert harness.transport.closed
 
-        play(step)
+        run_in_virtual_time(step)
 
 
 MALFORMED = [
@@ -436,55 +439,60 @@
 
 
 class TestMalformed:
-    """Bytes that are no request, or that two readers could take in two ways."""
+    """Invalid requests, and requests that two parsers could interpret differently."""
 
     @pytest.mark.parametrize("data", MALFORMED)
-    def test_is_refused_and_nothing_behind_it_runs(self, play, data):
-        # Taken in another way than a proxy before this VM takes it, a part of one
-        # caller's body would run as another's request.
-        async def step(it):
-            it.send(data + get("/smuggled"))
-            it.send(get("/smuggled"))
-            await it.turn()
-            assert "/smuggled" not in it.router.begun
-            for path in list(it.router.begun):
-                await it.end(path)
-            assert it.transport.closed or it.transport.written == b""
-            assert "/smuggled" not in it.router.begun
-
-        play(step)
-
-    def test_fault_behind_a_good_request_waits_for_its_answer(self, play):
-        async def step(it):
-            it.send(get("/a") + b"no request\r\n\r\n")
-            await it.turn()
-            await it.end("/a")
-            assert it.transport.written.startswith(b"HTTP/1.1 200")
-            assert b"HTTP/1.1 400" in it.transport.written
-            assert it.transport.closed
-
-        play(step)
+    def test_is_rejected_and_later_data_is_not_executed(
+        self, run_in_virtual_time, data
+    ):
+        # Guards against request smuggling: if a proxy in front of this VM parses the
+        # data differently, a part of one caller's body would be executed as a request
+        # of another caller.
+        async def step(harness):
+            harness.send(data + get("/smuggled"))
+            harness.send(get("/smuggled"))
+            await harness.run_loop()
+            assert "/smuggled" not in harness.router.started
+            for path in list(harness.router.started):
+                await harness.finish(path)
+            assert harness.transport.closed or harness.transport.written == b""
+            assert "/smuggled" not in harness.router.started
+
+        run_in_virtual_time(step)
+
+    def test_error_response_follows_earlier_responses(self, run_in_virtual_time):
+        async def step(harness):
+            harness.send(get("/a") + b"no request\r\n\r\n")
+            await harness.run_loop()
+            await harness.finish("/a")
+            assert harness.transport.written.startswith(b"HTTP/1.1 200")
+            assert b"HTTP/1.1 400" in harness.transport.written
+            assert harness.transport.closed
+
+        run_in_virtual_time(step)
 
     @settings(max_examples=60, deadline=None)
     @given(st.binary(max_size=300))
-    def test_any_bytes_are_survived(self, data):
+    def test_arbitrary_bytes_leave_no_state(self, data):
         with virtual_loop() as loop:
 
             async def step():
-                it = Played()
-                it.send(data)
-                it.send(get("/a") + get("/b"))
-                await it.turn()
-                it.conn.connection_lost(None)
-                await it.turn()
-                assert it.server.in_flight == 0
-                assert it.server.reserve_body_memory(it.server.max_buffered_bytes)
+                harness = ConnectionHarness()
+                harness.send(data)
+                harness.send(get("/a") + get("/b"))
+                await harness.run_loop()
+                harness.conn.connection_lost(None)
+                await harness.run_loop()
+                assert harness.server.in_flight == 0
+                assert harness.server.reserve_body_memory(
+                    harness.server.max_buffered_bytes
+                )
 
             loop.run_until_complete(step())
 
 
-# A request: whether it is a lookup, the length of an order's body, and the place of its
-# end among all ends.
+# For each request: whether it is a lookup, the length of an order's body, and its rank
+# in the order in which requests finish.
 REQUESTS = st.lists(
     st.tuples(st.booleans(), st.integers(0, 30), st.integers(0, 99)),
     min_size=1,
@@ -492,35 +500,35 @@
 )
 
 
-class TestAnyOrder:
+class TestArbitraryOrder:
     @settings(max_examples=150, deadline=None)
     @given(REQUESTS, st.lists(st.integers(1, 60), min_size=1, max_size=40))
-    def test_each_answer_is_that_of_its_request(self, requests, pieces):
-        # Requests come in pieces of any length and end in any order. An answer that
-        # went to another request would show one caller what another asked for.
+    def test_each_response_belongs_to_its_request(self, requests, chunk_sizes):
+        # Requests arrive in chunks of any length and finish in any order. A response to
+        # the wrong request would disclose data to another caller.
         with virtual_loop() as loop:
-            loop.run_until_complete(self.play_all(requests, pieces))
+            loop.run_until_complete(self.run_all(requests, chunk_sizes))
 
-    async def play_all(self, requests, pieces):
-        it = Played()
-        data, wanted = b"", []
+    async def run_all(self, requests, chunk_sizes):
+        harness = ConnectionHarness()
+        data, expected = b"", []
         for n, (is_safe, size, _) in enumerate(requests):
             body = b"b" * size
             data += get(f"/{n}") if is_safe else post(f"/{n}", body)
-            wanted.append(f"/{n}" + ("" if is_safe else "b" * size))
-        ends = {f"/{n}": order for n, (_, _, order) in enumerate(requests)}
+            expected.append(f"/{n}" + ("" if is_safe else "b" * size))
+        finish_order = {f"/{n}": order for n, (_, _, order) in enumerate(requests)}
         at = 0
-        for length in [*pieces, len(data)]:
-            it.send(data[at : at + length])
+        for length in [*chunk_sizes, len(data)]:
+            harness.send(data[at : at + length])
             at += length
-            await it.turn()
-        while it.server.in_flight:
-            running = [path for path in it.router.begun if path in ends]
-            first = min(running, key=ends.get)
+            await harness.run_loop()
+        while harness.server.in_flight:
+            running = [path for path in harness.router.started if path in finish_order]
+            first = min(running, key=finish_order.get)
             unsafe = [p for p in running if not requests[int(p[1:])][0]]
-            # An order runs alone.
+            # An order never runs concurrently with another request.
             assert not unsafe or len(running) == 1
-            del ends[first]
-            await it.end(first)
-        assert it.transport.bodies == wanted
-        assert it.server.reserve_body_memory(it.server.max_buffered_bytes)
+            del finish_order[first]
+            await harness.finish(first)
+        assert harness.transport.bodies == expected
+        assert harness.server.reserve_body_memory(harness.server.max_buffered_bytes)
--- a/packages/entry/tests/test_graceful_close.py
+++ b/packages/entry/tests/test_graceful_close.py
@@ -1,4 +1,4 @@
-"""Tests of the end of a connection."""
+"""Tests of the graceful close of a connection."""
 
 from __future__ import annotations
 
@@ -11,33 +11,33 @@
 
 
 class Transport(asyncio.Transport):
-    """One whose other side takes what it is told to take."""
+    """A transport whose unacknowledged bytes are set by the test."""
 
-    def __init__(self, left):
+    def __init__(self, unacknowledged):
         super().__init__()
-        self.left = left
-        self.end = ""
-        self.shut = False
+        self.unacknowledged = unacknowledged
+        self.result = ""
+        self.eof_written = False
         self.reading = True
 
     def get_write_buffer_size(self):
-        return self.left
+        return self.unacknowledged
 
     def pause_reading(self):
         self.reading = False
 
     def write_eof(self):
-        self.shut = True
+        self.eof_written = True
 
     def close(self):
-        self.end = "closed"
+        self.result = "closed"
 
     def abort(self):
-        self.end = "aborted"
+        self.result = "aborted"
 
 
-class GoneTransport(Transport):
-    """One whose other side has reset the connection."""
+class ResetTransport(Transport):
+    """A transport whose peer has reset the connection."""
 
     def write_eof(self):
         raise OSError(107, "Transport endpoint is not connected")
@@ -49,70 +49,70 @@
         yield loop
 
 
-class TestEnding:
-    def test_closes_at_once_when_nothing_is_left(self, loop):
-        async def play():
+class TestGracefulClose:
+    def test_closes_immediately_when_all_is_acknowledged(self, loop):
+        async def scenario():
             transport = Transport(0)
             GracefulClose(transport, lambda: 2.0).begin()
-            assert transport.end == "closed"
-            assert transport.shut
+            assert transport.result == "closed"
+            assert transport.eof_written
 
-        loop.run_until_complete(play())
+        loop.run_until_complete(scenario())
 
-    def test_waits_for_a_slow_side_that_goes_on_taking(self, loop):
-        # Guards against cutting a large answer on a slow link.
-        async def play():
+    def test_waits_for_a_slow_peer_that_makes_progress(self, loop):
+        # Guards against cutting off a large response on a slow link.
+        async def scenario():
             transport = Transport(100)
             GracefulClose(transport, lambda: 2.0).begin()
-            assert transport.shut
+            assert transport.eof_written
             assert not transport.reading
-            while transport.left:
-                assert transport.end == ""
-                transport.left -= 1
+            while transport.unacknowledged:
+                assert transport.result == ""
+                transport.unacknowledged -= 1
                 await asyncio.sleep(1.0)
-            assert transport.end == "closed"
+            assert transport.result == "closed"
 
-        loop.run_until_complete(play())
+        loop.run_until_complete(scenario())
 
-    def test_gives_up_a_side_that_takes_nothing(self, loop):
-        # Guards against connections that stay for ever and take descriptors.
-        async def play():
+    def test_aborts_when_the_peer_makes_no_progress(self, loop):
+        # Guards against connections that stay open forever and use up descriptors.
+        async def scenario():
             transport = Transport(100)
             GracefulClose(transport, lambda: 2.0).begin()
             await asyncio.sleep(1.9)
-            assert transport.end == ""
+            assert transport.result == ""
             await asyncio.sleep(0.3)
-            assert transport.end == "aborted"
+            assert transport.result == "aborted"
 
-        loop.run_until_complete(play())
+        loop.run_until_complete(scenario())
 
-    def test_other_side_that_has_ended_is_not_waited_for_long(self, loop, monkeypatch):
-        # Guards against waiting for acknowledgements that a reset has ended.
+    def test_aborts_soon_after_the_peer_has_closed(self, loop, monkeypatch):
+        # Guards against waiting for acknowledgements that never arrive after a reset.
         monkeypatch.setattr(graceful_close, "peer_has_closed", lambda transport: True)
 
-        async def play():
+        async def scenario():
             transport = Transport(100)
             GracefulClose(transport, lambda: 60.0).begin()
             await asyncio.sleep(2 * PEER_CLOSED_TIMEOUT_SECONDS)
-            assert transport.end == "aborted"
+            assert transport.result == "aborted"
 
-        loop.run_until_complete(play())
+        loop.run_until_complete(scenario())
 
-    def test_connection_that_is_gone_already(self, loop):
-        async def play():
-            transport = GoneTransport(100)
+    def test_aborts_when_the_peer_has_reset_the_connection(self, loop):
+        async def scenario():
+            transport = ResetTransport(100)
             GracefulClose(transport, lambda: 2.0).begin()
-            assert transport.end == "aborted"
+            assert transport.result == "aborted"
 
-        loop.run_until_complete(play())
+        loop.run_until_complete(scenario())
 
-    def test_lost_connection_is_looked_at_no_more(self, loop):
-        async def play():
+    def test_cancel_stops_the_checks(self, loop):
+        async def scenario():
             transport = Transport(100)
-            end = GracefulClose(transport, lambda: 2.0)
-            end.begin()
-            end.cancel()
+            result = GracefulClose(transport, lambda: 2.0)
+            result.begin()
+            result.cancel()
             await asyncio.sleep(5.0)
-            assert transport.end == ""
+            assert transport.result == ""
 
-        loop.run_until_complete(play())
+        loop.run_until_complete(scenario())
--- a/packages/entry/tests/test_internal_http.py
+++ b/packages/entry/tests/test_internal_http.py
@@ -1,4 +1,4 @@
-"""Tests of the small servers for the balancer and other VMs."""
+"""Tests of the internal HTTP servers."""
 
 from __future__ import annotations
 
@@ -10,118 +10,119 @@
 from berylstage_entry.internal_http import CLOSE_TIMEOUT_SECONDS, InternalServer
 from berylstage_entry.responses import Response
 
-SIZE = 4 * 1024 * 1024
-QUESTION = b"POST /slow HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx"
-DOWNLOAD = b"GET /large HTTP/1.1\r\nHost: h\r\n\r\n"
+LARGE_BODY_BYTES = 4 * 1024 * 1024
+SLOW_REQUEST = b"POST /slow HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx"
+LARGE_REQUEST = b"GET /large HTTP/1.1\r\nHost: h\r\n\r\n"
 
 
-async def slow(body):
+async def respond_slowly(body):
     await asyncio.sleep(0.1)
     return Response(200, body=b"whole")
 
 
-async def endless(body):
+async def never_respond(body):
     await asyncio.sleep(60)
     return Response(200)
 
 
-def listen():
-    """Return a server of some pages, and its port."""
-    pages = InternalServer(
+def start_server():
+    """Return a server with three handlers, and its port."""
+    server = InternalServer(
         {
-            "/slow": slow,
-            "/endless": endless,
-            "/large": lambda body: Response(200, body=b"x" * SIZE),
+            "/slow": respond_slowly,
+            "/endless": never_respond,
+            "/large": lambda body: Response(200, body=b"x" * LARGE_BODY_BYTES),
         }
     )
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         port = sock.getsockname()[1]
-    pages.listen(f"127.0.0.1:{port}")
-    return pages, port
+    server.listen(f"127.0.0.1:{port}")
+    return server, port
 
 
-class TestEnd:
-    """Questions and answers that are on their way when the program ends."""
+class TestClose:
+    """Requests and responses in transit when the process exits."""
 
-    def test_question_under_way_is_answered(self):
-        # Guards against cutting off what a VM is about to say of the duty.
-        async def play():
-            pages, port = listen()
+    def test_pending_request_is_answered(self):
+        # Guards against cutting off a response that a new coordinator needs.
+        async def scenario():
+            server, port = start_server()
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(QUESTION)
+            writer.write(SLOW_REQUEST)
             await asyncio.sleep(0.05)
-            closed = asyncio.create_task(pages.close())
+            closed = asyncio.create_task(server.close())
             assert (await reader.read()).endswith(b"whole")
             writer.close()
             await closed
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    def test_question_unread_in_its_socket_is_answered(self):
-        # Guards against closing a kept connection with a question in its socket.
-        async def play():
-            pages, port = listen()
+    def test_unread_request_is_answered(self):
+        # Guards against closing a connection while its socket has an unread request.
+        async def scenario():
+            server, port = start_server()
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(QUESTION)
+            writer.write(SLOW_REQUEST)
             assert await reader.readuntil(b"whole")
-            # The loop is held up: it has not read the question when the pages close.
-            writer.write(QUESTION)
-            closed = asyncio.create_task(pages.close())
+            # The event loop has not read the request yet when the server closes.
+            writer.write(SLOW_REQUEST)
+            closed = asyncio.create_task(server.close())
             assert (await reader.read()).endswith(b"whole")
             writer.close()
             await closed
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    def test_answer_that_is_not_out_arrives_whole(self):
-        # Guards against the end of the program with an answer half out.
-        async def play():
-            pages, port = listen()
+    def test_partly_sent_response_arrives_complete(self):
+        # Guards against exiting while a response is partly sent.
+        async def scenario():
+            server, port = start_server()
             reader, writer = await asyncio.open_connection(
                 "127.0.0.1", port, limit=2048
             )
-            writer.write(DOWNLOAD)
+            writer.write(LARGE_REQUEST)
             await asyncio.sleep(0.1)
-            closed = asyncio.create_task(pages.close())
+            closed = asyncio.create_task(server.close())
             await asyncio.sleep(0.1)
             assert not closed.done()
             answer = await reader.read()
             writer.close()
             await closed
-            assert len(answer.partition(b"\r\n\r\n")[2]) == SIZE
+            assert len(answer.partition(b"\r\n\r\n")[2]) == LARGE_BODY_BYTES
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
     @pytest.mark.parametrize(
-        "sent", [b"GET /endless HTTP/1.1\r\nHost: h\r\n\r\n", DOWNLOAD, b"GET /sl"]
+        "sent", [b"GET /endless HTTP/1.1\r\nHost: h\r\n\r\n", LARGE_REQUEST, b"GET /sl"]
     )
-    def test_nobody_holds_the_end_up_for_long(self, sent):
-        # Guards against a stop that waits for a page or an asker that never ends.
-        async def play():
-            pages, port = listen()
+    def test_close_has_a_timeout(self, sent):
+        # Guards against a shutdown that waits for a handler or a client that never
+        # finishes.
+        async def scenario():
+            server, port = start_server()
             _, writer = await asyncio.open_connection("127.0.0.1", port, limit=2048)
             writer.write(sent)
             await asyncio.sleep(0.1)
             began = time.monotonic()
-            await pages.close()
+            await server.close()
             assert time.monotonic() - began < CLOSE_TIMEOUT_SECONDS + 0.5
             writer.close()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    def test_idle_connections_are_not_waited_for(self):
-        # Guards against a stop that takes longer because others keep connections.
-        async def play():
-            pages, port = listen()
+    def test_idle_connections_do_not_delay_the_close(self):
+        # Guards against a shutdown that takes longer because of keep-alive connections.
+        async def scenario():
+            server, port = start_server()
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(QUESTION)
+            writer.write(SLOW_REQUEST)
             assert await reader.readuntil(b"whole")
             await asyncio.sleep(0.05)
             began = time.monotonic()
-            await pages.close()
+            await server.close()
             assert time.monotonic() - began < CLOSE_TIMEOUT_SECONDS / 2
             assert await reader.read() == b""
             writer.close()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
--- a/packages/entry/tests/test_logs.py
+++ b/packages/entry/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Tests of log lines that never hold up the process."""
+"""Tests of non-blocking log output."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 from berylstage_entry.shutdown import STOP_SIGNALS
 from logbook import Logger
 
-BUSY_DISK = 0.3
+WRITE_SECONDS = 0.3
 log = Logger("test")
 
 
 @pytest.fixture
 def slow_disk(monkeypatch):
-    """Let each write take a while."""
+    """Delay each write by `WRITE_SECONDS`."""
     write = os.write
 
-    def slowly(fd, data):
-        time.sleep(BUSY_DISK)
+    def write_slowly(fd, data):
+        time.sleep(WRITE_SECONDS)
         return write(fd, data)
 
-    monkeypatch.setattr(os, "write", slowly)
+    monkeypatch.setattr(os, "write", write_slowly)
 
 
 class TestFile:
@@ -40,9 +40,9 @@
     def path(self, tmp_path):
         return tmp_path / "vm.log"
 
-    def test_busy_disk_does_not_hold_up_who_logs(self, path, slow_disk, monkeypatch):
-        # Guards against requests that stand still while the disk is busy: a file takes
-        # no notice of a descriptor that is not to block.
+    def test_slow_disk_does_not_block_the_caller(self, path, slow_disk, monkeypatch):
+        # Guards against requests that stall while the disk is busy: writes to a regular
+        # file block even if its descriptor is in non-blocking mode.
         with path.open("wb") as file:
             monkeypatch.setattr(sys, "stdout", file)
             lines = JsonLines("vm-1")
@@ -50,26 +50,26 @@
             with lines.applicationbound():
                 for n in range(20):
                     log.info("line", extra={"n": n})
-            assert time.monotonic() - began < BUSY_DISK / 2
+            assert time.monotonic() - began < WRITE_SECONDS / 2
             lines.close()
         read = [json.loads(line)["n"] for line in path.read_text().splitlines()]
         assert read == list(range(20))
 
-    def test_what_is_too_much_is_left_out(self, path, slow_disk, monkeypatch):
+    def test_lines_beyond_the_buffer_are_dropped(self, path, slow_disk, monkeypatch):
         monkeypatch.setattr(line_writers, "MAX_BUFFERED_BYTES", 100)
         with path.open("wb") as file:
             writer = create_line_writer(file.fileno())
             assert isinstance(writer, ThreadedWriter)
             time.sleep(0.01)
-            taken = [writer.write(b"x" * 40) for _ in range(9)]
-            assert True in taken
-            assert False in taken
+            accepted = [writer.write(b"x" * 40) for _ in range(9)]
+            assert True in accepted
+            assert False in accepted
             writer.close()
-        assert path.stat().st_size == 40 * sum(taken)
+        assert path.stat().st_size == 40 * sum(accepted)
 
-    def test_signals_come_to_the_main_thread_alone(self, path):
-        # Guards against a VM that stops and ends with the status of a crash: a signal
-        # that the main thread blocks would come to the thread that writes.
+    def test_writer_thread_blocks_stop_signals(self, path):
+        # Guards against a shutdown with the exit status of a crash: a signal that only
+        # the main thread blocks would be delivered to the writer thread.
         with path.open("wb") as file:
             writer = create_line_writer(file.fileno())
             writer.write(b"x")
@@ -82,7 +82,7 @@
         blocked = int(fields["SigBlk"], 16)
         assert all(blocked >> (number - 1) & 1 for number in STOP_SIGNALS)
 
-    def test_full_disk_ends_nothing(self, path, monkeypatch):
+    def test_full_disk_raises_no_error(self, path, monkeypatch):
         def fail(fd, data):
             raise OSError("no space left")
 
@@ -94,18 +94,18 @@
 
 
 class TestPipe:
-    def test_pipe_that_nobody_reads_holds_up_nobody(self):
+    def test_full_pipe_does_not_block(self):
         reader, fd = os.pipe()
         writer = create_line_writer(fd)
         assert isinstance(writer, NonBlockingWriter)
         line = b"x" * 9999 + b"\n"
-        taken = [writer.write(line) for _ in range(60)]
-        assert taken[0]
-        assert not taken[-1]
+        accepted = [writer.write(line) for _ in range(60)]
+        assert accepted[0]
+        assert not accepted[-1]
         os.close(reader)
         os.close(fd)
 
-    def test_what_was_kept_is_written_when_there_is_room(self):
+    def test_buffered_lines_are_written_later(self):
         reader, fd = os.pipe()
         writer = create_line_writer(fd)
         line = b"x" * 9999 + b"\n"
--- a/packages/entry/tests/test_metrics.py
+++ b/packages/entry/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of the metrics page."""
+"""Tests of the metrics."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from berylstage_entry.server import ShutdownCounts
 from berylstage_entry.shutdown import Phase, PhaseTimer
 
-# A line of the text format: a name, labels, a number.
+# A line of the Prometheus text format: a name, labels and a number.
 SAMPLE = re.compile(r'[a-z_]+(\{[a-z]+="[^"]+"(,[a-z]+="[^"]+")*\})? [0-9.]+')
-NOT_STOPPED = {"leaving": 0.0, "draining": 0.0, "flushing": 0.0}
+NO_SHUTDOWN = {"leaving": 0.0, "draining": 0.0, "flushing": 0.0}
 
 
-class TestStopText:
+class TestShutdownMetrics:
     def test_counts_and_phases(self):
         counts = ShutdownCounts()
         counts.requests_received, counts.idle_closed = 7, 5
         counts.connections_cut, counts.bytes_cut = 2, 90_000
         lines = format_shutdown_metrics(
-            counts, NOT_STOPPED | {"leaving": 2.6}
+            counts, NO_SHUTDOWN | {"leaving": 2.6}
         ).splitlines()
         assert lines == [
             'berylstage_stop_events_total{event="begun"} 7',
@@ -31,29 +31,31 @@
             'berylstage_stop_phase_seconds{phase="flushing"} 0.000',
         ]
 
-    def test_counts_stand_there_before_a_stop(self):
-        # Guards against a counter that shows up above zero: a scraper sees no rise.
-        lines = format_shutdown_metrics(ShutdownCounts(), NOT_STOPPED).splitlines()
+    def test_all_metrics_exist_before_a_shutdown(self):
+        # Guards against a counter whose first value is above zero: a scraper would see
+        # no increase.
+        lines = format_shutdown_metrics(ShutdownCounts(), NO_SHUTDOWN).splitlines()
         assert {line.rpartition(" ")[2] for line in lines} == {"0", "0.000"}
 
-    def test_page_is_in_the_text_format(self):
+    def test_output_is_in_prometheus_text_format(self):
         metrics = Metrics()
         metrics.count("malformed")
         metrics.request("h", "answered", 0.03)
-        page = metrics.text() + format_shutdown_metrics(ShutdownCounts(), NOT_STOPPED)
+        page = metrics.text() + format_shutdown_metrics(ShutdownCounts(), NO_SHUTDOWN)
         assert page.endswith("\n")
         assert all(SAMPLE.fullmatch(line) for line in page.splitlines())
 
 
-class TestPhaseTimes:
-    def test_before_a_stop(self):
-        assert PhaseTimer().seconds(100.0) == NOT_STOPPED
+class TestPhaseTimer:
+    def test_before_a_shutdown(self):
+        assert PhaseTimer().seconds(100.0) == NO_SHUTDOWN
 
-    def test_phase_that_has_not_ended_is_told(self):
-        # Guards against times that stand there only when the process is gone.
+    def test_current_phase_is_included(self):
+        # Guards against a phase that is reported only once it has ended: the last ones
+        # would never be seen, because the process has exited by then.
         times = PhaseTimer()
         times.enter(Phase.LEAVING, 100.0)
-        assert times.seconds(101.5) == NOT_STOPPED | {"leaving": 1.5}
+        assert times.seconds(101.5) == NO_SHUTDOWN | {"leaving": 1.5}
         times.enter(Phase.FLUSHING, 102.5)
         times.enter(Phase.ENDED, 103.0)
-        assert times.seconds(109.0) == NOT_STOPPED | {"leaving": 2.5, "flushing": 0.5}
+        assert times.seconds(109.0) == NO_SHUTDOWN | {"leaving": 2.5, "flushing": 0.5}
--- a/packages/entry/tests/test_server.py
+++ b/packages/entry/tests/test_server.py
@@ -1,4 +1,4 @@
-"""Tests of the callers' server."""
+"""Tests of the HTTP server for callers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from fakes import LIMITS
 
 
-class PlainCallers(CallerWire):
+class PlainCallerProtocol(CallerWire):
     def request(self, method, uri, headers):
         return CallerRequest("id", method, "h", uri, {}, 5.0, None)
 
@@ -26,7 +26,7 @@
 
 
 class SlowRouter:
-    """Answers after a while."""
+    """Answers after a delay."""
 
     def __init__(self, seconds):
         self.seconds = seconds
@@ -52,23 +52,23 @@
         return sock.getsockname()[1]
 
 
-def serve(router):
+def start_server(router):
     journal = RequestJournal(Metrics())
-    server = CallerServer(PlainCallers(), router, journal, lambda: LIMITS)
+    server = CallerServer(PlainCallerProtocol(), router, journal, lambda: LIMITS)
     port = free_port()
     server.listen(f"127.0.0.1:{port}")
     return server, port
 
 
 REQUEST = b"GET /a/ HTTP/1.1\r\nHost: h\r\n\r\n"
-# Has a socket reset its connection when it closes.
-LINGER_NONE = struct.pack("ii", 1, 0)
+# Value of SO_LINGER that resets the connection when the socket is closed.
+LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 class TestCallerServer:
-    def test_answers_on_a_kept_connection(self):
-        async def play():
-            server, port = serve(SlowRouter(0.0))
+    def test_keep_alive_connection_serves_several_requests(self):
+        async def scenario():
+            server, port = start_server(SlowRouter(0.0))
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             for _ in range(3):
                 writer.write(REQUEST)
@@ -78,17 +78,17 @@
             writer.close()
             await server.close()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    def test_no_request_is_cut_when_it_stops(self):
-        # The VM stops while callers go on using connections that they have kept open. A
-        # request read in the last moment would end without an answer, and its caller
-        # would not know whether its order was placed.
-        async def play():
-            server, port = serve(SlowRouter(0.1))
-            cut = []
+    def test_no_request_is_cut_during_shutdown(self):
+        # The VM stops while callers keep using their open connections. If a request
+        # were read at the last moment and not answered, its caller would not know
+        # whether its order was placed.
+        async def scenario():
+            server, port = start_server(SlowRouter(0.1))
+            failures = []
 
-            async def call_on():
+            async def call_repeatedly():
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 while True:
                     try:
@@ -98,7 +98,7 @@
                         body = await reader.readexactly(5)
                     except (OSError, asyncio.IncompleteReadError) as exc:
                         partial = getattr(exc, "partial", b"")
-                        cut.append(partial)
+                        failures.append(partial)
                         return
                     assert body == b"whole"
                     if b"Connection: close" in head:
@@ -106,32 +106,32 @@
                         return
                     await asyncio.sleep(0.03)
 
-            callers = [asyncio.create_task(call_on()) for _ in range(20)]
+            callers = [asyncio.create_task(call_repeatedly()) for _ in range(20)]
             await asyncio.sleep(0.3)
-            # Beside other load the callers may take longer to come.
+            # On a loaded machine, the callers may take longer to connect.
             while not server.pending_work().serving:
                 await asyncio.sleep(0.01)
             server.is_stopping = True
             server.start_draining()
-            # Connections whose last answer is not acknowledged are in flight as well.
-            begun = server.pending_work().serving
+            # Connections with an unacknowledged last response are in flight as well.
+            serving_at_stop = server.pending_work().serving
             while server.in_flight:
                 await asyncio.sleep(0.01)
             await server.close()
             await asyncio.gather(*callers)
-            assert begun
-            # Those that had no request under way find their connection closed; the
-            # others got their answers.
-            assert len(cut) <= 20 - begun
+            assert serving_at_stop
+            # Callers without a pending request find their connection closed; the others
+            # received their responses.
+            assert len(failures) <= 20 - serving_at_stop
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    def test_request_that_crosses_the_close_does_not_run(self):
-        # The VM stops and closes a connection as idle in the moment in which a request
-        # on it has been read and not yet begun. Its caller sees the close and sends
-        # it elsewhere; run here as well it would be an order placed twice.
-        class Closing(asyncio.Transport):
-            """A transport that goes on to deliver what had come before its close."""
+    def test_request_received_after_close_is_not_executed(self):
+        # The VM stops and closes an idle connection just as a request on it has been
+        # read and not yet started. Its caller retries at another VM when it sees the
+        # close; if the request ran here as well, an order would be placed twice.
+        class DeliveringTransport(asyncio.Transport):
+            """A transport that delivers earlier data even after its close."""
 
             def __init__(self):
                 super().__init__()
@@ -153,10 +153,10 @@
             def write_eof(self):
                 pass
 
-        async def play():
+        async def scenario():
             router = SlowRouter(0.0)
-            server, _ = serve(router)
-            conn, transport = CallerConnection(server), Closing()
+            server, _ = start_server(router)
+            conn, transport = CallerConnection(server), DeliveringTransport()
             conn.connection_made(transport)
             conn.data_received(REQUEST)
             await asyncio.sleep(0.01)
@@ -172,13 +172,13 @@
             assert router.served == 1
             await server.close()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    def test_request_half_read_at_a_stop_is_answered(self):
-        # Guards against closing a connection as idle between two parts of a request.
-        async def play():
+    def test_partly_read_request_is_answered_during_shutdown(self):
+        # Guards against closing a connection as idle while a request is partly read.
+        async def scenario():
             router = SlowRouter(0.0)
-            server, port = serve(router)
+            server, port = start_server(router)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(REQUEST[:9])
             await asyncio.sleep(0.05)
@@ -192,12 +192,12 @@
             writer.close()
             await server.close()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    def test_request_that_stays_half_read_holds_up_no_stop(self):
-        # Guards against a caller that begins a request and never ends it.
-        async def play():
-            server, port = serve(SlowRouter(0.0))
+    def test_incomplete_request_does_not_delay_shutdown(self):
+        # Guards against a caller that never completes its request.
+        async def scenario():
+            server, port = start_server(SlowRouter(0.0))
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(REQUEST[:9])
             await asyncio.sleep(0.05)
@@ -209,14 +209,14 @@
             writer.close()
             await server.close()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    def test_caller_that_leaves_ends_the_work(self):
-        # A caller gives up and closes its connection. Work that goes on for it keeps a
-        # slot from callers who still wait.
-        async def play():
+    def test_closed_connection_cancels_the_request(self):
+        # A caller closes its connection. If its request went on, it would occupy a slot
+        # that waiting callers need.
+        async def scenario():
             router = SlowRouter(5.0)
-            server, port = serve(router)
+            server, port = start_server(router)
             _, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(REQUEST)
             await asyncio.sleep(0.1)
@@ -226,11 +226,11 @@
             assert server.in_flight == 0
             await server.close()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
 
 class LargeRouter:
-    """Answers at once with a large body."""
+    """Answers immediately with a large body."""
 
     def __init__(self, size):
         self.body = b"x" * size
@@ -240,8 +240,8 @@
         return Answered(answer, "a", 1)
 
 
-async def connect_slowly(port):
-    """Return a connection whose caller takes in little before it reads."""
+async def connect_with_small_buffer(port):
+    """Return a connection whose caller buffers little data before it reads."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     sock.setblocking(False)
@@ -250,7 +250,7 @@
 
 
 async def read_slowly(reader):
-    """Return all that comes until the connection ends, read a little at a time."""
+    """Return all data until the connection closes, reading in small parts."""
     parts = []
     while part := await reader.read(65536):
         parts.append(part)
@@ -258,8 +258,8 @@
     return b"".join(parts)
 
 
-async def stop(server, seconds=5.0):
-    """Stop a server as the application does."""
+async def shut_down(server, seconds=5.0):
+    """Shut a server down as the application does."""
     end = asyncio.get_running_loop().time() + seconds
     server.is_stopping = True
     server.start_draining()
@@ -269,90 +269,93 @@
     await server.close()
 
 
-class TestStop:
-    """Requests and answers that are on their way when a VM stops."""
+class TestShutdown:
+    """Requests and responses in transit when a VM stops."""
 
     SIZE = 8 * 1024 * 1024
 
-    def test_answer_that_a_slow_caller_takes_arrives_whole(self):
-        # Guards against the end of the program with an answer half out.
-        async def play():
-            server, port = serve(LargeRouter(self.SIZE))
-            reader, writer = await connect_slowly(port)
+    def test_slow_caller_receives_the_complete_response(self):
+        # Guards against exiting while a response is partly sent.
+        async def scenario():
+            server, port = start_server(LargeRouter(self.SIZE))
+            reader, writer = await connect_with_small_buffer(port)
             writer.write(REQUEST)
             await asyncio.sleep(0.1)
-            stopped = asyncio.create_task(stop(server))
+            stopped = asyncio.create_task(shut_down(server))
             await asyncio.sleep(0.2)
-            # The program would end now, and with it what has not left it.
+            # If the process exited now, the rest of the response would be lost.
             assert not stopped.done()
             answer = await read_slowly(reader)
             writer.close()
             await stopped
             assert len(answer.partition(b"\r\n\r\n")[2]) == self.SIZE
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
     def test_request_unread_when_idle_connections_close_is_answered(self):
-        # Guards against closing a connection as idle with a request in its socket.
-        async def play():
-            server, port = serve(SlowRouter(0.05))
+        # Guards against closing a connection as idle while its socket has an unread
+        # request.
+        async def scenario():
+            server, port = start_server(SlowRouter(0.05))
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(REQUEST)
             assert await reader.readuntil(b"whole")
-            # The loop is held up: it has not read the request when the VM stops.
+            # The event loop has not read the request yet when the VM stops.
             writer.write(REQUEST)
-            stopped = asyncio.create_task(stop(server))
+            stopped = asyncio.create_task(shut_down(server))
             answer = await reader.read()
             await stopped
             assert answer.startswith(b"HTTP/1.1 200")
             assert b"Connection: close" in answer
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
     def test_request_unread_when_the_idle_time_ends_is_answered(self):
-        # Guards against the idle timer cutting off a request in the socket.
-        async def play():
-            server, port = serve(SlowRouter(0.0))
+        # Guards against an idle timeout that closes a connection with an unread
+        # request.
+        async def scenario():
+            server, port = start_server(SlowRouter(0.0))
             server.idle_timeout = 0.2
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            # Both timers are due in one turn of the loop, which is held up.
+            # The loop is blocked, so that both timers are due in one iteration.
             asyncio.get_running_loop().call_later(0.19, writer.write, REQUEST)
             await asyncio.sleep(0.1)
             time.sleep(0.2)
             assert (await reader.read()).startswith(b"HTTP/1.1 200")
             await server.close()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    def test_request_behind_the_last_answer_does_not_cut_it(self):
-        # Guards against a reset by unread bytes that destroys an answer on its way.
-        async def play():
-            server, port = serve(LargeRouter(self.SIZE))
-            reader, writer = await connect_slowly(port)
+    def test_later_request_does_not_reset_the_last_response(self):
+        # Guards against a reset, caused by unread bytes, that destroys a response in
+        # transit.
+        async def scenario():
+            server, port = start_server(LargeRouter(self.SIZE))
+            reader, writer = await connect_with_small_buffer(port)
             server.is_stopping = True
             writer.write(REQUEST)
             await asyncio.sleep(0.1)
             writer.write(REQUEST)
-            stopped = asyncio.create_task(stop(server))
+            stopped = asyncio.create_task(shut_down(server))
             answer = await read_slowly(reader)
             writer.close()
             await stopped
             assert answer.count(b"HTTP/1.1 200") == 1
             assert len(answer.partition(b"\r\n\r\n")[2]) == self.SIZE
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    def test_counts_tell_what_it_has_cost(self):
-        # Guards against a stop whose cut answers and late requests nobody has counted.
-        async def play():
-            server, port = serve(LargeRouter(self.SIZE))
+    def test_counts_of_a_shutdown(self):
+        # Guards against cut responses and late requests that are not counted.
+        async def scenario():
+            server, port = start_server(LargeRouter(self.SIZE))
             idle, kept = await asyncio.open_connection("127.0.0.1", port)
-            _, writer = await connect_slowly(port)
+            _, writer = await connect_with_small_buffer(port)
             await asyncio.sleep(IN_TRANSIT_SECONDS + 0.1)
             server.is_stopping = True
             writer.write(REQUEST)
             await asyncio.sleep(0.1)
-            await stop(server, 0.1)
+            await shut_down(server, 0.1)
             assert await idle.read() == b""
             counts = server.counts
             assert (
@@ -364,22 +367,22 @@
             kept.close()
             writer.close()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
 
-class TestCallerThatLeavesAStop:
-    """Callers that close their connections while a VM stops."""
+class TestCallerLeavesDuringShutdown:
+    """Callers that close their connections during a shutdown."""
 
-    def test_its_request_is_ended(self):
-        # Guards against work that goes on, and holds a stop up, for a caller that is
-        # gone and whose connection is read no further.
-        async def play():
+    def test_its_request_is_cancelled(self):
+        # Guards against a request that runs on and delays the shutdown, although its
+        # caller has left; reading of the connection is paused, so nothing reports this.
+        async def scenario():
             router = SlowRouter(5.0)
-            server, port = serve(router)
+            server, port = start_server(router)
             _, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(REQUEST)
             await asyncio.sleep(0.1)
-            stopped = asyncio.create_task(stop(server))
+            stopped = asyncio.create_task(shut_down(server))
             await asyncio.sleep(0.1)
             writer.write(REQUEST)
             await asyncio.sleep(0.05)
@@ -389,61 +392,62 @@
             assert server.in_flight == 0
             await stopped
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
     @pytest.mark.parametrize("sent", [b"", REQUEST])
-    def test_its_answer_is_not_waited_for(self, sent):
-        # Guards against a stop that waits for a caller that is gone to take its answer.
-        async def play():
-            server, port = serve(LargeRouter(TestStop.SIZE))
-            _reader, writer = await connect_slowly(port)
+    def test_its_response_does_not_delay_shutdown(self, sent):
+        # Guards against a shutdown that waits for a caller which has left to read its
+        # response.
+        async def scenario():
+            server, port = start_server(LargeRouter(TestShutdown.SIZE))
+            _reader, writer = await connect_with_small_buffer(port)
             server.is_stopping = True
             writer.write(REQUEST)
             await asyncio.sleep(0.1)
             writer.write(sent)
             await asyncio.sleep(0.1)
-            stopped = asyncio.create_task(stop(server))
+            stopped = asyncio.create_task(shut_down(server))
             await asyncio.sleep(0.1)
             sock = writer.get_extra_info("socket")
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
             writer.transport.abort()
             await asyncio.wait_for(stopped, 2.0)
             assert server.counts.connections_cut == 0
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
 
-class TestTimeLimit:
-    """Requests that come while the program has little time left."""
+class TestShutdownTimeLeft:
+    """Requests that arrive when little time is left before the process exits."""
 
-    def test_request_has_no_more_time_than_the_program(self):
-        # Guards against work that is begun at a target and cut by the program's end.
-        async def play():
+    def test_time_left_is_capped_by_the_shutdown(self):
+        # Guards against a request that is sent to a target and cut by the process exit.
+        async def scenario():
             router = SlowRouter(0.0)
-            server, port = serve(router)
+            server, port = start_server(router)
             server.shutdown_time_left = lambda: 0.7
             answer = await exchange(port, REQUEST)
             assert answer.startswith(b"HTTP/1.1 200")
             assert router.time_left == pytest.approx(0.7, abs=0.1)
             await server.close()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    def test_request_without_time_is_refused_at_once(self):
-        async def play():
+    def test_request_without_time_left_is_rejected(self):
+        async def scenario():
             router = SlowRouter(0.0)
-            server, port = serve(router)
+            server, port = start_server(router)
             server.shutdown_time_left = lambda: 0.0
             answer = await exchange(port, REQUEST)
             assert answer.startswith(b"HTTP/1.1 503")
             assert router.served == 0
             await server.close()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
 
 async def exchange(port, *pieces, pause=0.0):
-    """Send some bytes on a new connection and return all that comes back."""
+    """Send data on a new connection and return the response."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
         for piece in pieces:
@@ -469,36 +473,36 @@
     return "\r\n".join(("POST /a/ HTTP/1.1", "Host: h", *lines, "", "")).encode()
 
 
-class TestBadInput:
-    """What callers send that is too large, cut short, slow or no request at all."""
+class TestInvalidInput:
+    """Requests that are too large, incomplete, slow or invalid."""
 
     def test_head_over_the_limit(self):
-        async def play():
-            server, port = serve(EchoRouter())
+        async def scenario():
+            server, port = start_server(EchoRouter())
             large = "X-Large: " + "x" * (LIMITS.header_bytes + 1)
             answer = await exchange(port, head(large, "Content-Length: 0"))
             assert answer.startswith(b"HTTP/1.1 431")
             assert b"Connection: close" in answer
             await server.close()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
     def test_body_over_the_limit(self):
-        async def play():
-            server, port = serve(EchoRouter())
+        async def scenario():
+            server, port = start_server(EchoRouter())
             size = LIMITS.body_bytes + 1
             answer = await exchange(port, head(f"Content-Length: {size}"), b"x" * size)
             assert answer.startswith(b"HTTP/1.1 413")
             await server.close()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    def test_bodies_that_would_fill_the_memory(self):
-        # Several callers send large bodies at once. A VM that buffers them all is
-        # killed for its memory, and every request on it is lost; the last caller is
-        # told when to come back instead.
-        async def play():
-            server, port = serve(SlowRouter(0.3))
+    def test_body_memory_is_limited(self):
+        # Several callers send large bodies at once. If a VM buffered them all, it would
+        # be killed for its memory use and lose all its requests. Instead, the last
+        # caller is told when to retry.
+        async def scenario():
+            server, port = start_server(SlowRouter(0.3))
             server.max_buffered_bytes = 1500
             text = head("Content-Length: 1000") + b"x" * 1000
             first = asyncio.create_task(exchange(port, text))
@@ -514,24 +518,24 @@
             assert server.reserve_body_memory(1500)
             await server.close()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    def test_body_in_chunks(self):
-        async def play():
-            server, port = serve(EchoRouter())
+    def test_chunked_body(self):
+        async def scenario():
+            server, port = start_server(EchoRouter())
             chunks = b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
             answer = await exchange(port, head("Transfer-Encoding: chunked"), chunks)
             assert answer.startswith(b"HTTP/1.1 200")
             assert answer.endswith(b"abcde")
             await server.close()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    def test_what_is_no_request_is_never_served(self):
-        # Two lengths in one request, or bytes that are none: taken in two ways, a part
-        # of one caller's body would be served as another's request.
-        async def play():
-            server, port = serve(EchoRouter())
+    def test_invalid_requests_are_not_served(self):
+        # Guards against request smuggling: with two lengths in a request, or an invalid
+        # one, a part of one caller's body could be served as another's request.
+        async def scenario():
+            server, port = start_server(EchoRouter())
             for text in (
                 b"\x16\x03\x01 not a request\r\n\r\n",
                 head("Content-Length: 3", "Content-Length: 5") + b"abcde",
@@ -542,13 +546,13 @@
                 assert not answer.startswith(b"HTTP/1.1 200"), text
             await server.close()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    def test_slow_caller_holds_up_nobody(self):
-        # A caller sends its request a few bytes at a time. Others on the same VM must
-        # not wait for it, and it gets its answer in the end.
-        async def play():
-            server, port = serve(EchoRouter())
+    def test_slow_caller_does_not_delay_others(self):
+        # A caller sends its request a few bytes at a time. Other callers of the VM must
+        # not wait for it, and it finally receives its response.
+        async def scenario():
+            server, port = start_server(EchoRouter())
             text = head("Content-Length: 3") + b"abc"
             pieces = [text[i : i + 8] for i in range(0, len(text), 8)]
             slow = asyncio.create_task(exchange(port, *pieces, pause=0.05))
@@ -560,11 +564,11 @@
             assert (await slow).endswith(b"abc")
             await server.close()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    def test_two_requests_sent_at_once_are_answered_in_order(self):
-        async def play():
-            server, port = serve(EchoRouter())
+    def test_pipelined_requests_are_answered_in_order(self):
+        async def scenario():
+            server, port = start_server(EchoRouter())
             both = b"".join(head("Content-Length: 1") + body.encode() for body in "ab")
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(both)
@@ -574,4 +578,4 @@
             writer.close()
             await server.close()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
--- a/packages/entry/tests/test_shutdown.py
+++ b/packages/entry/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Tests of the phases of a stop."""
+"""Tests of the phases of a shutdown."""
 
 from __future__ import annotations
 
@@ -14,46 +14,47 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 STOP_TIME = 6.0
-NOTHING = PendingWork(0, 0, 0)
+NO_WORK = PendingWork(0, 0, 0)
 
 
 class TestPhases:
-    def test_callers_come_until_the_balancer_has_noticed(self):
+    def test_leaving_lasts_until_the_balancer_has_noticed(self):
         plan = ShutdownPlan(100.0, STOP_TIME)
-        assert plan.phase(100.0, NOTHING) is Phase.LEAVING
-        assert plan.phase(99.99 + BALANCER_LAG_SECONDS, NOTHING) is Phase.LEAVING
-        assert plan.phase(100.0 + BALANCER_LAG_SECONDS, NOTHING) is Phase.ENDED
+        assert plan.phase(100.0, NO_WORK) is Phase.LEAVING
+        assert plan.phase(99.99 + BALANCER_LAG_SECONDS, NO_WORK) is Phase.LEAVING
+        assert plan.phase(100.0 + BALANCER_LAG_SECONDS, NO_WORK) is Phase.ENDED
 
-    def test_what_has_come_is_served_and_its_answer_leaves(self):
+    def test_draining_and_flushing_follow(self):
         plan = ShutdownPlan(0.0, STOP_TIME)
         assert plan.phase(3.0, PendingWork(1, 2, 90_000)) is Phase.DRAINING
         assert plan.phase(3.0, PendingWork(0, 2, 90_000)) is Phase.FLUSHING
-        assert plan.phase(3.0, NOTHING) is Phase.ENDED
+        assert plan.phase(3.0, NO_WORK) is Phase.ENDED
 
-    def test_stop_time_bounds_every_phase(self):
+    def test_stop_time_limits_every_phase(self):
         plan = ShutdownPlan(0.0, STOP_TIME)
         end = STOP_TIME - STOP_MARGIN_SECONDS
         assert plan.phase(end - 0.01, PendingWork(1, 1, 1)) is Phase.DRAINING
         assert plan.phase(end, PendingWork(1, 1, 1)) is Phase.ENDED
 
-    def test_stop_time_shorter_than_the_lag_of_the_balancer(self):
+    def test_stop_time_shorter_than_the_balancer_lag(self):
         plan = ShutdownPlan(0.0, 1.0)
-        assert plan.phase(0.3, NOTHING) is Phase.LEAVING
+        assert plan.phase(0.3, NO_WORK) is Phase.LEAVING
         assert plan.phase(0.4, PendingWork(1, 0, 0)) is Phase.ENDED
 
 
 class TestTimeLeft:
-    def test_answer_has_time_to_leave_before_the_end(self):
-        # Guards against answers that come in time and cannot leave over a slow link.
+    def test_response_can_be_sent_before_the_cut_off(self):
+        # Guards against answers that arrive in time but cannot be sent to the caller
+        # over a slow link before the cut-off.
         plan = ShutdownPlan(0.0, STOP_TIME)
-        # Bytes and Mbit/s.
+        # In bytes and Mbit/s.
         answer, link = 300_000, 10
         assert plan.time_left(plan.cut_off_at - answer * 8 / (link * 1e6)) <= 0
         assert plan.time_left(3.0) == pytest.approx(plan.cut_off_at - 3.0, abs=0.5)
 
 
-class AnyStop(RuleBasedStateMachine):
-    """A stop beside callers who come, are served, and take their answers slowly."""
+class ShutdownMachine(RuleBasedStateMachine):
+    """A shutdown while callers send requests and read their responses slowly."""
 
     def __init__(self):
         super().__init__()
@@ -68,7 +69,7 @@
 
     @rule()
     def request_comes(self):
-        # New ones come as long as the VM listens, and behind others at any time.
+        # New requests arrive while the VM listens, and pipelined ones at any time.
         if self.moment < self.plan.drain_at or self.serving:
             self.serving += 1
 
@@ -89,14 +90,14 @@
         if phase is not self.seen[-1]:
             self.seen.append(phase)
         left = self.serving + self.flushing
-        # It ends neither before its time with something under way, nor after it.
+        # The shutdown ends neither early with pending work, nor after the cut-off.
         assert (
             phase is not Phase.ENDED or not left or self.moment >= self.plan.cut_off_at
         )
         assert phase is Phase.ENDED or self.moment < self.plan.cut_off_at
-        # Callers may come for as long as they are sent here.
+        # New callers are accepted as long as the load balancer sends them here.
         assert phase is Phase.LEAVING or self.moment >= self.plan.drain_at
         assert phase is not Phase.LEAVING or self.seen == [Phase.LEAVING]
 
 
-TestAnyStop = AnyStop.TestCase
+TestShutdownMachine = ShutdownMachine.TestCase
--- a/packages/entry/tests/test_sockets.py
+++ b/packages/entry/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""Tests of what the kernel tells of a connection."""
+"""Tests of a connection's kernel state."""
 
 from __future__ import annotations
 
@@ -13,99 +13,100 @@
     send_queue_bytes,
 )
 
-LINGER_NONE = struct.pack("ii", 1, 0)
+LINGER_RESET = struct.pack("ii", 1, 0)
 
 
-async def pair():
-    """Return the transport of one side of a connection, and the other side's socket."""
-    with socket.create_server(("127.0.0.1", 0)) as listening:
-        far = socket.create_connection(listening.getsockname())
-        near, _ = listening.accept()
-    near.setblocking(False)
+async def connected_pair():
+    """Return a connected transport and the socket of its peer."""
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        peer = socket.create_connection(listener.getsockname())
+        local, _ = listener.accept()
+    local.setblocking(False)
     loop = asyncio.get_running_loop()
-    transport, _ = await loop.create_connection(asyncio.Protocol, sock=near)
+    transport, _ = await loop.create_connection(asyncio.Protocol, sock=local)
     transport.pause_reading()
-    return transport, far
+    return transport, peer
 
 
-class TestUnread:
-    def test_nothing_waits(self):
-        async def play():
-            transport, far = await pair()
+class TestReceiveQueue:
+    def test_empty_receive_queue(self):
+        async def scenario():
+            transport, peer = await connected_pair()
             assert peek_transport(transport) is Unread.NOTHING
-            far.close()
+            peer.close()
             transport.abort()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    def test_bytes_wait_and_stay(self):
-        async def play():
-            transport, far = await pair()
-            far.send(b"abc")
+    def test_peeking_leaves_the_bytes_unread(self):
+        async def scenario():
+            transport, peer = await connected_pair()
+            peer.send(b"abc")
             assert peek_transport(transport) is Unread.BYTES
             assert peek_transport(transport) is Unread.BYTES
-            far.close()
+            peer.close()
             transport.abort()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    def test_other_side_has_closed_or_reset(self):
-        async def play():
+    def test_peer_has_closed_or_reset(self):
+        async def scenario():
             for is_reset in (False, True):
-                transport, far = await pair()
+                transport, peer = await connected_pair()
                 if is_reset:
-                    far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE)
-                far.close()
+                    peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+                peer.close()
                 assert peek_transport(transport) is Unread.END
                 transport.abort()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    def test_end_behind_unread_bytes_is_seen(self):
-        # Guards against taking a caller for there that has left unread bytes behind.
-        async def play():
+    def test_close_after_unread_bytes_is_detected(self):
+        # Guards against considering a caller connected that has closed after sending
+        # bytes which are still unread.
+        async def scenario():
             for is_reset in (False, True):
-                transport, far = await pair()
-                far.send(b"abc")
+                transport, peer = await connected_pair()
+                peer.send(b"abc")
                 assert not peer_has_closed(transport)
                 if is_reset:
-                    far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE)
-                far.close()
+                    peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+                peer.close()
                 assert peer_has_closed(transport)
                 transport.abort()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    def test_closed_transport_has_nothing(self):
-        async def play():
-            transport, far = await pair()
+    def test_closed_transport_has_empty_queues(self):
+        async def scenario():
+            transport, peer = await connected_pair()
             transport.abort()
             await asyncio.sleep(0.01)
             assert peek_transport(transport) is Unread.NOTHING
             assert send_queue_bytes(transport) == 0
-            far.close()
+            peer.close()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
 
-class TestUnsent:
-    def test_bytes_that_the_other_side_has_not_taken(self):
-        async def play():
-            transport, far = await pair()
+class TestSendQueue:
+    def test_unacknowledged_bytes_are_reported(self):
+        async def scenario():
+            transport, peer = await connected_pair()
             transport.write(b"x" * 50_000_000)
             assert send_queue_bytes(transport) > 0
-            far.close()
+            peer.close()
             transport.abort()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    def test_nothing_is_left_when_all_is_acknowledged(self):
-        async def play():
-            transport, far = await pair()
+    def test_queue_is_empty_when_all_is_acknowledged(self):
+        async def scenario():
+            transport, peer = await connected_pair()
             transport.write(b"abc")
             await asyncio.sleep(0.01)
             assert send_queue_bytes(transport) == 0
-            far.close()
+            peer.close()
             transport.abort()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
