--- a/packages/entry/src/berylstage_entry/application.py
+++ b/packages/entry/src/berylstage_entry/application.py
@@ -211,7 +211,7 @@
         The VM reports not ready, steps down as coordinator and drains its connections
         before it closes them.
         """
-        plan = ShutdownPlan(now(), self.cfg.bounds.stop_time)
+        plan = ShutdownPlan(now(), self.cfg.bounds.stop_timeout)
         self.is_stopping = True
         self._phase_timer.enter(Phase.LEAVING, plan.started_at)
         self.server.is_stopping = True
--- a/packages/entry/src/berylstage_entry/settings.py
+++ b/packages/entry/src/berylstage_entry/settings.py
@@ -19,7 +19,7 @@
         second.
     cold_slack : float
         Further requests that a cold target may get in one second.
-    stop_time : float
+    stop_timeout : float
         Seconds from SIGTERM to the end of the process.
     longest_hold : float
         Longest duration, in seconds, of a grant that targets accept.
@@ -31,7 +31,7 @@
         "longest_hold",
         "retry_allowance",
         "retry_ratio",
-        "stop_time",
+        "stop_timeout",
     )
 
     def __init__(
@@ -40,14 +40,14 @@
         retry_allowance: float,
         cold_overshoot: float,
         cold_slack: float,
-        stop_time: float,
+        stop_timeout: float,
         longest_hold: float,
     ):
         self.retry_ratio = retry_ratio
         self.retry_allowance = retry_allowance
         self.cold_overshoot = cold_overshoot
         self.cold_slack = cold_slack
-        self.stop_time = stop_time
+        self.stop_timeout = stop_timeout
         self.longest_hold = longest_hold
 
     def cold_bound(self, rate: float) -> float:
--- a/packages/entry/src/berylstage_entry/shutdown.py
+++ b/packages/entry/src/berylstage_entry/shutdown.py
@@ -62,15 +62,15 @@
     ----------
     started_at : float
         Monotonic seconds at which the shutdown began.
-    stop_time : float
+    stop_timeout : float
         Seconds from then until the process must have exited.
     """
 
     __slots__ = ("cut_off_at", "drain_at", "started_at")
 
-    def __init__(self, started_at: float, stop_time: float):
+    def __init__(self, started_at: float, stop_timeout: float):
         self.started_at = started_at
-        self.cut_off_at = started_at + stop_time - STOP_MARGIN_SECONDS
+        self.cut_off_at = started_at + stop_timeout - STOP_MARGIN_SECONDS
         self.drain_at = min(started_at + BALANCER_LAG_SECONDS, self.cut_off_at)
 
     def phase(self, moment: float, pending_work: PendingWork) -> Phase:
--- a/packages/entry/tests/test_application.py
+++ b/packages/entry/tests/test_application.py
@@ -110,7 +110,7 @@
             port = int(app.cfg.ready.rpartition(":")[2])
             with socket.create_connection(("127.0.0.1", port)):
                 await asyncio.sleep(0.1)
-                async with asyncio.timeout(BOUNDS.stop_time / 2):
+                async with asyncio.timeout(BOUNDS.stop_timeout / 2):
                     await app.stop()
 
         asyncio.run(scenario())
--- a/packages/entry/tests/test_internal_http.py
+++ b/packages/entry/tests/test_internal_http.py
@@ -45,7 +45,7 @@
     """Requests and responses in transit when the process exits."""
 
     def test_pending_request_is_answered(self):
-        # Guards against cutting off a response that a new coordinator needs.
+        # Guards against cutting off a response about the coordinator role.
         async def scenario():
             server, port = start_server()
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
--- a/packages/entry/tests/test_logs.py
+++ b/packages/entry/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Tests of non-blocking log output."""
+"""Tests of log output that never blocks the process."""
 
 from __future__ import annotations
 
--- a/packages/entry/tests/test_shutdown.py
+++ b/packages/entry/tests/test_shutdown.py
@@ -13,30 +13,30 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-STOP_TIME = 6.0
+STOP_TIMEOUT = 6.0
 NO_WORK = PendingWork(0, 0, 0)
 
 
 class TestPhases:
     def test_leaving_lasts_until_the_balancer_has_noticed(self):
-        plan = ShutdownPlan(100.0, STOP_TIME)
+        plan = ShutdownPlan(100.0, STOP_TIMEOUT)
         assert plan.phase(100.0, NO_WORK) is Phase.LEAVING
         assert plan.phase(99.99 + BALANCER_LAG_SECONDS, NO_WORK) is Phase.LEAVING
         assert plan.phase(100.0 + BALANCER_LAG_SECONDS, NO_WORK) is Phase.ENDED
 
     def test_draining_and_flushing_follow(self):
-        plan = ShutdownPlan(0.0, STOP_TIME)
+        plan = ShutdownPlan(0.0, STOP_TIMEOUT)
         assert plan.phase(3.0, PendingWork(1, 2, 90_000)) is Phase.DRAINING
         assert plan.phase(3.0, PendingWork(0, 2, 90_000)) is Phase.FLUSHING
         assert plan.phase(3.0, NO_WORK) is Phase.ENDED
 
-    def test_stop_time_limits_every_phase(self):
-        plan = ShutdownPlan(0.0, STOP_TIME)
-        end = STOP_TIME - STOP_MARGIN_SECONDS
+    def test_stop_timeout_limits_every_phase(self):
+        plan = ShutdownPlan(0.0, STOP_TIMEOUT)
+        end = STOP_TIMEOUT - STOP_MARGIN_SECONDS
         assert plan.phase(end - 0.01, PendingWork(1, 1, 1)) is Phase.DRAINING
         assert plan.phase(end, PendingWork(1, 1, 1)) is Phase.ENDED
 
-    def test_stop_time_shorter_than_the_balancer_lag(self):
+    def test_stop_timeout_shorter_than_the_balancer_lag(self):
         plan = ShutdownPlan(0.0, 1.0)
         assert plan.phase(0.3, NO_WORK) is Phase.LEAVING
         assert plan.phase(0.4, PendingWork(1, 0, 0)) is Phase.ENDED
@@ -46,7 +46,7 @@
     def test_response_can_be_sent_before_the_cut_off(self):
         # Guards against answers that arrive in time but cannot be sent to the caller
         # over a slow link before the cut-off.
-        plan = ShutdownPlan(0.0, STOP_TIME)
+        plan = ShutdownPlan(0.0, STOP_TIMEOUT)
         # In bytes and Mbit/s.
         answer, link = 300_000, 10
         assert plan.time_left(plan.cut_off_at - answer * 8 / (link * 1e6)) <= 0
@@ -58,7 +58,7 @@
 
     def __init__(self):
         super().__init__()
-        self.plan = ShutdownPlan(0.0, STOP_TIME)
+        self.plan = ShutdownPlan(0.0, STOP_TIMEOUT)
         self.moment = 0.0
         self.serving = self.flushing = 0
         self.seen = [Phase.LEAVING]
