--- a/packages/entry/src/berylstage_entry/application.py
+++ b/packages/entry/src/berylstage_entry/application.py
@@ -9,30 +9,39 @@
 
 from logbook import Logger
 
-from berylstage_entry.announcements import TOLD_PATH, Announcements
-from berylstage_entry.changes import FORMAT as CHANGE_FORMAT
+from berylstage_entry.assignment_delta import FORMAT as CHANGE_FORMAT
 from berylstage_entry.clock import now
-from berylstage_entry.datagrams import Datagrams
-from berylstage_entry.directory import Directory
-from berylstage_entry.errors import UnreadableRecord
-from berylstage_entry.feed import Feed
-from berylstage_entry.granting import Granting
+from berylstage_entry.cluster_view import ClusterView
+from berylstage_entry.coordinator_election import (
+    CONTACT_PATH,
+    HAND_ON_PATH,
+    CoordinatorElection,
+)
+from berylstage_entry.errors import InvalidRecord
+from berylstage_entry.grant_controller import GrantController
 from berylstage_entry.internal_http import InternalServer
-from berylstage_entry.journal import RequestJournal
-from berylstage_entry.loop_watch import LoopWatch
+from berylstage_entry.load_reporter import FORMAT as COUNTS_FORMAT
+from berylstage_entry.load_reporter import SPEEDS_PATH, LoadReporter
+from berylstage_entry.loop_lag import LoopLagMonitor
 from berylstage_entry.membership import UNKNOWN, Membership
 from berylstage_entry.metrics import Metrics, format_shutdown_metrics
-from berylstage_entry.news import FORMAT as NEWS_FORMAT
-from berylstage_entry.news import News
-from berylstage_entry.office import CONTACT_PATH, HAND_ON_PATH, Office
-from berylstage_entry.peers import Peers
+from berylstage_entry.peer_datagrams import PeerDatagrams
+from berylstage_entry.peer_updates import TOLD_PATH, PeerUpdates
+from berylstage_entry.peers import PeerClient
+from berylstage_entry.permit_client import PermitClient
+from berylstage_entry.permit_messages import (
+    ASK_FORMAT,
+    REPLY_FORMAT,
+    RETURN_FORMAT,
+    PermitRelease,
+    PermitReply,
+    PermitRequest,
+)
+from berylstage_entry.permit_server import PermitServer
 from berylstage_entry.probes import LoadProbes
-from berylstage_entry.queue_keeper import QueueKeeper
-from berylstage_entry.reports import FORMAT as COUNTS_FORMAT
-from berylstage_entry.reports import SPEEDS_PATH, Reports
+from berylstage_entry.request_log import RequestLog
 from berylstage_entry.responses import Response as PageResponse
 from berylstage_entry.router import Router
-from berylstage_entry.senders import Senders
 from berylstage_entry.server import CallerServer, split_address
 from berylstage_entry.shutdown import (
     BALANCER_LAG_SECONDS,
@@ -41,23 +50,18 @@
     PhaseTimer,
     ShutdownPlan,
 )
-from berylstage_entry.turn_messages import (
-    ASK_FORMAT,
-    REPLY_FORMAT,
-    RETURN_FORMAT,
-    Ask,
-    Reply,
-    Return,
-)
-from berylstage_entry.turns import Turns
+from berylstage_entry.store_delta import FORMAT as NEWS_FORMAT
+from berylstage_entry.store_delta import StoreDelta
+from berylstage_entry.store_watcher import StoreWatcher
+from berylstage_entry.target_clients import TargetClients
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from berylstage_entry.protocols import CallerProtocol, RecordReader, TargetProtocol
     from berylstage_entry.services import Limits
     from berylstage_entry.settings import EntrySettings
     from berylstage_entry.store import Store
-    from berylstage_entry.wire import CallerWire, RecordReader, TargetWire
 
 # Seconds for which other VMs still request permits from this VM after its record has
 # been removed.
@@ -88,19 +92,19 @@
         self,
         cfg: EntrySettings,
         store: Store,
-        callers: CallerWire,
-        targets: TargetWire,
+        callers: CallerProtocol,
+        targets: TargetProtocol,
         records: RecordReader,
         log_write_seconds: Callable[[], float] = lambda: 0.0,
     ):
         self.cfg = cfg
         self.rng = Random()
         self.store = store
-        self.directory = Directory()
-        self.feed = Feed(store, records, self.directory)
+        self.directory = ClusterView()
+        self.feed = StoreWatcher(store, records, self.directory)
         self.metrics = Metrics()
-        self.loop_watch = LoopWatch(self.metrics, log_write_seconds)
-        self.senders = Senders(targets)
+        self.loop_watch = LoopLagMonitor(self.metrics, log_write_seconds)
+        self.senders = TargetClients(targets)
         self.router = Router(
             self.directory,
             self.feed,
@@ -111,16 +115,18 @@
             cfg.vm,
         )
         self.membership = Membership(cfg, store, self.feed)
-        self.peers = Peers(self.membership, cfg.control)
-        self.office = Office(cfg, store, self.feed, self.peers, self.rng)
-        self.granting = Granting(store, self.feed, self.directory, self.office, targets)
-        self.announcements = Announcements(self.feed, self.membership, cfg.control)
+        self.peers = PeerClient(self.membership, cfg.control)
+        self.office = CoordinatorElection(cfg, store, self.feed, self.peers, self.rng)
+        self.granting = GrantController(
+            store, self.feed, self.directory, self.office, targets
+        )
+        self.announcements = PeerUpdates(self.feed, self.membership, cfg.control)
         self.office.inherit = self.granting.inherit
         self.granting.writer.listeners.append(self.announcements.tell)
         self._host, _ = split_address(cfg.callers)
         host = self._host
-        self.datagrams = Datagrams(self.membership, host, cfg.metrics_port)
-        self.reports = Reports(
+        self.datagrams = PeerDatagrams(self.membership, host, cfg.metrics_port)
+        self.reports = LoadReporter(
             self.router,
             self.granting,
             self.office,
@@ -128,8 +134,8 @@
             self.datagrams,
             self.rng,
         )
-        self.keeper = QueueKeeper(self.router.loads, self.directory, self.membership)
-        self.turns = Turns(self.membership, host)
+        self.keeper = PermitServer(self.router.loads, self.directory, self.membership)
+        self.turns = PermitClient(self.membership, host)
         self.keeper.send = self._send_permit_reply
         self.turns.ask = self._send_permit_request
         self.turns.give_back = self._send_permit_release
@@ -148,7 +154,7 @@
         self.feed.leaves_duty = lambda: bool(self.membership.better())
         self.office.better = self.membership.better
         self.probes = LoadProbes(self.router.loads, self.directory, self.turns, targets)
-        journal = RequestJournal(self.metrics)
+        journal = RequestLog(self.metrics)
         self.server = CallerServer(callers, self.router, journal, self._current_limits)
         self.ready_server = InternalServer({callers.ready_path: self._handle_ready})
         self.control_server = InternalServer(
@@ -292,19 +298,19 @@
         # comes from the store.
         log.info("ignoring reload; settings are read at startup, restart to apply them")
 
-    def _send_permit_request(self, host: str, ask: Ask) -> None:
+    def _send_permit_request(self, host: str, ask: PermitRequest) -> None:
         if host == self._host:
             self.keeper.asked(ask, host)
         else:
             self.datagrams.send_to(host, ask.encode())
 
-    def _send_permit_release(self, host: str, release: Return) -> None:
+    def _send_permit_release(self, host: str, release: PermitRelease) -> None:
         if host == self._host:
             self.keeper.returned(release, host)
         else:
             self.datagrams.send_to(host, release.encode())
 
-    def _send_permit_reply(self, host: str, reply: Reply) -> None:
+    def _send_permit_reply(self, host: str, reply: PermitReply) -> None:
         if host == self._host:
             self.turns.replied(reply)
         else:
@@ -335,13 +341,13 @@
             self.router.vms = self.router.cold.vms = vms
             self.senders.vms = self.feed.vms = vms
 
-    def _publish_delta(self, delta: News) -> None:
+    def _publish_delta(self, delta: StoreDelta) -> None:
         if delta.large:
             self._announce_task = asyncio.create_task(self._publish_large_items(delta))
         else:
             self._send_delta(delta)
 
-    async def _publish_large_items(self, delta: News) -> None:
+    async def _publish_large_items(self, delta: StoreDelta) -> None:
         """Publish large items before the delta that refers to them."""
         began = now()
         if self.office.holds():
@@ -349,7 +355,7 @@
         delta.age += now() - began
         self._send_delta(delta)
 
-    def _send_delta(self, delta: News) -> None:
+    def _send_delta(self, delta: StoreDelta) -> None:
         for part in delta.parts():
             data = part.encode()
             # The other VMs read items from the store that do not fit in a datagram.
@@ -358,8 +364,8 @@
 
     def _handle_delta(self, data: bytes, host: str) -> None:
         try:
-            delta = News.decode(data)
-        except UnreadableRecord as exc:
+            delta = StoreDelta.decode(data)
+        except InvalidRecord as exc:
             log.warning("ignoring invalid store delta", extra={"cause": str(exc)})
             return
         self.feed.take_news(delta)
--- a/packages/entry/src/berylstage_entry/connection.py
+++ b/packages/entry/src/berylstage_entry/connection.py
@@ -26,15 +26,15 @@
     encode_response,
 )
 from berylstage_entry.sockets import (
-    Unread,
+    ReceiveState,
     peek_transport,
     peer_has_closed,
     send_queue_bytes,
 )
 
 if TYPE_CHECKING:
+    from berylstage_entry.protocols import CallerRequest
     from berylstage_entry.server import CallerServer
-    from berylstage_entry.wire import CallerRequest
 
 # Requests of one connection that are in progress or wait for their response to be
 # written. The limit exceeds what a browser sends at once and keeps a single caller from
@@ -244,7 +244,7 @@
         """Return whether the socket holds bytes that have not been read."""
         return (
             self._transport is not None
-            and peek_transport(self._transport) is Unread.BYTES
+            and peek_transport(self._transport) is ReceiveState.BYTES
         )
 
     @property
--- a/packages/entry/src/berylstage_entry/internal_http.py
+++ b/packages/entry/src/berylstage_entry/internal_http.py
@@ -18,7 +18,7 @@
 from berylstage_entry.clock import now
 from berylstage_entry.responses import Response
 from berylstage_entry.server import DEFAULT_MAX_BODY_BYTES, split_address
-from berylstage_entry.sockets import Unread, socket_send_queue_bytes, unread_in
+from berylstage_entry.sockets import ReceiveState, socket_send_queue_bytes, unread_in
 
 if TYPE_CHECKING:
     from asyncio import Future
@@ -73,7 +73,7 @@
         if self.is_serving or self.stream.writing():
             return True
         sock = self.stream.socket
-        if socket_send_queue_bytes(sock) > 0 or unread_in(sock) is Unread.BYTES:
+        if socket_send_queue_bytes(sock) > 0 or unread_in(sock) is ReceiveState.BYTES:
             return True
         # Between two reads, the stream buffers bytes of a request that the HTTP parser
         # has not seen yet.
--- a/packages/entry/src/berylstage_entry/logs.py
+++ b/packages/entry/src/berylstage_entry/logs.py
@@ -15,7 +15,7 @@
     from logbook import LogRecord
 
 
-class JsonLines(Handler):
+class JsonLogHandler(Handler):
     """Writes each log record as a line of JSON, without waiting for a reader.
 
     Parameters
--- a/packages/entry/src/berylstage_entry/owners.py
+++ b/packages/entry/src/berylstage_entry/owners.py
@@ -16,9 +16,9 @@
 
 if TYPE_CHECKING:
     from berylstage_entry.assignment import KeyRange
-    from berylstage_entry.directory import Directory
-    from berylstage_entry.feed import Feed
-    from berylstage_entry.journey import Journey
+    from berylstage_entry.cluster_view import ClusterView
+    from berylstage_entry.request_context import RequestContext
+    from berylstage_entry.store_watcher import StoreWatcher
 
 # Seconds between two looks for the new owner of keys on the move. A move takes as long
 # as the work under way on the keys, a few hundred milliseconds.
@@ -47,11 +47,11 @@
     directory : Directory
     """
 
-    def __init__(self, feed: Feed, directory: Directory):
+    def __init__(self, feed: StoreWatcher, directory: ClusterView):
         self._feed = feed
         self._directory = directory
 
-    async def find(self, journey: Journey) -> str:
+    async def find(self, journey: RequestContext) -> str:
         """Return the target that is to get a request with a key.
 
         Parameters
@@ -82,27 +82,27 @@
                 self._feed.hurry()
             await asyncio.sleep(MOVE_WAIT)
 
-    def holds(self, journey: Journey, name: str) -> bool:
+    def holds(self, journey: RequestContext, name: str) -> bool:
         """Tell whether a target still holds the key of a request."""
         r = self._range(journey)
         return r is not None and r.owner == name and self._may_ask(r)
 
-    def turned_away(self, journey: Journey, name: str) -> None:
+    def turned_away(self, journey: RequestContext, name: str) -> None:
         """Note that an owner did not take a request, so that it is given a pause."""
         journey.turned_away = (name, self._revision(journey))
         journey.pause = min(max(FIRST_PAUSE, 2 * journey.pause), LONGEST_PAUSE)
 
-    def _range(self, journey: Journey) -> KeyRange | None:
+    def _range(self, journey: RequestContext) -> KeyRange | None:
         assignment = self._feed.assignments.get(journey.service.name)
         assert journey.req.key is not None
         return assignment.find(journey.req.key) if assignment else None
 
-    def _revision(self, journey: Journey) -> int:
+    def _revision(self, journey: RequestContext) -> int:
         return self._feed.revisions.get(journey.service.name, 0)
 
     def _may_ask(self, r: KeyRange) -> bool:
         return bool(r.owner) and not r.former and self._directory.may_use(r.owner)
 
-    def _describe(self, journey: Journey, r: KeyRange | None) -> str:
+    def _describe(self, journey: RequestContext, r: KeyRange | None) -> str:
         held = f"owner {r.owner} former {r.former}" if r is not None else ""
         return f"key {journey.req.key} {held} assignment {self._revision(journey)}"
--- a/packages/entry/src/berylstage_entry/turns.py
+++ b/packages/entry/src/berylstage_entry/permit_client.py
@@ -13,19 +13,24 @@
 from typing import TYPE_CHECKING
 
 from berylstage_policy.candidates import Candidate
-from berylstage_policy.keepers import PASSED_OVER, able, first_for
+from berylstage_policy.queue_assignment import PASSED_OVER, able, first_for
 from berylstage_policy.slot_queue import Say
 from logbook import Logger
 
 from berylstage_entry.clock import now
-from berylstage_entry.errors import TurnRefused, UnreadableRecord
-from berylstage_entry.turn_messages import Ask, Reply, Return, checksum
+from berylstage_entry.errors import InvalidRecord, PermitRefused
+from berylstage_entry.permit_messages import (
+    PermitRelease,
+    PermitReply,
+    PermitRequest,
+    checksum,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from berylstage_entry.journey import Journey
     from berylstage_entry.membership import Membership
+    from berylstage_entry.request_context import RequestContext
     from berylstage_entry.targets import LoadReport
 
 # Seconds for the first reply of a keeper, at least and at most, and how often it is
@@ -49,7 +54,7 @@
 log = Logger(__name__)
 
 
-class Turn:
+class Permit:
     """A request's turn at a target, to be given back.
 
     Parameters
@@ -112,7 +117,7 @@
     """The keeper does not answer, or keeps the queue no more."""
 
 
-class Turns:
+class PermitClient:
     """Gets turns for the requests of one VM.
 
     Parameters
@@ -127,7 +132,7 @@
         self._host = host
         self._numbers = count(1)
         # Requests that wait for a word, by their number.
-        self._waiting: dict[int, asyncio.Queue[Reply]] = {}
+        self._waiting: dict[int, asyncio.Queue[PermitReply]] = {}
         self._keepers: dict[str, list[str]] = {}
         # Hosts that may keep queues: of each data centre, and of all.
         self._able: dict[str, list[str]] = {}
@@ -136,12 +141,12 @@
         self._lost_until: dict[str, float] = {}
         self._times = ReplyTimes()
         # Send a message to the VM of a host, which may be this one.
-        self.ask: Callable[[str, Ask], None] = lambda host, ask: None
-        self.give_back: Callable[[str, Return], None] = lambda host, back: None
+        self.ask: Callable[[str, PermitRequest], None] = lambda host, ask: None
+        self.give_back: Callable[[str, PermitRelease], None] = lambda host, back: None
 
     async def take(
-        self, journey: Journey, queue: str, data_centre: str = ""
-    ) -> Turn | None:
+        self, journey: RequestContext, queue: str, data_centre: str = ""
+    ) -> Permit | None:
         """Wait for the turn of a request.
 
         Parameters
@@ -176,7 +181,7 @@
         return None
 
     def done(
-        self, turn: Turn, failed: bool = False, load: LoadReport | None = None
+        self, turn: Permit, failed: bool = False, load: LoadReport | None = None
     ) -> None:
         """Give a turn back.
 
@@ -189,29 +194,29 @@
             What it has to do beside the request that it answered.
         """
         queue = checksum(turn.queue)
-        back = Return(turn.number, queue, turn.target, failed, load)
+        back = PermitRelease(turn.number, queue, turn.target, failed, load)
         self.give_back(turn.keeper, back)
 
     def take_reply(self, data: bytes, host: str) -> None:
         """Take in a keeper's datagram."""
         try:
-            reply = Reply.decode(data)
-        except UnreadableRecord as exc:
+            reply = PermitReply.decode(data)
+        except InvalidRecord as exc:
             log.warning("reply passed over", extra={"cause": str(exc)})
             return
         # It was late, not lost.
         self._lost_until.pop(host, None)
         self.replied(reply)
 
-    def replied(self, reply: Reply) -> None:
+    def replied(self, reply: PermitReply) -> None:
         """Take in a keeper's reply."""
         waiting = self._waiting.get(reply.number)
         if waiting is not None:
             waiting.put_nowait(reply)
 
-    async def _wait(self, journey: Journey, queue: str, keeper: str) -> Turn:
+    async def _wait(self, journey: RequestContext, queue: str, keeper: str) -> Permit:
         number = next(self._numbers) % NUMBERS
-        turn = Turn(number, queue, keeper)
+        turn = Permit(number, queue, keeper)
         replies = self._waiting[number] = asyncio.Queue()
         try:
             turn.target = await self._told_to_go(journey, turn, replies)
@@ -223,7 +228,7 @@
                 self.done(turn)
 
     async def _told_to_go(
-        self, journey: Journey, turn: Turn, replies: asyncio.Queue[Reply]
+        self, journey: RequestContext, turn: Permit, replies: asyncio.Queue[PermitReply]
     ) -> int:
         """Return the checksum of the target to which a request is told to go."""
         unanswered, measured = 0, False
@@ -242,11 +247,11 @@
                 if reply.say == Say.GO.value:
                     return reply.target
                 if reply.say == Say.REFUSED.value:
-                    raise TurnRefused(reply.seconds, turn.describe())
+                    raise PermitRefused(reply.seconds, turn.describe())
                 if reply.say == Say.ELSEWHERE.value:
                     raise _Lost
             if journey.left(now()) <= 0:
-                raise TurnRefused(0.0, turn.describe())
+                raise PermitRefused(0.0, turn.describe())
             if not answered:
                 unanswered += 1
             if unanswered >= ASKED:
@@ -254,10 +259,10 @@
                     self._times.took(now() - first_asked)
                 raise _Lost
 
-    def _question(self, journey: Journey, turn: Turn) -> Ask:
+    def _question(self, journey: RequestContext, turn: Permit) -> PermitRequest:
         moment = now()
         route = journey.route
-        return Ask(
+        return PermitRequest(
             turn.number,
             checksum(turn.queue),
             checksum(route.name),
@@ -314,7 +319,9 @@
             self._revision += 1
 
 
-async def _next(replies: asyncio.Queue[Reply], timeout: float) -> Reply | None:
+async def _next(
+    replies: asyncio.Queue[PermitReply], timeout: float
+) -> PermitReply | None:
     try:
         async with asyncio.timeout(timeout):
             return await replies.get()
--- a/packages/entry/src/berylstage_entry/turn_messages.py
+++ b/packages/entry/src/berylstage_entry/permit_messages.py
@@ -5,7 +5,7 @@
 import struct
 from zlib import crc32
 
-from berylstage_entry.errors import UnreadableRecord
+from berylstage_entry.errors import InvalidRecord
 from berylstage_entry.targets import LoadReport
 
 # First bytes of the datagrams.
@@ -34,10 +34,10 @@
     try:
         return layout.unpack(data)
     except struct.error as exc:
-        raise UnreadableRecord(f"no word about a queue: {exc}") from exc
+        raise InvalidRecord(f"no word about a queue: {exc}") from exc
 
 
-class Ask:
+class PermitRequest:
     """A request asks for its turn.
 
     Parameters
@@ -90,7 +90,7 @@
         )
 
     @classmethod
-    def decode(cls, data: bytes) -> Ask:
+    def decode(cls, data: bytes) -> PermitRequest:
         """Read a datagram.
 
         Raises
@@ -103,7 +103,7 @@
         return cls(number, queue, kind, *times, priority)
 
 
-class Reply:
+class PermitReply:
     """What the keeper of a queue says to a request.
 
     Parameters
@@ -131,7 +131,7 @@
         return _REPLY.pack(REPLY_FORMAT, self.number, self.say, ms, self.target)
 
     @classmethod
-    def decode(cls, data: bytes) -> Reply:
+    def decode(cls, data: bytes) -> PermitReply:
         """Read a datagram.
 
         Raises
@@ -143,7 +143,7 @@
         return cls(number, say, ms / _MS, target)
 
 
-class Return:
+class PermitRelease:
     """A request is done, or was given up.
 
     Parameters
@@ -186,7 +186,7 @@
         )
 
     @classmethod
-    def decode(cls, data: bytes) -> Return:
+    def decode(cls, data: bytes) -> PermitRelease:
         """Read a datagram.
 
         Raises
--- a/packages/entry/src/berylstage_entry/queue_keeper.py
+++ b/packages/entry/src/berylstage_entry/permit_server.py
@@ -15,17 +15,22 @@
 from logbook import Logger
 
 from berylstage_entry.clock import now
-from berylstage_entry.errors import UnreadableRecord
-from berylstage_entry.journal import LineBudget
-from berylstage_entry.turn_messages import Ask, Reply, Return, checksum
-from berylstage_entry.turn_times import TurnTimes
+from berylstage_entry.errors import InvalidRecord
+from berylstage_entry.permit_messages import (
+    PermitRelease,
+    PermitReply,
+    PermitRequest,
+    checksum,
+)
+from berylstage_entry.queue_service_times import QueueServiceTimes
+from berylstage_entry.request_log import LogRateLimiter
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from berylstage_policy.slot_queue import Verdict
 
-    from berylstage_entry.directory import Directory
+    from berylstage_entry.cluster_view import ClusterView
     from berylstage_entry.membership import Membership
     from berylstage_entry.services import Service
     from berylstage_entry.target_loads import TargetLoads
@@ -41,7 +46,7 @@
 log = Logger(__name__)
 
 
-class QueueKeeper:
+class PermitServer:
     """Answers what VMs ask of the queues that this VM keeps.
 
     Parameters
@@ -53,7 +58,7 @@
     """
 
     def __init__(
-        self, loads: TargetLoads, directory: Directory, membership: Membership
+        self, loads: TargetLoads, directory: ClusterView, membership: Membership
     ):
         self._loads = loads
         self._directory = directory
@@ -68,11 +73,11 @@
         # Names by their checksums: queues, targets and kinds of request.
         self._names: dict[int, str] = {}
         self._task: asyncio.Task | None = None
-        self._lines = LineBudget(REFUSAL_LINES)
+        self._lines = LogRateLimiter(REFUSAL_LINES)
         # Set while requests wait in some queue.
         self._has_waiting = asyncio.Event()
         # Sends a reply to a VM, which may be this one.
-        self.send: Callable[[str, Reply], None] = lambda host, reply: None
+        self.send: Callable[[str, PermitReply], None] = lambda host, reply: None
 
     def start(self) -> None:
         """Begin to look for what becomes due."""
@@ -91,18 +96,18 @@
     def take_ask(self, data: bytes, host: str) -> None:
         """Take in a VM's datagram that asks for a turn."""
         try:
-            self.asked(Ask.decode(data), host)
-        except UnreadableRecord as exc:
+            self.asked(PermitRequest.decode(data), host)
+        except InvalidRecord as exc:
             log.warning("question passed over", extra={"cause": str(exc)})
 
     def take_return(self, data: bytes, host: str) -> None:
         """Take in a VM's datagram that gives a turn back."""
         try:
-            self.returned(Return.decode(data), host)
-        except UnreadableRecord as exc:
+            self.returned(PermitRelease.decode(data), host)
+        except InvalidRecord as exc:
             log.warning("return passed over", extra={"cause": str(exc)})
 
-    def asked(self, ask: Ask, host: str) -> None:
+    def asked(self, ask: PermitRequest, host: str) -> None:
         """Answer a request that asks for its turn."""
         queue = self._queue(ask.queue)
         if queue is None:
@@ -125,7 +130,7 @@
         if len(queue):
             self._has_waiting.set()
 
-    def returned(self, back: Return, host: str) -> None:
+    def returned(self, back: PermitRelease, host: str) -> None:
         """Take back the turn of a request."""
         queue = self._queue(back.queue)
         if queue is None:
@@ -150,7 +155,7 @@
             return None
         queue = self._queues.get(name)
         if queue is None:
-            times = TurnTimes(self._loads, self._directory, service.name)
+            times = QueueServiceTimes(self._loads, self._directory, service.name)
             queue = self._queues[name] = SlotQueue(times)
         if now() - self._looked_up.get(name, float("-inf")) >= TICK:
             self._looked_up[name] = now()
@@ -204,7 +209,7 @@
         for verdict in verdicts:
             host, number = verdict.ident
             target = checksum(verdict.target) if verdict.say is Say.GO else 0
-            reply = Reply(number, verdict.say.value, verdict.seconds, target)
+            reply = PermitReply(number, verdict.say.value, verdict.seconds, target)
             self.send(host, reply)
 
     def _note_refusals(
--- a/packages/entry/src/berylstage_entry/probes.py
+++ b/packages/entry/src/berylstage_entry/probes.py
@@ -10,15 +10,15 @@
 from logbook import Logger
 
 from berylstage_entry.clock import now
-from berylstage_entry.errors import TargetEnded
+from berylstage_entry.errors import TargetReplaced
 
 if TYPE_CHECKING:
-    from berylstage_entry.directory import Directory
+    from berylstage_entry.cluster_view import ClusterView
+    from berylstage_entry.permit_client import PermitClient
+    from berylstage_entry.protocols import TargetProtocol
     from berylstage_entry.services import Service
     from berylstage_entry.target_loads import TargetLoads
     from berylstage_entry.targets import Target
-    from berylstage_entry.turns import Turns
-    from berylstage_entry.wire import TargetWire
 
 # Seconds between two looks for targets to be asked: a third of the age at which one is.
 TICK = 0.1
@@ -48,9 +48,9 @@
     def __init__(
         self,
         loads: TargetLoads,
-        directory: Directory,
-        turns: Turns,
-        wire: TargetWire,
+        directory: ClusterView,
+        turns: PermitClient,
+        wire: TargetProtocol,
     ):
         self._loads = loads
         self._directory = directory
@@ -135,7 +135,7 @@
     async def _ask(self, target: Target, service: Service) -> None:
         try:
             report = await self._wire.probe(target, service.health_path, TIMEOUT)
-        except (CallFailed, TargetEnded) as exc:
+        except (CallFailed, TargetReplaced) as exc:
             self._not_before[target.name] = now() + PAUSE
             self._loads.unheard(target)
             if target.name not in self._silent:
--- a/packages/entry/src/berylstage_entry/wire.py
+++ b/packages/entry/src/berylstage_entry/protocols.py
@@ -124,7 +124,7 @@
         self.closing = closing
 
 
-class CallerWire(ABC):
+class CallerProtocol(ABC):
     """Protocol between callers and the entry VM."""
 
     ready_path = "/ready"
@@ -146,7 +146,7 @@
         """Return the headers that tell a rejected caller when to retry."""
 
 
-class GrantOrder:
+class GrantRequest:
     """Grant of a range of keys to a target.
 
     Parameters
@@ -173,7 +173,7 @@
         self.handover = handover
 
 
-class TargetWire(ABC):
+class TargetProtocol(ABC):
     """Protocol between the entry VM and targets."""
 
     echo_header = b"request-id"
@@ -197,7 +197,7 @@
         """Interpret a target's answer."""
 
     @abstractmethod
-    async def grant(self, target: Target, order: GrantOrder, timeout: float) -> bool:
+    async def grant(self, target: Target, order: GrantRequest, timeout: float) -> bool:
         """Grant keys; return False if the target has seen a higher fence token.
 
         Raises
--- a/packages/entry/src/berylstage_entry/journey.py
+++ b/packages/entry/src/berylstage_entry/request_context.py
@@ -5,13 +5,13 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
+    from berylstage_entry.permit_client import Permit
+    from berylstage_entry.protocols import CallerRequest, TargetAnswer
     from berylstage_entry.routes import Route
     from berylstage_entry.services import Service
-    from berylstage_entry.turns import Turn
-    from berylstage_entry.wire import CallerRequest, TargetAnswer
 
 
-class Answered:
+class RoutedAnswer:
     """A target's answer to a request, with details for the log.
 
     Parameters
@@ -36,7 +36,7 @@
         self.waited = waited
 
 
-class Journey:
+class RequestContext:
     """State of a request while the router serves it.
 
     Parameters
@@ -81,7 +81,7 @@
         self.deadline = deadline
         self.wanted = wanted
         # Permit to send to the target, to be released; None while there is none.
-        self.turn: Turn | None = None
+        self.turn: Permit | None = None
         self.waited = 0.0
         # Times that a target rejected it although it had a permit.
         self.shed = 0
@@ -94,7 +94,7 @@
         self.turned_away: tuple[str, int] = ("", -1)
         self.pause = 0.0
         # A target's error answer, returned to the caller if no retry succeeds.
-        self.failure: Answered | None = None
+        self.failure: RoutedAnswer | None = None
 
     def trace(self) -> str:
         """Return the time waited and the targets tried, for the log."""
--- a/packages/entry/src/berylstage_entry/journal.py
+++ b/packages/entry/src/berylstage_entry/request_log.py
@@ -9,9 +9,9 @@
 from berylstage_entry.clock import now
 
 if TYPE_CHECKING:
-    from berylstage_entry.journey import Answered
     from berylstage_entry.metrics import Metrics
-    from berylstage_entry.wire import CallerRequest
+    from berylstage_entry.protocols import CallerRequest
+    from berylstage_entry.request_context import RoutedAnswer
 
 # Log lines per second for failed or rejected requests, and for successful ones. A line
 # takes about 60 us of processor time, so that both together use less than 0.3% of a
@@ -25,7 +25,7 @@
 log = Logger(__name__)
 
 
-class LineBudget:
+class LogRateLimiter:
     """Token bucket that limits the rate of log lines.
 
     Parameters
@@ -65,7 +65,7 @@
         return left_out
 
 
-class RequestJournal:
+class RequestLog:
     """Logs the outcomes of requests and records their metrics.
 
     Parameters
@@ -75,11 +75,11 @@
 
     def __init__(self, metrics: Metrics):
         self._metrics = metrics
-        self._failure_limiter = LineBudget(FAILURE_LINES_PER_SECOND)
-        self._success_limiter = LineBudget(SUCCESS_LINES_PER_SECOND)
+        self._failure_limiter = LogRateLimiter(FAILURE_LINES_PER_SECOND)
+        self._success_limiter = LogRateLimiter(SUCCESS_LINES_PER_SECOND)
 
     def log_answered(
-        self, req: CallerRequest, routed: Answered, seconds: float
+        self, req: CallerRequest, routed: RoutedAnswer, seconds: float
     ) -> None:
         """Log a target's answer that is returned to the caller."""
         answer = routed.answer
--- a/packages/entry/src/berylstage_entry/router.py
+++ b/packages/entry/src/berylstage_entry/router.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 from berylstage_policy.completion import OTHER_DATA_CENTRE
-from berylstage_policy.retries import Budget
-from berylstage_policy.shares import WeightedTurns
+from berylstage_policy.retries import RetryBudget
+from berylstage_policy.weighted_round_robin import WeightedRoundRobin
 from berylstage_transfers.errors import AnswerLost, NeverSent
 
 from berylstage_entry.clock import now
@@ -16,12 +16,12 @@
 from berylstage_entry.errors import (
     BadRequest,
     NoOwner,
+    PermitRefused,
     Refused,
-    TurnRefused,
     Unanswered,
 )
-from berylstage_entry.journey import Answered, Journey
 from berylstage_entry.owners import Owners
+from berylstage_entry.request_context import RequestContext, RoutedAnswer
 from berylstage_entry.target_loads import (
     SERVER_ERROR,
     TargetLoads,
@@ -30,14 +30,14 @@
 )
 
 if TYPE_CHECKING:
-    from berylstage_entry.directory import Directory
-    from berylstage_entry.feed import Feed
+    from berylstage_entry.cluster_view import ClusterView
+    from berylstage_entry.permit_client import PermitClient
+    from berylstage_entry.protocols import CallerRequest, TargetAnswer
     from berylstage_entry.routes import Route
-    from berylstage_entry.senders import Senders
     from berylstage_entry.settings import Bounds
+    from berylstage_entry.store_watcher import StoreWatcher
+    from berylstage_entry.target_clients import TargetClients
     from berylstage_entry.targets import LoadReport
-    from berylstage_entry.turns import Turns
-    from berylstage_entry.wire import CallerRequest, TargetAnswer
 
 # Seconds of a request's time that are kept for the way of the answer to the caller.
 ANSWER_WAY = 0.02
@@ -85,9 +85,9 @@
 
     def __init__(
         self,
-        directory: Directory,
-        feed: Feed,
-        senders: Senders,
+        directory: ClusterView,
+        feed: StoreWatcher,
+        senders: TargetClients,
         bounds: Bounds,
         rng: Random,
         data_centre: str = "",
@@ -101,19 +101,19 @@
         self._data_centre = data_centre
         self.loads = TargetLoads(directory, rng)
         self.cold = ColdTargets(directory, bounds, vm)
-        self._budgets: dict[str, Budget] = {}
-        self._turns: dict[str, tuple[tuple, WeightedTurns]] = {}
+        self._budgets: dict[str, RetryBudget] = {}
+        self._turns: dict[str, tuple[tuple, WeightedRoundRobin]] = {}
         self._seen_revision = -1
         # VMs that are known, and some that may be starting.
         self.vms = 10
         # Gets turns at targets from who keeps the queues before them.
-        self.turns: Turns | None = None
+        self.turns: PermitClient | None = None
         # Requests for each key since the last report to the granting VM.
         self._key_counts: dict[str, dict[int, int]] = {}
         # Set while there are any.
         self.has_counted = asyncio.Event()
 
-    async def serve(self, req: CallerRequest) -> Answered:
+    async def serve(self, req: CallerRequest) -> RoutedAnswer:
         """Serve one request.
 
         Raises
@@ -136,7 +136,7 @@
         wait = min(req.time_left - ANSWER_WAY, route.timeout)
         moment = now() - req.waited
         wanted = moment + route.objective - ANSWER_WAY
-        journey = Journey(req, route, service, moment + wait, wanted)
+        journey = RequestContext(req, route, service, moment + wait, wanted)
         self._budget(service.name).earn()
         self.loads.asked(service.name)
         if service.owns_keys and req.key is not None:
@@ -157,7 +157,7 @@
         self._senders.keep(names)
         self.cold.keep(names)
 
-    async def _travel(self, journey: Journey) -> Answered:
+    async def _travel(self, journey: RequestContext) -> RoutedAnswer:
         """Send until there is an answer to give, or no way to get one."""
         try:
             while True:
@@ -165,13 +165,13 @@
                 answer = await self._attempt(journey, name)
                 if answer is not None:
                     attempts, waited = journey.attempts, journey.waited
-                    return Answered(answer, name, attempts, waited)
+                    return RoutedAnswer(answer, name, attempts, waited)
         except (Refused, Unanswered):
             if journey.failure is None:
                 raise
             return journey.failure
 
-    async def _choose(self, journey: Journey) -> str:
+    async def _choose(self, journey: RequestContext) -> str:
         """Return the target for the next attempt."""
         if journey.left(now()) < LEAST_TIME:
             raise self._given_up(journey, "no-time")
@@ -183,13 +183,13 @@
             self._may_repeat(journey, name)
         return name
 
-    def _may_repeat(self, journey: Journey, name: str) -> None:
+    def _may_repeat(self, journey: RequestContext, name: str) -> None:
         if journey.attempts >= journey.route.attempts and name not in journey.tried:
             raise self._given_up(journey, "attempts")
         if not self._budget(journey.service.name).spend():
             raise self._given_up(journey, "budget")
 
-    async def _owner(self, journey: Journey) -> str:
+    async def _owner(self, journey: RequestContext) -> str:
         """Return the owner of the key, unless it has enough to do."""
         while True:
             try:
@@ -209,7 +209,7 @@
             return name
 
     async def _await_turn(
-        self, journey: Journey, queue: str, data_centre: str = ""
+        self, journey: RequestContext, queue: str, data_centre: str = ""
     ) -> None:
         """Wait for the turn of a request in a queue; none when nobody gives any."""
         if self.turns is None:
@@ -217,7 +217,7 @@
         began = now()
         try:
             journey.turn = await self.turns.take(journey, queue, data_centre)
-        except TurnRefused as exc:
+        except PermitRefused as exc:
             journey.waited += now() - began
             reason = "owner-busy" if data_centre else "no-room"
             raise self._given_up(journey, reason, exc.turn, exc.retry_after) from exc
@@ -227,13 +227,16 @@
             raise self._given_up(journey, "no-time")
 
     def _end_turn(
-        self, journey: Journey, failed: bool = False, load: LoadReport | None = None
+        self,
+        journey: RequestContext,
+        failed: bool = False,
+        load: LoadReport | None = None,
     ) -> None:
         if journey.turn is not None and self.turns is not None:
             self.turns.done(journey.turn, failed, load)
         journey.turn = None
 
-    def _paced(self, journey: Journey, name: str) -> str:
+    def _paced(self, journey: RequestContext, name: str) -> str:
         """Let the owner of a key get no more than this VM believes it can bear."""
         loads = self.loads.of(journey.service.name)
         loads.load(name, self._directory.known[name].target.slots)
@@ -244,7 +247,7 @@
             raise self._given_up(journey, "owner-busy", detail)
         return name
 
-    async def _free(self, journey: Journey) -> str:
+    async def _free(self, journey: RequestContext) -> str:
         """Return the target of a request without a key, when it has its turn there."""
         names = self._fit(journey)
         cold = [n for n in names if self.cold.pace(n, journey.service) is not None]
@@ -270,7 +273,7 @@
             raise self._given_up(journey, "no-target")
         return self._free_target(journey, names)
 
-    def _fit(self, journey: Journey) -> list[str]:
+    def _fit(self, journey: RequestContext) -> list[str]:
         """Return the targets that a request without a key may go to."""
         names = self._directory.usable(journey.service.name)
         loads = self.loads.of(journey.service.name)
@@ -288,7 +291,7 @@
             raise self._given_up(journey, "no-target")
         return fit
 
-    def _free_target(self, journey: Journey, fit: list[str]) -> str:
+    def _free_target(self, journey: RequestContext, fit: list[str]) -> str:
         """Return the target that this VM believes will be done first."""
         loads = self.loads.of(journey.service.name)
         kind = journey.route.name
@@ -297,7 +300,7 @@
             raise self._given_up(journey, "no-room", loads.describe(name, now()))
         return name
 
-    async def _attempt(self, journey: Journey, name: str) -> TargetAnswer | None:
+    async def _attempt(self, journey: RequestContext, name: str) -> TargetAnswer | None:
         """Send once; None when it may be tried again."""
         target = self._directory.known[name].target
         sender = self._senders.to(target, journey.service.connections)
@@ -334,7 +337,7 @@
             journey.shed += 1
         return self._judge(journey, name, answer)
 
-    def _lost(self, journey: Journey, name: str, exc: AnswerLost) -> None:
+    def _lost(self, journey: RequestContext, name: str, exc: AnswerLost) -> None:
         journey.attempts += 1
         journey.tried.add(name)
         moment = now()
@@ -348,7 +351,7 @@
         self._owners.turned_away(journey, name)
 
     def _judge(
-        self, journey: Journey, name: str, answer: TargetAnswer
+        self, journey: RequestContext, name: str, answer: TargetAnswer
     ) -> TargetAnswer | None:
         journey.attempts += 1
         if answer.misdirected:
@@ -367,16 +370,16 @@
             return None
         failed = answer.status >= SERVER_ERROR
         if failed and journey.route.idempotent and self._can_repeat(journey):
-            journey.failure = Answered(answer, name, journey.attempts)
+            journey.failure = RoutedAnswer(answer, name, journey.attempts)
             return None
         return answer
 
-    def _can_repeat(self, journey: Journey) -> bool:
+    def _can_repeat(self, journey: RequestContext) -> bool:
         enough = journey.left(now()) > journey.route.objective / 2
         return enough and journey.attempts < journey.route.attempts
 
     def _given_up(
-        self, journey: Journey, reason: str, detail: str = "", after: float = 0.0
+        self, journey: RequestContext, reason: str, detail: str = "", after: float = 0.0
     ) -> Refused | Unanswered:
         detail = f"{detail} attempts {journey.attempts} {journey.trace()}".strip()
         if journey.lost:
@@ -395,14 +398,14 @@
         weights = tuple((s.service, s.weight) for s in route.shares)
         known = self._turns.get(route.name)
         if known is None or known[0] != weights:
-            turns = WeightedTurns([w for _, w in weights], self._rng.random())
+            turns = WeightedRoundRobin([w for _, w in weights], self._rng.random())
             known = self._turns[route.name] = (weights, turns)
         return route.shares[known[1].take()].service
 
-    def _budget(self, service: str) -> Budget:
+    def _budget(self, service: str) -> RetryBudget:
         budget = self._budgets.get(service)
         if budget is None:
             share = self._bounds.retry_ratio * BUDGET_USE
             reserve = self._bounds.retry_allowance / (2 * self.vms)
-            budget = self._budgets[service] = Budget(share, max(1.0, reserve))
+            budget = self._budgets[service] = RetryBudget(share, max(1.0, reserve))
         return budget
--- a/packages/entry/src/berylstage_entry/server.py
+++ b/packages/entry/src/berylstage_entry/server.py
@@ -27,10 +27,10 @@
     from collections.abc import Callable
     from socket import socket
 
-    from berylstage_entry.journal import RequestJournal
+    from berylstage_entry.protocols import CallerProtocol, CallerRequest
+    from berylstage_entry.request_log import RequestLog
     from berylstage_entry.router import Router
     from berylstage_entry.services import Limits
-    from berylstage_entry.wire import CallerRequest, CallerWire
 
 # Maximum bytes of a request body while no configuration is known.
 DEFAULT_MAX_BODY_BYTES = 1024 * 1024
@@ -99,9 +99,9 @@
 
     def __init__(
         self,
-        wire: CallerWire,
+        wire: CallerProtocol,
         router: Router,
-        journal: RequestJournal,
+        journal: RequestLog,
         limits: Callable[[], Limits | None],
     ):
         self.wire = wire
--- a/packages/entry/src/berylstage_entry/sockets.py
+++ b/packages/entry/src/berylstage_entry/sockets.py
@@ -19,7 +19,7 @@
 _PEER_CLOSED_EVENTS = POLLRDHUP | POLLHUP | POLLERR
 
 
-class Unread(Enum):
+class ReceiveState(Enum):
     """State of a connection's receive queue."""
 
     NOTHING = "nothing"
@@ -27,7 +27,7 @@
     END = "end"
 
 
-def peek_transport(transport: BaseTransport) -> Unread:
+def peek_transport(transport: BaseTransport) -> ReceiveState:
     """Peek at the receive queue of a transport's socket without reading it.
 
     Parameters
@@ -43,7 +43,7 @@
     return unread_in(transport.get_extra_info("socket"))
 
 
-def unread_in(sock: TransportSocket | socket | None) -> Unread:
+def unread_in(sock: TransportSocket | socket | None) -> ReceiveState:
     """Peek at the receive queue of a socket, as :func:`peek_transport` does.
 
     Parameters
@@ -55,17 +55,19 @@
     Unread
     """
     if sock is None or sock.fileno() < 0:
-        return Unread.NOTHING
+        return ReceiveState.NOTHING
     peek_sock = socket(fileno=sock.fileno())
     try:
         return (
-            Unread.BYTES if peek_sock.recv(1, MSG_PEEK | MSG_DONTWAIT) else Unread.END
+            ReceiveState.BYTES
+            if peek_sock.recv(1, MSG_PEEK | MSG_DONTWAIT)
+            else ReceiveState.END
         )
     except BlockingIOError:
-        return Unread.NOTHING
+        return ReceiveState.NOTHING
     except OSError:
         # A reset counts as an end as well; the transport detects it itself.
-        return Unread.END
+        return ReceiveState.END
     finally:
         peek_sock.detach()
 
--- a/packages/entry/src/berylstage_entry/senders.py
+++ b/packages/entry/src/berylstage_entry/target_clients.py
@@ -11,8 +11,8 @@
 from berylstage_transfers.rest import Rest
 
 if TYPE_CHECKING:
+    from berylstage_entry.protocols import CallerRequest, TargetAnswer, TargetProtocol
     from berylstage_entry.targets import Target
-    from berylstage_entry.wire import CallerRequest, TargetAnswer, TargetWire
 
 # Connections that one VM keeps to a target, at least. With two, 65 VMs could hold 130
 # to targets that accept 95 and reset the rest, requests and all.
@@ -25,7 +25,7 @@
 MAX_IDLE = 7
 
 
-class Sender:
+class TargetClient:
     """Sends requests to one life of a target.
 
     Parameters
@@ -40,7 +40,9 @@
 
     __slots__ = ("_client", "_is_retired", "_under_way", "_wire", "target")
 
-    def __init__(self, target: Target, wire: TargetWire, connections: int, rest: Rest):
+    def __init__(
+        self, target: Target, wire: TargetProtocol, connections: int, rest: Rest
+    ):
         self.target = target
         self._wire = wire
         self._client = CallClient(connections, max_idle=MAX_IDLE, rest=rest)
@@ -116,7 +118,7 @@
             asyncio.get_running_loop().call_soon(self._client.close)
 
 
-class Senders:
+class TargetClients:
     """The senders of all targets.
 
     Parameters
@@ -126,16 +128,16 @@
 
     __slots__ = ("_rests", "_retired", "_senders", "_wire", "vms")
 
-    def __init__(self, wire: TargetWire):
+    def __init__(self, wire: TargetProtocol):
         self._wire = wire
-        self._senders: dict[str, Sender] = {}
+        self._senders: dict[str, TargetClient] = {}
         self._rests: dict[str, Rest] = {}
         # Of targets that are gone, with requests still under way.
-        self._retired: list[Sender] = []
+        self._retired: list[TargetClient] = []
         # VMs that share the connections of a target, as far as they are known.
         self.vms = 10
 
-    def to(self, target: Target, connections: int) -> Sender:
+    def to(self, target: Target, connections: int) -> TargetClient:
         """Return the sender to a target.
 
         Parameters
@@ -151,7 +153,7 @@
                 return sender
             self._retire(sender)
         rest = self._rests.setdefault(target.service, Rest())
-        sender = Sender(target, self._wire, self.share(connections), rest)
+        sender = TargetClient(target, self._wire, self.share(connections), rest)
         self._senders[target.name] = sender
         return sender
 
@@ -178,7 +180,7 @@
         self._senders.clear()
         self._retired.clear()
 
-    def _retire(self, sender: Sender) -> None:
+    def _retire(self, sender: TargetClient) -> None:
         self._retired = [old for old in self._retired if old.is_busy]
         sender.retire()
         if sender.is_busy:
--- a/packages/entry/tests/test_connection.py
+++ b/packages/entry/tests/test_connection.py
@@ -11,18 +11,18 @@
     CallerConnection,
 )
 from berylstage_entry.errors import Refused
-from berylstage_entry.journal import RequestJournal
-from berylstage_entry.journey import Answered
 from berylstage_entry.metrics import Metrics
+from berylstage_entry.protocols import CallerProtocol, CallerRequest, TargetAnswer
+from berylstage_entry.request_context import RoutedAnswer
+from berylstage_entry.request_log import RequestLog
 from berylstage_entry.server import CallerServer
-from berylstage_entry.wire import CallerRequest, CallerWire, TargetAnswer
 from fakes import LIMITS
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from virtual_time import virtual_loop
 
 
-class PlainCallerProtocol(CallerWire):
+class PlainCallerProtocol(CallerProtocol):
     def request(self, method, uri, headers):
         return CallerRequest(uri, method, "h", uri, {}, 5.0, None)
 
@@ -49,7 +49,7 @@
             raise
         body = req.path.encode() + req.body + b"x" * self.size
         answer = TargetAnswer(200, [], body, False, False, True, None, False)
-        return Answered(answer, "a", 1)
+        return RoutedAnswer(answer, "a", 1)
 
     def finish(self, path, exc=None):
         if exc is not None:
@@ -100,7 +100,7 @@
 
     def __init__(self, idle_timeout=60.0):
         self.router = ManualRouter()
-        journal = RequestJournal(Metrics())
+        journal = RequestLog(Metrics())
         callers = PlainCallerProtocol()
         self.server = CallerServer(callers, self.router, journal, lambda: LIMITS)
         self.server.idle_timeout = idle_timeout
--- a/packages/entry/tests/test_logs.py
+++ b/packages/entry/tests/test_logs.py
@@ -15,7 +15,7 @@
     ThreadedWriter,
     create_line_writer,
 )
-from berylstage_entry.logs import JsonLines
+from berylstage_entry.logs import JsonLogHandler
 from berylstage_entry.shutdown import STOP_SIGNALS
 from logbook import Logger
 
@@ -45,7 +45,7 @@
         # file block even if its descriptor is in non-blocking mode.
         with path.open("wb") as file:
             monkeypatch.setattr(sys, "stdout", file)
-            lines = JsonLines("vm-1")
+            lines = JsonLogHandler("vm-1")
             began = time.monotonic()
             with lines.applicationbound():
                 for n in range(20):
--- a/packages/entry/tests/test_router.py
+++ b/packages/entry/tests/test_router.py
@@ -9,20 +9,20 @@
 from berylstage_entry import cold_targets
 from berylstage_entry.assignment import Assignment, KeyRange
 from berylstage_entry.clock import now
-from berylstage_entry.directory import Directory
-from berylstage_entry.errors import BadRequest, Refused, TurnRefused, Unanswered
+from berylstage_entry.cluster_view import ClusterView
+from berylstage_entry.errors import BadRequest, PermitRefused, Refused, Unanswered
+from berylstage_entry.permit_client import Permit
+from berylstage_entry.permit_messages import checksum
+from berylstage_entry.protocols import CallerRequest, Record, TargetAnswer
 from berylstage_entry.router import Router
-from berylstage_entry.routes import Route, Share
+from berylstage_entry.routes import Route, WeightedService
 from berylstage_entry.services import Configuration, Service
 from berylstage_entry.targets import LoadReport
-from berylstage_entry.turn_messages import checksum
-from berylstage_entry.turns import Turn
-from berylstage_entry.wire import CallerRequest, Record, TargetAnswer
 from berylstage_transfers.errors import AnswerLost, NeverSent
 from fakes import BOUNDS, LIMITS, target
 
 
-class Feed:
+class StoreWatcher:
     """Assignments as a feed keeps them."""
 
     def __init__(self, owner="a", former=""):
@@ -40,7 +40,7 @@
         self.assignments = {"s": Assignment([KeyRange(0, 65535, owner, 1, 6)], 9)}
 
 
-class Sender:
+class TargetClient:
     """Answers as a script says, one entry for each attempt."""
 
     def __init__(self, name, senders):
@@ -57,13 +57,13 @@
         return ANSWERS[step]
 
 
-class Senders:
+class TargetClients:
     def __init__(self, script):
         self.script = list(script)
         self.sent = []
 
     def to(self, target, connections):
-        return Sender(target.name, self)
+        return TargetClient(target.name, self)
 
     def keep(self, names):
         pass
@@ -96,15 +96,17 @@
     **assignment,
 ):
     """Serve one request; return how it ended and where it was sent."""
-    route = Route("r", "h", "/a/", [Share("s", 1.0)], idempotent, 3, 1.0, 0.3, 1)
+    route = Route(
+        "r", "h", "/a/", [WeightedService("s", 1.0)], idempotent, 3, 1.0, 0.3, 1
+    )
     service = Service("s", "/", 50, 3.0, 5.0, owns_keys)
-    directory = directory or Directory()
+    directory = directory or ClusterView()
     cfg = Configuration(1, [route], [service], LIMITS)
     directory.apply(Record(configuration=cfg), now(), False)
     for name in names:
         directory.apply(Record(target=target(name)), now(), False)
-    senders = Senders(script)
-    feed = feed or Feed(**assignment)
+    senders = TargetClients(script)
+    feed = feed or StoreWatcher(**assignment)
     router = Router(directory, feed, senders, BOUNDS, Random(1))
     router.turns = turns
     key = 7 if owns_keys else None
@@ -203,7 +205,7 @@
     def test_new_owner_is_asked_at_once(self):
         # The owner turns a request away since the key has moved. The VM reads the new
         # assignment a moment later; the request has nothing to wait for any more.
-        feed = Feed("b")
+        feed = StoreWatcher("b")
 
         def move(step):
             feed.move_to("c")
@@ -219,7 +221,7 @@
         # A lookup was refused since its key was on the move. Its caller comes back with
         # less than half of the usual time, and the move ends a moment later: turned
         # away at once again, it would be lost.
-        feed = Feed("a", former="b")
+        feed = StoreWatcher("a", former="b")
 
         async def end_of_move():
             await asyncio.sleep(0.1)
@@ -231,13 +233,13 @@
         assert (status, sent) == (200, ["a"])
 
     def test_unknown_owner_has_the_store_read_sooner(self):
-        feed = Feed("")
+        feed = StoreWatcher("")
         play([], owns_keys=True, feed=feed)
         assert feed.hurried
 
     def test_unknown_route_is_told_from_a_missing_configuration(self):
-        directory = Directory()
-        router = Router(directory, Feed(), Senders([]), BOUNDS, Random(1))
+        directory = ClusterView()
+        router = Router(directory, StoreWatcher(), TargetClients([]), BOUNDS, Random(1))
         req = CallerRequest("id", "GET", "h", "/none/", {}, 1.0, None)
         with pytest.raises(Refused):
             asyncio.run(router.serve(req))
@@ -248,13 +250,15 @@
 
     def owned(self, objective):
         """Return a router to one target with owned keys, and what it sends with."""
-        route = Route("r", "h", "/a/", [Share("s", 1.0)], True, 3, 1.0, objective, 1)
-        directory = Directory()
+        route = Route(
+            "r", "h", "/a/", [WeightedService("s", 1.0)], True, 3, 1.0, objective, 1
+        )
+        directory = ClusterView()
         cfg = Configuration(1, [route], [Service("s", "/", 50, 3.0, 5.0, True)], LIMITS)
         directory.apply(Record(configuration=cfg), now(), False)
         directory.apply(Record(target=target("a")), now(), False)
-        senders = Senders(["ok"] * 9)
-        return Router(directory, Feed(), senders, BOUNDS, Random(1)), senders
+        senders = TargetClients(["ok"] * 9)
+        return Router(directory, StoreWatcher(), senders, BOUNDS, Random(1)), senders
 
     def test_busy_owner_is_not_given_more_than_it_can_do_in_time(self):
         # Many VMs send to the owner of one key that asks for more than it can do. Its
@@ -304,7 +308,7 @@
             raise step
         if step is None:
             return None
-        turn = Turn(len(self.asked), queue, "10.0.0.1")
+        turn = Permit(len(self.asked), queue, "10.0.0.1")
         turn.target = checksum(step)
         return turn
 
@@ -336,7 +340,7 @@
     def test_target_that_leaves_while_a_request_waits_gets_it_no_more(self, given):
         # Guards against requests at a target that left while they waited for their
         # turn, which takes as long as their objective.
-        directory = Directory()
+        directory = ClusterView()
 
         class Leaving(GivenTurns):
             async def take(self, journey, queue, data_centre=""):
@@ -366,7 +370,7 @@
         assert now() - began < 0.04
 
     def test_caller_of_a_target_that_sheds_may_come_back_at_once(self):
-        turns = GivenTurns("a", "a", TurnRefused(0.0))
+        turns = GivenTurns("a", "a", PermitRefused(0.0))
         ended, _ = play(["full", "full"], owns_keys=True, turns=turns)
         assert isinstance(ended, Refused)
         assert ended.retry_after < 0.05
@@ -388,7 +392,7 @@
     def test_refused_turn_tells_when_to_come_back(self):
         # The owner has enough to do. Its caller is told when there will be room, at
         # once, and all those refused at a time don't come back at the same moment.
-        turns = GivenTurns(TurnRefused(0.2))
+        turns = GivenTurns(PermitRefused(0.2))
         ended, sent = play(["ok"], owns_keys=True, turns=turns)
         assert sent == []
         assert ended.reason == "owner-busy"
@@ -398,7 +402,7 @@
         # Guards against a request at a target that has left, or a fault where nothing
         # is known of it any more: the VM that keeps the queue is lost, and finding that
         # out takes time.
-        feed, directory = Feed(), Directory()
+        feed, directory = StoreWatcher(), ClusterView()
 
         class Lost(GivenTurns):
             async def take(self, journey, queue, data_centre=""):
@@ -416,7 +420,7 @@
     def test_key_that_moved_while_its_request_waited(self):
         # The keys of a request go to another target while it waits for its turn at the
         # former one, which would turn it away.
-        feed = Feed("a")
+        feed = StoreWatcher("a")
 
         class Moving(GivenTurns):
             async def take(self, journey, queue, data_centre=""):
@@ -443,11 +447,13 @@
             lambda name, *rest: asked.append(name) or real(name, *rest),
         )
         service = Service("s", "/", 50, 3.0, 5.0, False)
-        directory = Directory()
+        directory = ClusterView()
         for name in ("a", "b", "c"):
             cold = target(name, cold_left=9.0)
             directory.apply(Record(target=cold), now(), False)
-        router = Router(directory, Feed(), Senders([]), BOUNDS, Random(1), "", "vm-1")
+        router = Router(
+            directory, StoreWatcher(), TargetClients([]), BOUNDS, Random(1), "", "vm-1"
+        )
         router.cold.vm_names = [f"vm-{n}" for n in range(200)]
         first = [
             router.cold.may_send(name, service) for name in "abc" for _ in range(50)
--- a/packages/entry/tests/test_sockets.py
+++ b/packages/entry/tests/test_sockets.py
@@ -7,7 +7,7 @@
 import struct
 
 from berylstage_entry.sockets import (
-    Unread,
+    ReceiveState,
     peek_transport,
     peer_has_closed,
     send_queue_bytes,
@@ -32,7 +32,7 @@
     def test_empty_receive_queue(self):
         async def scenario():
             transport, peer = await connected_pair()
-            assert peek_transport(transport) is Unread.NOTHING
+            assert peek_transport(transport) is ReceiveState.NOTHING
             peer.close()
             transport.abort()
 
@@ -42,8 +42,8 @@
         async def scenario():
             transport, peer = await connected_pair()
             peer.send(b"abc")
-            assert peek_transport(transport) is Unread.BYTES
-            assert peek_transport(transport) is Unread.BYTES
+            assert peek_transport(transport) is ReceiveState.BYTES
+            assert peek_transport(transport) is ReceiveState.BYTES
             peer.close()
             transport.abort()
 
@@ -56,7 +56,7 @@
                 if is_reset:
                     peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
                 peer.close()
-                assert peek_transport(transport) is Unread.END
+                assert peek_transport(transport) is ReceiveState.END
                 transport.abort()
 
         asyncio.run(scenario())
@@ -82,7 +82,7 @@
             transport, peer = await connected_pair()
             transport.abort()
             await asyncio.sleep(0.01)
-            assert peek_transport(transport) is Unread.NOTHING
+            assert peek_transport(transport) is ReceiveState.NOTHING
             assert send_queue_bytes(transport) == 0
             peer.close()
 
