--- a/packages/entry/src/berylstage_entry/application.py
+++ b/packages/entry/src/berylstage_entry/application.py
@@ -81,8 +81,8 @@
     ----------
     cfg : EntrySettings
     store : Store
-    callers : CallerWire
-    targets : TargetWire
+    callers : CallerProtocol
+    targets : TargetProtocol
     records : RecordReader
     log_write_seconds : callable, optional
         Returns the seconds spent on writing log lines since the start.
@@ -154,8 +154,10 @@
         self.feed.leaves_duty = lambda: bool(self.membership.better())
         self.office.better = self.membership.better
         self.probes = LoadProbes(self.router.loads, self.directory, self.turns, targets)
-        journal = RequestLog(self.metrics)
-        self.server = CallerServer(callers, self.router, journal, self._current_limits)
+        request_log = RequestLog(self.metrics)
+        self.server = CallerServer(
+            callers, self.router, request_log, self._current_limits
+        )
         self.ready_server = InternalServer({callers.ready_path: self._handle_ready})
         self.control_server = InternalServer(
             {
--- a/packages/entry/src/berylstage_entry/protocols.py
+++ b/packages/entry/src/berylstage_entry/protocols.py
@@ -204,7 +204,7 @@
         ------
         CallFailed
             It is unknown whether the grant takes effect.
-        TargetEnded
+        TargetReplaced
             The target no longer exists and owns no keys.
         """
 
@@ -218,7 +218,7 @@
         ------
         CallFailed
             It is unknown whether the release takes effect.
-        TargetEnded
+        TargetReplaced
             The target no longer exists and owns no keys.
         """
 
@@ -240,7 +240,7 @@
         ------
         CallFailed
             The target did not answer.
-        TargetEnded
+        TargetReplaced
             Another target answers at the address.
         """
 
@@ -286,6 +286,6 @@
 
         Raises
         ------
-        UnreadableRecord
+        InvalidRecord
             The record contains nothing usable.
         """
--- a/packages/entry/src/berylstage_entry/request_log.py
+++ b/packages/entry/src/berylstage_entry/request_log.py
@@ -79,26 +79,26 @@
         self._success_limiter = LogRateLimiter(SUCCESS_LINES_PER_SECOND)
 
     def log_answered(
-        self, req: CallerRequest, routed: RoutedAnswer, seconds: float
+        self, req: CallerRequest, result: RoutedAnswer, seconds: float
     ) -> None:
         """Log a target's answer that is returned to the caller."""
-        answer = routed.answer
+        answer = result.answer
         outcome = "failed" if answer.status >= SERVER_ERROR else "answered"
         self._metrics.request(req.host, outcome, seconds)
         failed = outcome == "failed"
-        budget = self._failure_limiter if failed else self._success_limiter
-        if not budget.take():
+        limiter = self._failure_limiter if failed else self._success_limiter
+        if not limiter.take():
             return
         log.info(
             "request answered",
             extra={
                 "id": req.request_id,
                 "status": answer.status,
-                "target": routed.target,
-                "attempts": routed.attempts,
+                "target": result.target,
+                "attempts": result.attempts,
                 "seconds": round(seconds, 4),
-                "waited": round(req.waited + routed.waited, 4),
-                "left_out": budget.take_left_out(),
+                "waited": round(req.waited + result.waited, 4),
+                "left_out": limiter.take_left_out(),
             },
         )
 
--- a/packages/entry/src/berylstage_entry/server.py
+++ b/packages/entry/src/berylstage_entry/server.py
@@ -90,9 +90,9 @@
 
     Parameters
     ----------
-    wire : CallerWire
+    wire : CallerProtocol
     router : Router
-    journal : RequestJournal
+    request_log : RequestLog
     limits : callable
         Returns the configured limits, or None while no configuration is known.
     """
@@ -101,12 +101,12 @@
         self,
         wire: CallerProtocol,
         router: Router,
-        journal: RequestLog,
+        request_log: RequestLog,
         limits: Callable[[], Limits | None],
     ):
         self.wire = wire
         self._router = router
-        self._journal = journal
+        self._request_log = request_log
         self._limits = limits
         self.is_stopping = False
         # Seconds for which a connection may stay idle.
@@ -251,7 +251,7 @@
 
     def reject_request(self, exc: BadRequest | Refused | None) -> Response:
         """Log a request that cannot be served, and return its response."""
-        self._journal.log_malformed(str(exc) if exc else "unreadable request")
+        self._request_log.log_malformed(str(exc) if exc else "unreadable request")
         if isinstance(exc, Refused):
             return Response(UNAVAILABLE, self.wire.refusal_headers(exc.retry_after))
         return Response(exc.status if exc else BAD_REQUEST)
@@ -261,30 +261,30 @@
         began = now() - req.waited
         try:
             self._cap_time_left(req)
-            routed = await self._router.serve(req)
+            result = await self._router.serve(req)
         except BadRequest as exc:
-            self._journal.log_unanswered(req, exc.status, str(exc), now() - began)
+            self._request_log.log_unanswered(req, exc.status, str(exc), now() - began)
             return Response(exc.status)
         except Refused as exc:
-            self._journal.log_unanswered(
+            self._request_log.log_unanswered(
                 req, UNAVAILABLE, exc.reason, now() - began, exc.detail
             )
             return Response(UNAVAILABLE, self.wire.refusal_headers(exc.retry_after))
         except Unanswered as exc:
             status = GATEWAY_TIMEOUT if exc.timed_out else BAD_GATEWAY
-            self._journal.log_unanswered(
+            self._request_log.log_unanswered(
                 req, status, exc.reason, now() - began, exc.detail
             )
             return Response(status)
         except asyncio.CancelledError:
-            self._journal.log_unanswered(req, 0, "caller-left", now() - began)
+            self._request_log.log_unanswered(req, 0, "caller-left", now() - began)
             raise
         except Exception:
             # Without a response the caller would wait until its own timeout.
             log.exception("unexpected error while serving a request")
             return Response(BAD_GATEWAY)
-        self._journal.log_answered(req, routed, now() - began)
-        return Response(routed.answer.status, routed.answer.headers, routed.answer.body)
+        self._request_log.log_answered(req, result, now() - began)
+        return Response(result.answer.status, result.answer.headers, result.answer.body)
 
     def _cap_time_left(self, req: CallerRequest) -> None:
         """Limit a request's time to the time that the process has left.
--- a/packages/entry/src/berylstage_entry/sockets.py
+++ b/packages/entry/src/berylstage_entry/sockets.py
@@ -37,7 +37,7 @@
 
     Returns
     -------
-    Unread
+    ReceiveState
         ``END`` if the peer has closed or reset the connection.
     """
     return unread_in(transport.get_extra_info("socket"))
@@ -52,7 +52,7 @@
 
     Returns
     -------
-    Unread
+    ReceiveState
     """
     if sock is None or sock.fileno() < 0:
         return ReceiveState.NOTHING
--- a/packages/entry/tests/test_application.py
+++ b/packages/entry/tests/test_application.py
@@ -86,15 +86,17 @@
             app.start()
             await asyncio.sleep(0.1)
             app.router.serve = lambda req: hold_permit(app)
-            with socket.socket(type=socket.SOCK_DGRAM) as keeper:
-                keeper.bind(("127.0.0.2", app.cfg.metrics_port))
-                keeper.setblocking(False)
+            with socket.socket(type=socket.SOCK_DGRAM) as permit_server:
+                permit_server.bind(("127.0.0.2", app.cfg.metrics_port))
+                permit_server.setblocking(False)
                 port = int(app.cfg.callers.rpartition(":")[2])
                 with socket.create_connection(("127.0.0.1", port)) as caller:
                     caller.sendall(b"GET /a/ HTTP/1.1\r\nHost: h\r\n\r\n")
                     await asyncio.sleep(0.1)
                     await app.stop()
-                assert PermitRelease.decode(keeper.recv(64)).number == PERMIT_NUMBER
+                assert (
+                    PermitRelease.decode(permit_server.recv(64)).number == PERMIT_NUMBER
+                )
 
         asyncio.run(scenario())
 
--- a/packages/entry/tests/test_connection.py
+++ b/packages/entry/tests/test_connection.py
@@ -100,9 +100,9 @@
 
     def __init__(self, idle_timeout=60.0):
         self.router = ManualRouter()
-        journal = RequestLog(Metrics())
+        request_log = RequestLog(Metrics())
         callers = PlainCallerProtocol()
-        self.server = CallerServer(callers, self.router, journal, lambda: LIMITS)
+        self.server = CallerServer(callers, self.router, request_log, lambda: LIMITS)
         self.server.idle_timeout = idle_timeout
         self.transport = Transport()
         self.conn = CallerConnection(self.server)
--- a/packages/entry/tests/test_server.py
+++ b/packages/entry/tests/test_server.py
@@ -53,8 +53,8 @@
 
 
 def start_server(router):
-    journal = RequestLog(Metrics())
-    server = CallerServer(PlainCallerProtocol(), router, journal, lambda: LIMITS)
+    request_log = RequestLog(Metrics())
+    server = CallerServer(PlainCallerProtocol(), router, request_log, lambda: LIMITS)
     port = free_port()
     server.listen(f"127.0.0.1:{port}")
     return server, port
