--- a/packages/entry/src/berylstage_entry/connection.py
+++ b/packages/entry/src/berylstage_entry/connection.py
@@ -437,7 +437,7 @@
         self._advance()
 
     def _write_ready_responses(self) -> bool:
-        """Write the responses at the head of the queue; return whether there were any."""
+        """Write all responses that are next in order; return whether there were any."""
         answered = False
         while self._exchanges and self._exchanges[0].response is not None:
             exchange = self._exchanges.popleft()
