--- a/packages/entry/src/berylstage_entry/application.py
+++ b/packages/entry/src/berylstage_entry/application.py
@@ -100,60 +100,68 @@
         self.cfg = cfg
         self.rng = Random()
         self.store = store
-        self.directory = ClusterView()
-        self.feed = StoreWatcher(store, records, self.directory)
+        self.cluster_view = ClusterView()
+        self.store_watcher = StoreWatcher(store, records, self.cluster_view)
         self.metrics = Metrics()
-        self.loop_watch = LoopLagMonitor(self.metrics, log_write_seconds)
-        self.senders = TargetClients(targets)
+        self.loop_lag_monitor = LoopLagMonitor(self.metrics, log_write_seconds)
+        self.target_clients = TargetClients(targets)
         self.router = Router(
-            self.directory,
-            self.feed,
-            self.senders,
+            self.cluster_view,
+            self.store_watcher,
+            self.target_clients,
             cfg.bounds,
             self.rng,
             cfg.data_centre,
             cfg.vm,
         )
-        self.membership = Membership(cfg, store, self.feed)
-        self.peers = PeerClient(self.membership, cfg.control)
-        self.office = CoordinatorElection(cfg, store, self.feed, self.peers, self.rng)
-        self.granting = GrantController(
-            store, self.feed, self.directory, self.office, targets
+        self.membership = Membership(cfg, store, self.store_watcher)
+        self.peer_client = PeerClient(self.membership, cfg.control)
+        self.election = CoordinatorElection(
+            cfg, store, self.store_watcher, self.peer_client, self.rng
         )
-        self.announcements = PeerUpdates(self.feed, self.membership, cfg.control)
-        self.office.inherit = self.granting.inherit
-        self.granting.writer.listeners.append(self.announcements.tell)
+        self.grant_controller = GrantController(
+            store, self.store_watcher, self.cluster_view, self.election, targets
+        )
+        self.peer_updates = PeerUpdates(
+            self.store_watcher, self.membership, cfg.control
+        )
+        self.election.inherit = self.grant_controller.inherit
+        self.grant_controller.writer.listeners.append(self.peer_updates.tell)
         self._host, _ = split_address(cfg.callers)
         host = self._host
-        self.datagrams = PeerDatagrams(self.membership, host, cfg.metrics_port)
-        self.reports = LoadReporter(
+        self.peer_datagrams = PeerDatagrams(self.membership, host, cfg.metrics_port)
+        self.load_reporter = LoadReporter(
             self.router,
-            self.granting,
-            self.office,
-            self.directory,
-            self.datagrams,
+            self.grant_controller,
+            self.election,
+            self.cluster_view,
+            self.peer_datagrams,
             self.rng,
         )
-        self.keeper = PermitServer(self.router.loads, self.directory, self.membership)
-        self.turns = PermitClient(self.membership, host)
-        self.keeper.send = self._send_permit_reply
-        self.turns.ask = self._send_permit_request
-        self.turns.give_back = self._send_permit_release
-        self.datagrams.takers[ASK_FORMAT] = self.keeper.take_ask
-        self.datagrams.takers[RETURN_FORMAT] = self.keeper.take_return
-        self.datagrams.takers[REPLY_FORMAT] = self.turns.take_reply
-        self.router.turns = self.turns
-        self.datagrams.takers[COUNTS_FORMAT] = self.reports.take_counts
-        self.datagrams.takers[NEWS_FORMAT] = self._handle_delta
-        self.datagrams.takers[CHANGE_FORMAT] = self.announcements.take_change
-        self.announcements.send = self.datagrams.send
-        self.feed.is_teller = self.office.holds
-        self.feed.tell = self._publish_delta
-        self.feed.is_standby = self._is_standby
-        self.feed.is_deputy = self._is_local_publisher
-        self.feed.leaves_duty = lambda: bool(self.membership.better())
-        self.office.better = self.membership.better
-        self.probes = LoadProbes(self.router.loads, self.directory, self.turns, targets)
+        self.permit_server = PermitServer(
+            self.router.loads, self.cluster_view, self.membership
+        )
+        self.permit_client = PermitClient(self.membership, host)
+        self.permit_server.send = self._send_permit_reply
+        self.permit_client.ask = self._send_permit_request
+        self.permit_client.give_back = self._send_permit_release
+        self.peer_datagrams.takers[ASK_FORMAT] = self.permit_server.take_ask
+        self.peer_datagrams.takers[RETURN_FORMAT] = self.permit_server.take_return
+        self.peer_datagrams.takers[REPLY_FORMAT] = self.permit_client.take_reply
+        self.router.turns = self.permit_client
+        self.peer_datagrams.takers[COUNTS_FORMAT] = self.load_reporter.take_counts
+        self.peer_datagrams.takers[NEWS_FORMAT] = self._handle_delta
+        self.peer_datagrams.takers[CHANGE_FORMAT] = self.peer_updates.take_change
+        self.peer_updates.send = self.peer_datagrams.send
+        self.store_watcher.is_teller = self.election.holds
+        self.store_watcher.tell = self._publish_delta
+        self.store_watcher.is_standby = self._is_standby
+        self.store_watcher.is_deputy = self._is_local_publisher
+        self.store_watcher.leaves_duty = lambda: bool(self.membership.better())
+        self.election.better = self.membership.better
+        self.probes = LoadProbes(
+            self.router.loads, self.cluster_view, self.permit_client, targets
+        )
         request_log = RequestLog(self.metrics)
         self.server = CallerServer(
             callers, self.router, request_log, self._current_limits
@@ -169,7 +177,7 @@
         )
         self.metrics_server = InternalServer({"/metrics": self._handle_metrics})
         self._seen_members_revision = 0
-        self.feed.listeners.append(self._on_store_update)
+        self.store_watcher.listeners.append(self._on_store_update)
         # Reference that keeps the task of publishing large items from being collected.
         self._announce_task: asyncio.Task | None = None
         self._stop_event = asyncio.Event()
@@ -178,7 +186,9 @@
 
     def ready(self) -> bool:
         """Return whether the load balancer should send callers to this VM."""
-        has_view = self.directory.configuration is not None and self.feed.complete
+        has_view = (
+            self.cluster_view.configuration is not None and self.store_watcher.complete
+        )
         return has_view and not self.is_stopping
 
     async def run(self) -> int:
@@ -202,15 +212,15 @@
         self.control_server.listen(self.cfg.control)
         host, _ = split_address(self.cfg.callers)
         self.metrics_server.listen(f"{host}:{self.cfg.metrics_port}")
-        self.loop_watch.start()
-        self.feed.start()
+        self.loop_lag_monitor.start()
+        self.store_watcher.start()
         self.membership.start()
-        self.office.start()
-        self.granting.start()
-        self.reports.start()
-        self.datagrams.start()
+        self.election.start()
+        self.grant_controller.start()
+        self.load_reporter.start()
+        self.peer_datagrams.start()
         self.probes.start()
-        self.keeper.start()
+        self.permit_server.start()
         log.info("started", extra={"callers": self.cfg.callers})
 
     async def stop(self) -> None:
@@ -225,29 +235,29 @@
         self.server.is_stopping = True
         self.server.shutdown_time_left = lambda: plan.time_left(now())
         log.info("stopping", extra={"in_flight": self.server.in_flight})
-        await self._run_step(plan, self.office.resign())
-        self.granting.stop()
-        self.reports.stop()
-        self.announcements.close()
+        await self._run_step(plan, self.election.resign())
+        self.grant_controller.stop()
+        self.load_reporter.stop()
+        self.peer_updates.close()
         self.probes.stop()
         await self._run_step(plan, self.membership.stop())
         await asyncio.sleep(max(plan.drain_at - now(), RECORD_LAG_SECONDS))
         self.server.start_draining()
         await self._drain(plan)
-        self.feed.stop()
+        self.store_watcher.stop()
         # Until here, callers still waited for permits, and other VMs for permits from
         # the queues that this VM serves.
-        self.keeper.stop()
+        self.permit_server.stop()
         await self.server.close()
         self._log_stopped()
         servers = self.ready_server, self.control_server, self.metrics_server
         await asyncio.gather(*(server.close() for server in servers))
         # Requests that were cut have released their permits by now.
-        self.datagrams.close()
-        self.senders.close()
-        self.peers.close()
+        self.peer_datagrams.close()
+        self.target_clients.close()
+        self.peer_client.close()
         self.store.close()
-        self.loop_watch.stop()
+        self.loop_lag_monitor.stop()
 
     async def _drain(self, plan: ShutdownPlan) -> None:
         """Wait until no work is pending, and log how long each phase took."""
@@ -302,24 +312,24 @@
 
     def _send_permit_request(self, host: str, ask: PermitRequest) -> None:
         if host == self._host:
-            self.keeper.asked(ask, host)
+            self.permit_server.asked(ask, host)
         else:
-            self.datagrams.send_to(host, ask.encode())
+            self.peer_datagrams.send_to(host, ask.encode())
 
     def _send_permit_release(self, host: str, release: PermitRelease) -> None:
         if host == self._host:
-            self.keeper.returned(release, host)
+            self.permit_server.returned(release, host)
         else:
-            self.datagrams.send_to(host, release.encode())
+            self.peer_datagrams.send_to(host, release.encode())
 
     def _send_permit_reply(self, host: str, reply: PermitReply) -> None:
         if host == self._host:
-            self.turns.replied(reply)
+            self.permit_client.replied(reply)
         else:
-            self.datagrams.send_to(host, reply.encode())
+            self.peer_datagrams.send_to(host, reply.encode())
 
     def _is_standby(self) -> bool:
-        return self.membership.stands_by(self.office.holder_address())
+        return self.membership.stands_by(self.election.holder_address())
 
     def _is_local_publisher(self) -> bool:
         # Until its own record is known, every VM would consider itself the local
@@ -327,7 +337,7 @@
         return self.cfg.vm in self.membership.names() and self._is_standby()
 
     def _current_limits(self) -> Limits | None:
-        cfg = self.directory.configuration
+        cfg = self.cluster_view.configuration
         return cfg.limits if cfg is not None else None
 
     def _on_store_update(self, kind: str) -> None:
@@ -341,7 +351,7 @@
             self.router.cold.vm_names = names
             vms = len(names) + UNKNOWN
             self.router.vms = self.router.cold.vms = vms
-            self.senders.vms = self.feed.vms = vms
+            self.target_clients.vms = self.store_watcher.vms = vms
 
     def _publish_delta(self, delta: StoreDelta) -> None:
         if delta.large:
@@ -352,8 +362,8 @@
     async def _publish_large_items(self, delta: StoreDelta) -> None:
         """Publish large items before the delta that refers to them."""
         began = now()
-        if self.office.holds():
-            await self.announcements.tell_first(delta.large)
+        if self.election.holds():
+            await self.peer_updates.tell_first(delta.large)
         delta.age += now() - began
         self._send_delta(delta)
 
@@ -362,7 +372,7 @@
             data = part.encode()
             # The other VMs read items from the store that do not fit in a datagram.
             if data is not None:
-                self.datagrams.send(data, near=not self.office.holds())
+                self.peer_datagrams.send(data, near=not self.election.holds())
 
     def _handle_delta(self, data: bytes, host: str) -> None:
         try:
@@ -370,7 +380,7 @@
         except InvalidRecord as exc:
             log.warning("ignoring invalid store delta", extra={"cause": str(exc)})
             return
-        self.feed.take_news(delta)
+        self.store_watcher.take_news(delta)
 
     def _handle_ready(self, body: bytes) -> PageResponse:
         return PageResponse(200 if self.ready() else UNAVAILABLE)
@@ -378,18 +388,18 @@
     def _handle_export(self, body: bytes) -> PageResponse:
         # While this VM is certainly the coordinator, its grants in flight may still
         # reach targets, so its state is not exported yet.
-        if not self.office.may_hand_on(body):
+        if not self.election.may_hand_on(body):
             return PageResponse(UNAVAILABLE)
-        return PageResponse(200, body=self.granting.handed_on())
+        return PageResponse(200, body=self.grant_controller.handed_on())
 
     async def _handle_store_contact(self, body: bytes) -> PageResponse:
-        return PageResponse(200, body=str(await self.feed.contact()).encode())
+        return PageResponse(200, body=str(await self.store_watcher.contact()).encode())
 
     def _handle_service_times(self, body: bytes) -> PageResponse:
-        return PageResponse(200 if self.reports.take_speeds(body) else 400)
+        return PageResponse(200 if self.load_reporter.take_speeds(body) else 400)
 
     def _handle_peer_updates(self, body: bytes) -> PageResponse:
-        return PageResponse(200 if self.announcements.take(body) else 400)
+        return PageResponse(200 if self.peer_updates.take(body) else 400)
 
     def _handle_metrics(self, body: bytes) -> PageResponse:
         headers = [("Content-Type", "text/plain; version=0.0.4")]
--- a/packages/entry/tests/test_application.py
+++ b/packages/entry/tests/test_application.py
@@ -46,7 +46,7 @@
     try:
         await asyncio.sleep(60)
     finally:
-        app.turns.done(Permit(PERMIT_NUMBER, "s", "127.0.0.2"))
+        app.permit_client.done(Permit(PERMIT_NUMBER, "s", "127.0.0.2"))
 
 
 class TestStop:
