--- a/packages/entry/src/berylstage_entry/application.py
+++ b/packages/entry/src/berylstage_entry/application.py
@@ -1,4 +1,4 @@
-"""The application of an entry VM: it wires the parts and runs them."""
+"""The application of an entry VM: creates, connects and runs its components."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 )
 from berylstage_entry.errors import InvalidRecord
 from berylstage_entry.grant_controller import GrantController
-from berylstage_entry.internal_http import PageServer
+from berylstage_entry.internal_http import InternalServer
 from berylstage_entry.load_reporter import FORMAT as COUNTS_FORMAT
 from berylstage_entry.load_reporter import SPEEDS_PATH, LoadReporter
 from berylstage_entry.loop_lag import LoopLagMonitor
 from berylstage_entry.membership import UNKNOWN, Membership
-from berylstage_entry.metrics import Metrics, stop_text
+from berylstage_entry.metrics import Metrics, format_shutdown_metrics
 from berylstage_entry.peer_datagrams import PeerDatagrams
 from berylstage_entry.peer_updates import TOLD_PATH, PeerUpdates
 from berylstage_entry.peers import PeerClient
@@ -40,15 +40,15 @@
 from berylstage_entry.permit_server import PermitServer
 from berylstage_entry.probes import LoadProbes
 from berylstage_entry.request_log import RequestLog
-from berylstage_entry.responses import Reply as PageReply
+from berylstage_entry.responses import Response as PageResponse
 from berylstage_entry.router import Router
 from berylstage_entry.server import CallerServer, split_address
 from berylstage_entry.shutdown import (
-    BALANCER_LAG,
+    BALANCER_LAG_SECONDS,
     STOP_SIGNALS,
     Phase,
-    PhaseTimes,
-    StopPlan,
+    PhaseTimer,
+    ShutdownPlan,
 )
 from berylstage_entry.store_delta import FORMAT as NEWS_FORMAT
 from berylstage_entry.store_delta import StoreDelta
@@ -63,28 +63,29 @@
     from berylstage_entry.settings import EntrySettings
     from berylstage_entry.store import Store
 
-# Seconds for which other VMs still ask this one for turns after its record is gone.
-RECORD_LAG = 0.5
-# Seconds between two looks at what a stop waits for.
-STOP_LOOK = 0.02
-# Status of a page that tells no.
+# Seconds for which other VMs still request permits from this VM after its record has
+# been removed.
+RECORD_LAG_SECONDS = 0.5
+# Seconds between two checks of the work that a shutdown waits for.
+DRAIN_POLL_SECONDS = 0.02
+# Status of a request that is answered in the negative.
 UNAVAILABLE = 503
 
 log = Logger(__name__)
 
 
 class EntryApplication:
-    """Owns the parts of an entry VM.
+    """Owns the components of an entry VM.
 
     Parameters
     ----------
     cfg : EntrySettings
     store : Store
-    callers : CallerWire
-    targets : TargetWire
+    callers : CallerProtocol
+    targets : TargetProtocol
     records : RecordReader
-    log_writing : callable, optional
-        Returns the seconds that log lines have taken to write since the start.
+    log_write_seconds : callable, optional
+        Returns the seconds spent on writing log lines since the start.
     """
 
     def __init__(
@@ -94,295 +95,315 @@
         callers: CallerProtocol,
         targets: TargetProtocol,
         records: RecordReader,
-        log_writing: Callable[[], float] = lambda: 0.0,
+        log_write_seconds: Callable[[], float] = lambda: 0.0,
     ):
         self.cfg = cfg
         self.rng = Random()
         self.store = store
-        self.directory = ClusterView()
-        self.feed = StoreWatcher(store, records, self.directory)
+        self.cluster_view = ClusterView()
+        self.store_watcher = StoreWatcher(store, records, self.cluster_view)
         self.metrics = Metrics()
-        self.loop_watch = LoopLagMonitor(self.metrics, log_writing)
-        self.senders = TargetClients(targets)
+        self.loop_lag_monitor = LoopLagMonitor(self.metrics, log_write_seconds)
+        self.target_clients = TargetClients(targets)
         self.router = Router(
-            self.directory,
-            self.feed,
-            self.senders,
+            self.cluster_view,
+            self.store_watcher,
+            self.target_clients,
             cfg.bounds,
             self.rng,
             cfg.data_centre,
             cfg.vm,
         )
-        self.membership = Membership(cfg, store, self.feed)
-        self.peers = PeerClient(self.membership, cfg.control)
-        self.office = CoordinatorElection(cfg, store, self.feed, self.peers, self.rng)
-        self.granting = GrantController(
-            store, self.feed, self.directory, self.office, targets
+        self.membership = Membership(cfg, store, self.store_watcher)
+        self.peer_client = PeerClient(self.membership, cfg.control)
+        self.election = CoordinatorElection(
+            cfg, store, self.store_watcher, self.peer_client, self.rng
         )
-        self.announcements = PeerUpdates(self.feed, self.membership, cfg.control)
-        self.office.inherit = self.granting.inherit
-        self.granting.writer.listeners.append(self.announcements.tell)
+        self.grant_controller = GrantController(
+            store, self.store_watcher, self.cluster_view, self.election, targets
+        )
+        self.peer_updates = PeerUpdates(
+            self.store_watcher, self.membership, cfg.control
+        )
+        self.election.inherit = self.grant_controller.inherit
+        self.grant_controller.writer.listeners.append(self.peer_updates.tell)
         self._host, _ = split_address(cfg.callers)
         host = self._host
-        self.datagrams = PeerDatagrams(self.membership, host, cfg.metrics_port)
-        self.reports = LoadReporter(
+        self.peer_datagrams = PeerDatagrams(self.membership, host, cfg.metrics_port)
+        self.load_reporter = LoadReporter(
             self.router,
-            self.granting,
-            self.office,
-            self.directory,
-            self.datagrams,
+            self.grant_controller,
+            self.election,
+            self.cluster_view,
+            self.peer_datagrams,
             self.rng,
         )
-        self.keeper = PermitServer(self.router.loads, self.directory, self.membership)
-        self.turns = PermitClient(self.membership, host)
-        self.keeper.send = self._send_reply
-        self.turns.ask = self._send_ask
-        self.turns.give_back = self._send_return
-        self.datagrams.takers[ASK_FORMAT] = self.keeper.take_ask
-        self.datagrams.takers[RETURN_FORMAT] = self.keeper.take_return
-        self.datagrams.takers[REPLY_FORMAT] = self.turns.take_reply
-        self.router.turns = self.turns
-        self.datagrams.takers[COUNTS_FORMAT] = self.reports.take_counts
-        self.datagrams.takers[NEWS_FORMAT] = self._take_news
-        self.datagrams.takers[CHANGE_FORMAT] = self.announcements.take_change
-        self.announcements.send = self.datagrams.send
-        self.feed.is_teller = self.office.holds
-        self.feed.tell = self._tell_news
-        self.feed.is_standby = self._stands_by
-        self.feed.is_deputy = self._is_deputy
-        self.feed.leaves_duty = lambda: bool(self.membership.better())
-        self.office.better = self.membership.better
-        self.probes = LoadProbes(self.router.loads, self.directory, self.turns, targets)
-        journal = RequestLog(self.metrics)
-        self.server = CallerServer(callers, self.router, journal, self._limits)
-        self.ready_page = PageServer({callers.ready_path: self._ready})
-        self.control_page = PageServer(
+        self.permit_server = PermitServer(
+            self.router.loads, self.cluster_view, self.membership
+        )
+        self.permit_client = PermitClient(self.membership, host)
+        self.permit_server.send = self._send_permit_reply
+        self.permit_client.ask = self._send_permit_request
+        self.permit_client.give_back = self._send_permit_release
+        self.peer_datagrams.takers[ASK_FORMAT] = self.permit_server.take_ask
+        self.peer_datagrams.takers[RETURN_FORMAT] = self.permit_server.take_return
+        self.peer_datagrams.takers[REPLY_FORMAT] = self.permit_client.take_reply
+        self.router.turns = self.permit_client
+        self.peer_datagrams.takers[COUNTS_FORMAT] = self.load_reporter.take_counts
+        self.peer_datagrams.takers[NEWS_FORMAT] = self._handle_delta
+        self.peer_datagrams.takers[CHANGE_FORMAT] = self.peer_updates.take_change
+        self.peer_updates.send = self.peer_datagrams.send
+        self.store_watcher.is_teller = self.election.holds
+        self.store_watcher.tell = self._publish_delta
+        self.store_watcher.is_standby = self._is_standby
+        self.store_watcher.is_deputy = self._is_local_publisher
+        self.store_watcher.leaves_duty = lambda: bool(self.membership.better())
+        self.election.better = self.membership.better
+        self.probes = LoadProbes(
+            self.router.loads, self.cluster_view, self.permit_client, targets
+        )
+        request_log = RequestLog(self.metrics)
+        self.server = CallerServer(
+            callers, self.router, request_log, self._current_limits
+        )
+        self.ready_server = InternalServer({callers.ready_path: self._handle_ready})
+        self.control_server = InternalServer(
             {
-                HAND_ON_PATH: self._hand_on,
-                CONTACT_PATH: self._contact,
-                SPEEDS_PATH: self._take_speeds,
-                TOLD_PATH: self._take_told,
+                HAND_ON_PATH: self._handle_export,
+                CONTACT_PATH: self._handle_store_contact,
+                SPEEDS_PATH: self._handle_service_times,
+                TOLD_PATH: self._handle_peer_updates,
             }
         )
-        self.metrics_page = PageServer({"/metrics": self._metrics_text})
-        self._members_revision = 0
-        self.feed.listeners.append(self._heard)
-        # Keeps the task that tells large values from being collected.
-        self._telling: asyncio.Task | None = None
-        self._stop = asyncio.Event()
-        self.stopping = False
-        self._phase_times = PhaseTimes()
+        self.metrics_server = InternalServer({"/metrics": self._handle_metrics})
+        self._seen_members_revision = 0
+        self.store_watcher.listeners.append(self._on_store_update)
+        # Reference that keeps the task of publishing large items from being collected.
+        self._announce_task: asyncio.Task | None = None
+        self._stop_event = asyncio.Event()
+        self.is_stopping = False
+        self._phase_timer = PhaseTimer()
 
     def ready(self) -> bool:
-        """Tell whether the balancer should send callers here."""
-        known = self.directory.configuration is not None and self.feed.complete
-        return known and not self.stopping
+        """Return whether the load balancer should send callers to this VM."""
+        has_view = (
+            self.cluster_view.configuration is not None and self.store_watcher.complete
+        )
+        return has_view and not self.is_stopping
 
     async def run(self) -> int:
         """Run until SIGTERM and return the exit status."""
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGTERM, self._stop.set)
-        loop.add_signal_handler(signal.SIGINT, self._stop.set)
+        loop.add_signal_handler(signal.SIGTERM, self._stop_event.set)
+        loop.add_signal_handler(signal.SIGINT, self._stop_event.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload)
         self.start()
-        await self._stop.wait()
+        await self._stop_event.wait()
         await self.stop()
-        # The loop takes its handlers along when it closes. A signal that comes then
-        # would end the process with a status that looks like a crash.
+        # The loop removes its signal handlers when it closes. A signal that arrives
+        # later would end the process with a status that looks like a crash.
         signal.pthread_sigmask(signal.SIG_BLOCK, STOP_SIGNALS)
         return 0
 
     def start(self) -> None:
-        """Start all parts."""
+        """Start all components."""
         self.server.listen(self.cfg.callers)
-        self.ready_page.listen(self.cfg.ready)
-        self.control_page.listen(self.cfg.control)
+        self.ready_server.listen(self.cfg.ready)
+        self.control_server.listen(self.cfg.control)
         host, _ = split_address(self.cfg.callers)
-        self.metrics_page.listen(f"{host}:{self.cfg.metrics_port}")
-        self.loop_watch.start()
-        self.feed.start()
+        self.metrics_server.listen(f"{host}:{self.cfg.metrics_port}")
+        self.loop_lag_monitor.start()
+        self.store_watcher.start()
         self.membership.start()
-        self.office.start()
-        self.granting.start()
-        self.reports.start()
-        self.datagrams.start()
+        self.election.start()
+        self.grant_controller.start()
+        self.load_reporter.start()
+        self.peer_datagrams.start()
         self.probes.start()
-        self.keeper.start()
+        self.permit_server.start()
         log.info("started", extra={"callers": self.cfg.callers})
 
     async def stop(self) -> None:
-        """Shut down: not ready at once, the duty handed over, no request cut."""
-        plan = StopPlan(now(), self.cfg.bounds.stop_time)
-        self.stopping = True
-        self._phase_times.enter(Phase.LEAVING, plan.begun)
-        self.server.closing = True
-        self.server.time_limit = lambda: plan.time_left(now())
+        """Shut down gracefully.
+
+        The VM reports not ready, steps down as coordinator and drains its connections
+        before it closes them.
+        """
+        plan = ShutdownPlan(now(), self.cfg.bounds.stop_timeout)
+        self.is_stopping = True
+        self._phase_timer.enter(Phase.LEAVING, plan.started_at)
+        self.server.is_stopping = True
+        self.server.shutdown_time_left = lambda: plan.time_left(now())
         log.info("stopping", extra={"in_flight": self.server.in_flight})
-        await self._within(plan, self.office.resign())
-        self.granting.stop()
-        self.reports.stop()
-        self.announcements.close()
+        await self._run_step(plan, self.election.resign())
+        self.grant_controller.stop()
+        self.load_reporter.stop()
+        self.peer_updates.close()
         self.probes.stop()
-        await self._within(plan, self.membership.stop())
-        await asyncio.sleep(max(plan.leave_at - now(), RECORD_LAG))
-        self.server.refuse_more()
+        await self._run_step(plan, self.membership.stop())
+        await asyncio.sleep(max(plan.drain_at - now(), RECORD_LAG_SECONDS))
+        self.server.start_draining()
         await self._drain(plan)
-        self.feed.stop()
-        # Until here callers came and waited for their turns, and other VMs did for
-        # theirs at the queues that this VM keeps.
-        self.keeper.stop()
+        self.store_watcher.stop()
+        # Until here, callers still waited for permits, and other VMs for permits from
+        # the queues that this VM serves.
+        self.permit_server.stop()
         await self.server.close()
-        self._tell_stop()
-        pages = self.ready_page, self.control_page, self.metrics_page
-        await asyncio.gather(*(page.close() for page in pages))
-        # Requests that were cut have given their turns back by now.
-        self.datagrams.close()
-        self.senders.close()
-        self.peers.close()
+        self._log_stopped()
+        servers = self.ready_server, self.control_server, self.metrics_server
+        await asyncio.gather(*(server.close() for server in servers))
+        # Requests that were cut have released their permits by now.
+        self.peer_datagrams.close()
+        self.target_clients.close()
+        self.peer_client.close()
         self.store.close()
-        self.loop_watch.stop()
+        self.loop_lag_monitor.stop()
 
-    async def _drain(self, plan: StopPlan) -> None:
-        """Wait until nothing is under way, and log how long each phase took."""
+    async def _drain(self, plan: ShutdownPlan) -> None:
+        """Wait until no work is pending, and log how long each phase took."""
         phase = Phase.LEAVING
         while phase is not Phase.ENDED:
-            self.server.close_idle()
-            standing = self.server.standing()
-            reached = plan.phase(now(), standing)
-            if reached is not phase:
-                seconds = round(self._phase_times.enter(reached, now()), 3)
+            self.server.close_idle_connections()
+            pending_work = self.server.pending_work()
+            next_phase = plan.phase(now(), pending_work)
+            if next_phase is not phase:
+                seconds = round(self._phase_timer.enter(next_phase, now()), 3)
                 log.info(
                     "stop phase ended",
                     extra={
                         "phase": phase.value,
                         "seconds": seconds,
-                        "serving": standing.serving,
-                        "flushing": standing.flushing,
-                        "bytes_left": standing.bytes_left,
+                        "serving": pending_work.serving,
+                        "flushing": pending_work.flushing,
+                        "bytes_left": pending_work.unacknowledged_bytes,
                     },
                 )
-                phase = reached
+                phase = next_phase
                 continue
-            await asyncio.sleep(STOP_LOOK)
+            await asyncio.sleep(DRAIN_POLL_SECONDS)
 
-    def _tell_stop(self) -> None:
+    def _log_stopped(self) -> None:
         counts = self.server.counts
         log.info(
             "stopped",
             extra={
-                "begun": counts.begun,
-                "closed_idle": counts.closed_idle,
-                "cut": counts.cut,
+                "begun": counts.requests_received,
+                "closed_idle": counts.idle_closed,
+                "cut": counts.connections_cut,
                 "bytes_cut": counts.bytes_cut,
             },
         )
 
-    async def _within(self, plan: StopPlan, step) -> None:
-        """Do one step of the shutdown, in the time that callers need not have."""
-        # What callers have sent by the time that the balancer notices may take as long
-        # again.
-        left = plan.end - BALANCER_LAG - now()
+    async def _run_step(self, plan: ShutdownPlan, step) -> None:
+        """Run one step of the shutdown within the time that callers do not need."""
+        # Requests that arrive until the load balancer has noticed may take as long
+        # again to finish.
+        left = plan.cut_off_at - BALANCER_LAG_SECONDS - now()
         try:
             async with asyncio.timeout(max(0.0, left)):
                 await step
         except TimeoutError:
-            log.warning("a step of the shutdown took too long")
+            log.warning("shutdown step timed out")
 
     def _reload(self) -> None:
-        # All settings of a VM hold for the life of its process; what changes in the
-        # midst of it comes through the store.
-        log.info("settings are read at the start only; restart to change them")
+        # Settings apply for the lifetime of the process; whatever changes at run time
+        # comes from the store.
+        log.info("ignoring reload; settings are read at startup, restart to apply them")
 
-    def _send_ask(self, host: str, ask: PermitRequest) -> None:
+    def _send_permit_request(self, host: str, ask: PermitRequest) -> None:
         if host == self._host:
-            self.keeper.asked(ask, host)
+            self.permit_server.asked(ask, host)
         else:
-            self.datagrams.send_to(host, ask.encode())
+            self.peer_datagrams.send_to(host, ask.encode())
 
-    def _send_return(self, host: str, back: PermitRelease) -> None:
+    def _send_permit_release(self, host: str, release: PermitRelease) -> None:
         if host == self._host:
-            self.keeper.returned(back, host)
+            self.permit_server.returned(release, host)
         else:
-            self.datagrams.send_to(host, back.encode())
+            self.peer_datagrams.send_to(host, release.encode())
 
-    def _send_reply(self, host: str, reply: PermitReply) -> None:
+    def _send_permit_reply(self, host: str, reply: PermitReply) -> None:
         if host == self._host:
-            self.turns.replied(reply)
+            self.permit_client.replied(reply)
         else:
-            self.datagrams.send_to(host, reply.encode())
+            self.peer_datagrams.send_to(host, reply.encode())
 
-    def _stands_by(self) -> bool:
-        return self.membership.stands_by(self.office.holder_address())
+    def _is_standby(self) -> bool:
+        return self.membership.stands_by(self.election.holder_address())
 
-    def _is_deputy(self) -> bool:
-        # Before its own record is known, each VM would be the one of its data centre.
-        return self.cfg.vm in self.membership.names() and self._stands_by()
+    def _is_local_publisher(self) -> bool:
+        # Until its own record is known, every VM would consider itself the local
+        # publisher of its data centre.
+        return self.cfg.vm in self.membership.names() and self._is_standby()
 
-    def _limits(self) -> Limits | None:
-        cfg = self.directory.configuration
+    def _current_limits(self) -> Limits | None:
+        cfg = self.cluster_view.configuration
         return cfg.limits if cfg is not None else None
 
-    def _heard(self, what: str) -> None:
-        if what in ("configuration", "read"):
-            limits = self._limits()
+    def _on_store_update(self, kind: str) -> None:
+        if kind in ("configuration", "read"):
+            limits = self._current_limits()
             if limits is not None:
                 self.server.set_limits(limits)
-        if self._members_revision != self.membership.revision:
-            self._members_revision = self.membership.revision
+        if self._seen_members_revision != self.membership.revision:
+            self._seen_members_revision = self.membership.revision
             names = self.membership.names()
             self.router.cold.vm_names = names
             vms = len(names) + UNKNOWN
             self.router.vms = self.router.cold.vms = vms
-            self.senders.vms = self.feed.vms = vms
+            self.target_clients.vms = self.store_watcher.vms = vms
 
-    def _tell_news(self, told: StoreDelta) -> None:
-        if told.large:
-            self._telling = asyncio.create_task(self._tell_large(told))
+    def _publish_delta(self, delta: StoreDelta) -> None:
+        if delta.large:
+            self._announce_task = asyncio.create_task(self._publish_large_items(delta))
         else:
-            self._send_news(told)
+            self._send_delta(delta)
 
-    async def _tell_large(self, told: StoreDelta) -> None:
-        """Tell large values before the news that names them."""
+    async def _publish_large_items(self, delta: StoreDelta) -> None:
+        """Publish large items before the delta that refers to them."""
         began = now()
-        if self.office.holds():
-            await self.announcements.tell_first(told.large)
-        told.age += now() - began
-        self._send_news(told)
+        if self.election.holds():
+            await self.peer_updates.tell_first(delta.large)
+        delta.age += now() - began
+        self._send_delta(delta)
 
-    def _send_news(self, told: StoreDelta) -> None:
-        for part in told.parts():
+    def _send_delta(self, delta: StoreDelta) -> None:
+        for part in delta.parts():
             data = part.encode()
-            # What is too much for a datagram the others read for themselves.
+            # The other VMs read items from the store that do not fit in a datagram.
             if data is not None:
-                self.datagrams.send(data, near=not self.office.holds())
+                self.peer_datagrams.send(data, near=not self.election.holds())
 
-    def _take_news(self, data: bytes, host: str) -> None:
+    def _handle_delta(self, data: bytes, host: str) -> None:
         try:
-            told = StoreDelta.decode(data)
+            delta = StoreDelta.decode(data)
         except InvalidRecord as exc:
-            log.warning("news passed over", extra={"cause": str(exc)})
+            log.warning("ignoring invalid store delta", extra={"cause": str(exc)})
             return
-        self.feed.take_news(told)
+        self.store_watcher.take_news(delta)
 
-    def _ready(self, body: bytes) -> PageReply:
-        return PageReply(200 if self.ready() else UNAVAILABLE)
+    def _handle_ready(self, body: bytes) -> PageResponse:
+        return PageResponse(200 if self.ready() else UNAVAILABLE)
 
-    def _hand_on(self, body: bytes) -> PageReply:
-        # Orders under way may still arrive while this VM has the duty for certain.
-        if not self.office.may_hand_on(body):
-            return PageReply(UNAVAILABLE)
-        return PageReply(200, body=self.granting.handed_on())
+    def _handle_export(self, body: bytes) -> PageResponse:
+        # While this VM is certainly the coordinator, its grants in flight may still
+        # reach targets, so its state is not exported yet.
+        if not self.election.may_hand_on(body):
+            return PageResponse(UNAVAILABLE)
+        return PageResponse(200, body=self.grant_controller.handed_on())
 
-    async def _contact(self, body: bytes) -> PageReply:
-        return PageReply(200, body=str(await self.feed.contact()).encode())
+    async def _handle_store_contact(self, body: bytes) -> PageResponse:
+        return PageResponse(200, body=str(await self.store_watcher.contact()).encode())
 
-    def _take_speeds(self, body: bytes) -> PageReply:
-        return PageReply(200 if self.reports.take_speeds(body) else 400)
+    def _handle_service_times(self, body: bytes) -> PageResponse:
+        return PageResponse(200 if self.load_reporter.take_speeds(body) else 400)
 
-    def _take_told(self, body: bytes) -> PageReply:
-        return PageReply(200 if self.announcements.take(body) else 400)
+    def _handle_peer_updates(self, body: bytes) -> PageResponse:
+        return PageResponse(200 if self.peer_updates.take(body) else 400)
 
-    def _metrics_text(self, body: bytes) -> PageReply:
+    def _handle_metrics(self, body: bytes) -> PageResponse:
         headers = [("Content-Type", "text/plain; version=0.0.4")]
-        stop = stop_text(self.server.counts, self._phase_times.seconds(now()))
-        return PageReply(200, headers, (self.metrics.text() + stop).encode())
+        stop = format_shutdown_metrics(
+            self.server.counts, self._phase_timer.seconds(now())
+        )
+        return PageResponse(200, headers, (self.metrics.text() + stop).encode())
--- a/packages/entry/src/berylstage_entry/exchange.py
+++ b/packages/entry/src/berylstage_entry/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller and its answer."""
+"""A caller's request and its response."""
 
 from __future__ import annotations
 
@@ -11,57 +11,57 @@
 
     from berylstage_entry.errors import BadRequest, Refused
     from berylstage_entry.protocols import CallerRequest
-    from berylstage_entry.responses import Reply
+    from berylstage_entry.responses import Response
 
 
 class Exchange:
-    """One request and its answer.
+    """A request and its response.
 
     Parameters
     ----------
-    safe : bool
-        Whether it may be begun beside others of its connection.
-    keeps_alive : bool
-        Whether the caller means to send more on the connection.
+    is_safe : bool
+        Whether the request may run concurrently with others of its connection.
+    keep_alive : bool
+        Whether the caller keeps the connection open for further requests.
 
     Attributes
     ----------
-    arrived : float
-        When its head was whole.
-    held : int
-        Bytes counted against what all bodies may take.
-    whole : bool
-        Whether all of it has been read.
+    received_at : float
+        Monotonic seconds at which the request head was complete.
+    reserved_bytes : int
+        Bytes reserved from the memory for bodies and responses.
+    is_complete : bool
+        Whether the whole request has been received.
     """
 
     __slots__ = (
-        "arrived",
-        "chunks",
-        "held",
-        "keeps_alive",
+        "body_chunks",
+        "body_size",
+        "is_complete",
+        "is_safe",
+        "keep_alive",
+        "received_at",
         "refusal",
-        "reply",
         "req",
-        "safe",
-        "size",
+        "reserved_bytes",
+        "response",
         "task",
-        "whole",
     )
 
-    def __init__(self, safe: bool, keeps_alive: bool):
-        self.arrived = now()
-        self.safe = safe
-        self.keeps_alive = keeps_alive
+    def __init__(self, is_safe: bool, keep_alive: bool):
+        self.received_at = now()
+        self.is_safe = is_safe
+        self.keep_alive = keep_alive
         self.req: CallerRequest | None = None
         self.refusal: BadRequest | Refused | None = None
-        self.chunks: list[bytes] = []
-        self.size = 0
-        self.held = 0
-        self.whole = False
+        self.body_chunks: list[bytes] = []
+        self.body_size = 0
+        self.reserved_bytes = 0
+        self.is_complete = False
         self.task: Task | None = None
-        self.reply: Reply | None = None
+        self.response: Response | None = None
 
     @property
-    def closes(self) -> bool:
-        """Whether the connection ends with it."""
-        return self.refusal is not None or not self.keeps_alive
+    def closes_connection(self) -> bool:
+        """Whether the connection closes after the response."""
+        return self.refusal is not None or not self.keep_alive
--- a/packages/entry/src/berylstage_entry/line_writers.py
+++ b/packages/entry/src/berylstage_entry/line_writers.py
@@ -1,4 +1,4 @@
-"""Write log lines without ever holding up the process."""
+"""Writers of log lines that never block the event loop."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from berylstage_entry.clock import now
 from berylstage_entry.shutdown import STOP_SIGNALS
 
-# Bytes kept while they can't be written; what comes beyond is left out.
-KEPT = 256 * 1024
-# Seconds for which the end of the process waits for lines that are not written yet.
-CLOSE_TIME = 1.0
+# Bytes that are buffered while they cannot be written; further lines are dropped.
+MAX_BUFFERED_BYTES = 256 * 1024
+# Seconds for which the exit of the process waits for buffered lines to be written.
+CLOSE_TIMEOUT_SECONDS = 1.0
 
 
 class LineWriter(ABC):
-    """Writes lines to a file descriptor.
+    """Writes log lines to a file descriptor.
 
     Attributes
     ----------
     writing : float
-        Seconds for which the caller was held up by writing since the start.
+        Seconds for which writes have blocked the caller since the start.
     """
 
     __slots__ = ("writing",)
@@ -33,99 +33,100 @@
 
     @abstractmethod
     def write(self, data: bytes) -> bool:
-        """Write or keep a line; False when there was no room for it."""
+        """Write or buffer a line; return False if the buffer has no room for it."""
 
     @abstractmethod
     def close(self) -> None:
-        """Write what was kept, as far as that takes no time."""
+        """Write the buffered lines, as far as that is possible quickly."""
 
 
-class PipeWriter(LineWriter):
-    """Writes what the other end takes at once, and keeps the rest.
+class NonBlockingWriter(LineWriter):
+    """Writes as much as the descriptor accepts without blocking, and buffers the rest.
 
-    A pipe that nobody reads is full after 64 KB, and a blocking write would then stop
-    the event loop: every request would stand still for the sake of its log.
+    A pipe without a reader is full after 64 KB. A blocking write would then stop the
+    event loop, and with it every request.
 
     Parameters
     ----------
     fd : int
     """
 
-    __slots__ = ("_fd", "_kept")
+    __slots__ = ("_buffer", "_fd")
 
     def __init__(self, fd: int):
         super().__init__()
         self._fd = fd
-        self._kept = b""
+        self._buffer = b""
         os.set_blocking(fd, False)
 
     def write(self, data: bytes) -> bool:  # noqa: D102
-        if len(self._kept) + len(data) > KEPT:
+        if len(self._buffer) + len(data) > MAX_BUFFERED_BYTES:
             return False
-        self._kept += data
+        self._buffer += data
         began = now()
         try:
-            written = os.write(self._fd, self._kept)
+            written = os.write(self._fd, self._buffer)
         except BlockingIOError:
             return True
         except OSError:
-            # Nobody will read any more; there is no place left to say so.
-            self._kept = b""
+            # The pipe has no reader any more, and there is nowhere to report this.
+            self._buffer = b""
             return True
         finally:
             self.writing += now() - began
-        self._kept = self._kept[written:]
+        self._buffer = self._buffer[written:]
         return True
 
     def close(self) -> None:  # noqa: D102
-        if self._kept:
+        if self._buffer:
             self.write(b"")
 
 
-class FileWriter(LineWriter):
-    """Has a thread write to a file.
+class ThreadedWriter(LineWriter):
+    """Writes lines to a regular file in a separate thread.
 
-    A file is always ready, as far as anybody can ask, and a write to it still takes
-    as long as the disk is busy with what others write.
+    The kernel always reports a regular file as ready, but a write to it still blocks
+    while the disk is busy with other writes.
 
     Parameters
     ----------
     fd : int
     """
 
-    __slots__ = ("_closing", "_fd", "_kept", "_thread", "_wake")
+    __slots__ = ("_buffer", "_closing", "_condition", "_fd", "_thread")
 
     def __init__(self, fd: int):
         super().__init__()
         self._fd = fd
-        self._kept = b""
+        self._buffer = b""
         self._closing = False
-        self._wake = threading.Condition()
+        self._condition = threading.Condition()
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
 
     def write(self, data: bytes) -> bool:  # noqa: D102
-        with self._wake:
-            if len(self._kept) + len(data) > KEPT:
+        with self._condition:
+            if len(self._buffer) + len(data) > MAX_BUFFERED_BYTES:
                 return False
-            self._kept += data
-            self._wake.notify()
+            self._buffer += data
+            self._condition.notify()
         return True
 
     def close(self) -> None:  # noqa: D102
-        with self._wake:
+        with self._condition:
             self._closing = True
-            self._wake.notify()
-        self._thread.join(CLOSE_TIME)
+            self._condition.notify()
+        self._thread.join(CLOSE_TIMEOUT_SECONDS)
 
     def _run(self) -> None:
-        # A signal that came to this thread, when the event loop has closed and the main
-        # thread blocks it, would end the process with a status that looks like a crash.
+        # After the event loop has closed, the main thread blocks these signals. If one
+        # were delivered to this thread, the process would end with a status that looks
+        # like a crash.
         signal.pthread_sigmask(signal.SIG_BLOCK, STOP_SIGNALS)
         while True:
-            with self._wake:
-                self._wake.wait_for(lambda: self._kept or self._closing)
-                data, self._kept = self._kept, b""
+            with self._condition:
+                self._condition.wait_for(lambda: self._buffer or self._closing)
+                data, self._buffer = self._buffer, b""
             if not data:
                 return
             self._write_all(data)
@@ -135,12 +136,12 @@
             try:
                 data = data[os.write(self._fd, data) :]
             except OSError:
-                # A full disk, say; there is no place left to say so.
+                # For example, the disk is full; there is nowhere to report this.
                 return
 
 
-def line_writer(fd: int) -> LineWriter:
-    """Return what writes lines to a file descriptor, by what it leads to."""
+def create_line_writer(fd: int) -> LineWriter:
+    """Return a line writer that suits the type of file behind a descriptor."""
     if stat.S_ISREG(os.fstat(fd).st_mode):
-        return FileWriter(fd)
-    return PipeWriter(fd)
+        return ThreadedWriter(fd)
+    return NonBlockingWriter(fd)
--- a/packages/entry/src/berylstage_entry/logs.py
+++ b/packages/entry/src/berylstage_entry/logs.py
@@ -1,4 +1,4 @@
-"""Log lines as JSON on standard output, which never hold up the process."""
+"""Log handler that writes JSON lines to standard output without blocking."""
 
 from __future__ import annotations
 
@@ -9,30 +9,31 @@
 
 from logbook import INFO, Handler, set_datetime_format
 
-from berylstage_entry.line_writers import line_writer
+from berylstage_entry.line_writers import create_line_writer
 
 if TYPE_CHECKING:
     from logbook import LogRecord
 
 
 class JsonLogHandler(Handler):
-    """Writes each record as a line of JSON without waiting for its reader.
+    """Writes each log record as a line of JSON, without waiting for a reader.
 
     Parameters
     ----------
     vm : str
+        Name of the VM, written with each line.
     """
 
     def __init__(self, vm: str):
         super().__init__(level=INFO)
         self._vm = vm
-        self._writer = line_writer(sys.stdout.fileno())
-        self._left_out = 0
+        self._writer = create_line_writer(sys.stdout.fileno())
+        self._lines_lost = 0
         set_datetime_format(lambda: datetime.now(timezone.utc))
 
     @property
     def writing(self) -> float:
-        """Seconds that lines have held up the process since the start."""
+        """Seconds for which writes have blocked the event loop since the start."""
         return self._writer.writing
 
     def emit(self, record: LogRecord) -> None:
@@ -44,18 +45,18 @@
             "logger": record.channel,
             "message": record.message,
         }
-        # A field that is named like one of ours must not replace it: whoever searches
-        # the logs by level or time would miss the line.
+        # An extra field must not replace a standard one of the same name, or searches
+        # of the logs by level or time would miss the line.
         line |= {k: v for k, v in record.extra.items() if k not in line}
         if record.exc_info:
             line["exception"] = record.formatted_exception
-        if self._left_out:
-            line["lines_lost"] = self._left_out
+        if self._lines_lost:
+            line["lines_lost"] = self._lines_lost
         if self._writer.write((json.dumps(line, default=str) + "\n").encode()):
-            self._left_out = 0
+            self._lines_lost = 0
         else:
-            self._left_out += 1
+            self._lines_lost += 1
 
     def close(self) -> None:
-        """Write what is kept, as far as that takes no time."""
+        """Write the buffered lines, as far as that is possible quickly."""
         self._writer.close()
--- a/packages/entry/src/berylstage_entry/request_log.py
+++ b/packages/entry/src/berylstage_entry/request_log.py
@@ -1,4 +1,4 @@
-"""Log lines about requests, bounded in number, and their counts."""
+"""Rate-limited log of requests, and their metrics."""
 
 from __future__ import annotations
 
@@ -13,41 +13,46 @@
     from berylstage_entry.protocols import CallerRequest
     from berylstage_entry.request_context import RoutedAnswer
 
-# Lines a second about requests that failed or were refused, and about those that went
-# well. One line costs about 60 us of processor time, so both together stay below 0.3%
-# of a core; what is left out is counted.
-FAILURE_LINES = 40.0
-SUCCESS_LINES = 3.0
-# Times the lines of a second that may come at once.
-BURST = 2.0
+# Log lines per second for failed or rejected requests, and for successful ones. A line
+# takes about 60 us of processor time, so that both together use less than 0.3% of a
+# core. Suppressed lines are counted.
+FAILURE_LINES_PER_SECOND = 40.0
+SUCCESS_LINES_PER_SECOND = 3.0
+# Seconds worth of lines that may be written in one burst.
+BURST_SECONDS = 2.0
 SERVER_ERROR = 500
 
 log = Logger(__name__)
 
 
 class LogRateLimiter:
-    """Lines that may be written, filled up at a steady rate.
+    """Token bucket that limits the rate of log lines.
 
     Parameters
     ----------
     rate : float
-        Lines a second.
+        Lines per second.
+
+    Attributes
+    ----------
+    left_out : int
+        Lines suppressed since they were last reported.
     """
 
-    __slots__ = ("_at", "_rate", "_tokens", "left_out")
+    __slots__ = ("_rate", "_refilled_at", "_tokens", "left_out")
 
     def __init__(self, rate: float):
         self._rate = rate
-        self._tokens = rate * BURST
-        self._at = now()
+        self._tokens = rate * BURST_SECONDS
+        self._refilled_at = now()
         self.left_out = 0
 
     def take(self) -> bool:
-        """Tell whether one more line may be written, and count it."""
+        """Take a token and return True, or count a suppressed line."""
         moment = now()
-        filled = self._tokens + (moment - self._at) * self._rate
-        self._tokens = min(self._rate * BURST, filled)
-        self._at = moment
+        filled = self._tokens + (moment - self._refilled_at) * self._rate
+        self._tokens = min(self._rate * BURST_SECONDS, filled)
+        self._refilled_at = moment
         if self._tokens < 1:
             self.left_out += 1
             return False
@@ -55,13 +60,13 @@
         return True
 
     def take_left_out(self) -> int:
-        """Return the lines left out since the last call."""
+        """Return and reset the number of suppressed lines."""
         left_out, self.left_out = self.left_out, 0
         return left_out
 
 
 class RequestLog:
-    """Writes what became of requests.
+    """Logs the outcomes of requests and records their metrics.
 
     Parameters
     ----------
@@ -70,32 +75,34 @@
 
     def __init__(self, metrics: Metrics):
         self._metrics = metrics
-        self._failures = LogRateLimiter(FAILURE_LINES)
-        self._successes = LogRateLimiter(SUCCESS_LINES)
+        self._failure_limiter = LogRateLimiter(FAILURE_LINES_PER_SECOND)
+        self._success_limiter = LogRateLimiter(SUCCESS_LINES_PER_SECOND)
 
-    def answered(self, req: CallerRequest, done: RoutedAnswer, seconds: float) -> None:
-        """Note a target's answer that went to the caller."""
-        answer = done.answer
+    def log_answered(
+        self, req: CallerRequest, result: RoutedAnswer, seconds: float
+    ) -> None:
+        """Log a target's answer that is returned to the caller."""
+        answer = result.answer
         outcome = "failed" if answer.status >= SERVER_ERROR else "answered"
         self._metrics.request(req.host, outcome, seconds)
         failed = outcome == "failed"
-        budget = self._failures if failed else self._successes
-        if not budget.take():
+        limiter = self._failure_limiter if failed else self._success_limiter
+        if not limiter.take():
             return
         log.info(
             "request answered",
             extra={
                 "id": req.request_id,
                 "status": answer.status,
-                "target": done.target,
-                "attempts": done.attempts,
+                "target": result.target,
+                "attempts": result.attempts,
                 "seconds": round(seconds, 4),
-                "waited": round(req.waited + done.waited, 4),
-                "left_out": budget.take_left_out(),
+                "waited": round(req.waited + result.waited, 4),
+                "left_out": limiter.take_left_out(),
             },
         )
 
-    def ended(
+    def log_unanswered(
         self,
         req: CallerRequest,
         status: int,
@@ -103,21 +110,22 @@
         seconds: float,
         detail: str = "",
     ) -> None:
-        """Note the end of a request that no target's answer ended.
+        """Log a request that ended without a target's answer.
 
         Parameters
         ----------
         req : CallerRequest
         status : int
-            0 when nobody was there to take it.
+            HTTP status of the response; 0 if the caller had left.
         reason : str
+            Reason, which is also the outcome label of the metrics.
         seconds : float
-            From its arrival.
+            Seconds since the request arrived.
         detail : str
-            What decided it, and how old that was.
+            Facts that led to this outcome, and their age.
         """
         self._metrics.request(req.host, reason, seconds)
-        if not self._failures.take():
+        if not self._failure_limiter.take():
             return
         log.info(
             "request ended",
@@ -129,12 +137,12 @@
                 "path": req.path,
                 "seconds": round(seconds, 4),
                 "time_left": round(req.time_left - seconds, 4),
-                "left_out": self._failures.take_left_out(),
+                "left_out": self._failure_limiter.take_left_out(),
             },
         )
 
-    def malformed(self, cause: str) -> None:
-        """Note a request that could not be read."""
+    def log_malformed(self, cause: str) -> None:
+        """Log a request that could not be parsed or was rejected before routing."""
         self._metrics.count("malformed")
-        if self._failures.take():
+        if self._failure_limiter.take():
             log.info("request malformed", extra={"cause": cause})
