--- a/packages/entry/src/berylstage_entry/cold_targets.py
+++ b/packages/entry/src/berylstage_entry/cold_targets.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from berylstage_policy.cold_pace import ColdPace, may_warm_up
+from berylstage_policy.cold_pace import ColdRateLimiter, is_cold_sender
 
 from berylstage_entry.clock import now
 
@@ -36,22 +36,22 @@
         self._directory = directory
         self._bounds = bounds
         self._vm = vm
-        self._paces: dict[tuple[str, int], ColdPace] = {}
+        self._limiters: dict[tuple[str, int], ColdRateLimiter] = {}
         self.vms = 10
         self.vm_names: list[str] = []
         # Whether this VM sends to a cold target, with the bound on it, as long as the
         # known VMs stay the same.
-        self._warmers: dict[str, tuple[float, bool]] = {}
-        self._warmers_of = self.vm_names
+        self._cold_senders: dict[str, tuple[float, bool]] = {}
+        self._cold_senders_vms = self.vm_names
 
-    def keep(self, names: set[str]) -> None:
+    def retain(self, names: set[str]) -> None:
         """Forget all targets but these."""
-        for name in [name for name in self._warmers if name not in names]:
-            del self._warmers[name]
-        for identity in [each for each in self._paces if each[0] not in names]:
-            del self._paces[identity]
+        for name in [name for name in self._cold_senders if name not in names]:
+            del self._cold_senders[name]
+        for identity in [each for each in self._limiters if each[0] not in names]:
+            del self._limiters[identity]
 
-    def pace(self, name: str, service: Service) -> ColdPace | None:
+    def limiter(self, name: str, service: Service) -> ColdRateLimiter | None:
         """Return the pace towards a target that is cold; None for a warm one.
 
         Parameters
@@ -63,12 +63,12 @@
         if known.cold_until <= now():
             return None
         identity = known.target.identity
-        pace = self._paces.get(identity)
-        if pace is None:
+        limiter = self._limiters.get(identity)
+        if limiter is None:
             bound = self._bounds.cold_bound(service.cold_rate)
-            pace = ColdPace(bound, self.vms, now())
-            self._paces[identity] = pace
-        return pace
+            limiter = ColdRateLimiter(bound, self.vms, now())
+            self._limiters[identity] = limiter
+        return limiter
 
     def may_send(self, name: str, service: Service) -> bool:
         """Tell whether this VM may send a request to a target now.
@@ -78,29 +78,29 @@
         name : str
         service : Service
         """
-        pace = self.pace(name, service)
-        if pace is None:
+        limiter = self.limiter(name, service)
+        if limiter is None:
             return True
-        return self._warms_up(name, service) and pace.may_send(now())
+        return self._is_sender(name, service) and limiter.may_send(now())
 
-    def _warms_up(self, name: str, service: Service) -> bool:
+    def _is_sender(self, name: str, service: Service) -> bool:
         """Tell whether this VM is one of those that send to a cold target.
 
         Each request for a service asks that of all its cold targets, and each answer
         takes a look at all VMs: with hundreds of both, only a change of the VMs or of
         the target's pace is worth another look.
         """
-        if self._warmers_of is not self.vm_names:
-            self._warmers_of = self.vm_names
-            self._warmers.clear()
+        if self._cold_senders_vms is not self.vm_names:
+            self._cold_senders_vms = self.vm_names
+            self._cold_senders.clear()
         bound = self._bounds.cold_bound(service.cold_rate)
-        known = self._warmers.get(name)
+        known = self._cold_senders.get(name)
         if known is None or known[0] != bound:
-            mine = may_warm_up(name, self._vm, self.vm_names, bound)
-            known = self._warmers[name] = (bound, mine)
+            is_sender = is_cold_sender(name, self._vm, self.vm_names, bound)
+            known = self._cold_senders[name] = (bound, is_sender)
         return known[1]
 
-    def sent(self, name: str, service: Service) -> None:
+    def record_request(self, name: str, service: Service) -> None:
         """Note a request to a target.
 
         Parameters
@@ -108,6 +108,6 @@
         name : str
         service : Service
         """
-        pace = self.pace(name, service)
-        if pace is not None:
-            pace.sent(now())
+        limiter = self.limiter(name, service)
+        if limiter is not None:
+            limiter.record_request(now())
--- a/packages/entry/src/berylstage_entry/probes.py
+++ b/packages/entry/src/berylstage_entry/probes.py
@@ -21,14 +21,14 @@
     from berylstage_entry.wire import TargetWire
 
 # Seconds between two looks for targets to be asked: a third of the age at which one is.
-TICK = 0.1
+CHECK_INTERVAL_SECONDS = 0.1
 # The same while no target falls to this VM: hundreds of VMs keep no queue at all.
-IDLE_TICK = 0.5
+IDLE_CHECK_INTERVAL_SECONDS = 0.5
 # Seconds that an answer may take: targets tell their load without waiting for a slot,
 # and a later answer tells of a load that is past.
-TIMEOUT = 0.25
+PROBE_TIMEOUT_SECONDS = 0.25
 # Seconds before a target is asked again that gave no answer or tells no load.
-PAUSE = 1.0
+RETRY_DELAY_SECONDS = 1.0
 
 log = Logger(__name__)
 
@@ -56,13 +56,13 @@
         self._directory = directory
         self._turns = turns
         self._wire = wire
-        self._under_way: dict[str, asyncio.Task] = {}
+        self._running: dict[str, asyncio.Task] = {}
         self._not_before: dict[str, float] = {}
         self._task: asyncio.Task | None = None
-        self._silent: set[str] = set()
+        self._unresponsive: set[str] = set()
         # Targets that fall to this VM, and what that was worked out from.
-        self._mine: list[Target] = []
-        self._known: tuple[int, int] = (-1, -1)
+        self._assigned: list[Target] = []
+        self._seen_revisions: tuple[int, int] = (-1, -1)
 
     def start(self) -> None:
         """Begin to ask."""
@@ -72,32 +72,36 @@
         """Ask no more."""
         if self._task is not None:
             self._task.cancel()
-        for task in self._under_way.values():
+        for task in self._running.values():
             task.cancel()
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(IDLE_TICK if self._is_idle() else TICK)
-            self._begin_due(now())
+            await asyncio.sleep(
+                IDLE_CHECK_INTERVAL_SECONDS
+                if self._is_idle()
+                else CHECK_INTERVAL_SECONDS
+            )
+            self._start_due(now())
 
     def _is_idle(self) -> bool:
         """Tell whether targets are known, and none falls to this VM."""
-        return bool(self._directory.known) and not self.targets() and not self._mine
+        return bool(self._directory.known) and not self.targets() and not self._assigned
 
-    def _begin_due(self, moment: float) -> None:
+    def _start_due(self, moment: float) -> None:
         cfg = self._directory.configuration
         if cfg is None:
             return
         for target in self.targets():
             service = cfg.services.get(target.service)
-            if service is None or target.name in self._under_way:
+            if service is None or target.name in self._running:
                 continue
             if moment < self._not_before.get(target.name, 0.0):
                 continue
-            age, since_request = self._loads.ages(target, moment)
+            age, since_request = self._loads.report_and_request_ages(target, moment)
             if is_due(age, since_request, service.owns_keys):
-                task = asyncio.create_task(self._ask(target, service))
-                self._under_way[target.name] = task
+                task = asyncio.create_task(self._probe(target, service))
+                self._running[target.name] = task
 
     def targets(self) -> list[Target]:
         """Return the targets that fall to this VM.
@@ -105,18 +109,20 @@
         Cold ones are left out: each request to them counts against what they bear.
         """
         known = (self._directory.revision, self._turns.revision)
-        if known != self._known:
-            self._known = known
-            self._mine = self._pick()
+        if known != self._seen_revisions:
+            self._seen_revisions = known
+            self._assigned = self._find_assigned()
         moment = now()
         cold = self._directory.known
         return [
-            t for t in self._mine if t.name in cold and cold[t.name].cold_until < moment
+            t
+            for t in self._assigned
+            if t.name in cold and cold[t.name].cold_until < moment
         ]
 
-    def _pick(self) -> list[Target]:
+    def _find_assigned(self) -> list[Target]:
         cfg = self._directory.configuration
-        mine = []
+        assigned = []
         for known in self._directory.known.values():
             target = known.target
             if target.leaving or target.data_centre in self._directory.closed:
@@ -125,30 +131,32 @@
             if service is None:
                 continue
             if service.owns_keys:
-                keeps = self._turns.keeps(target.name, target.data_centre)
+                serves = self._turns.serves(target.name, target.data_centre)
             else:
-                keeps = self._turns.keeps(target.service)
-            if keeps:
-                mine.append(target)
-        return mine
+                serves = self._turns.serves(target.service)
+            if serves:
+                assigned.append(target)
+        return assigned
 
-    async def _ask(self, target: Target, service: Service) -> None:
+    async def _probe(self, target: Target, service: Service) -> None:
         try:
-            report = await self._wire.probe(target, service.health_path, TIMEOUT)
+            report = await self._wire.probe(
+                target, service.health_path, PROBE_TIMEOUT_SECONDS
+            )
         except (CallFailed, TargetEnded) as exc:
-            self._not_before[target.name] = now() + PAUSE
-            self._loads.unheard(target)
-            if target.name not in self._silent:
-                self._silent.add(target.name)
+            self._not_before[target.name] = now() + RETRY_DELAY_SECONDS
+            self._loads.record_probe_failure(target)
+            if target.name not in self._unresponsive:
+                self._unresponsive.add(target.name)
                 log.info(
                     "target tells no load",
                     extra={"target": target.name, "cause": str(exc)},
                 )
             return
         finally:
-            self._under_way.pop(target.name, None)
-        self._silent.discard(target.name)
+            self._running.pop(target.name, None)
+        self._unresponsive.discard(target.name)
         if report is None:
-            self._not_before[target.name] = now() + PAUSE
+            self._not_before[target.name] = now() + RETRY_DELAY_SECONDS
             return
-        self._loads.heard(target, report.running + report.waiting, report)
+        self._loads.apply_report(target, report.running + report.waiting, report)
--- a/packages/entry/src/berylstage_entry/queue_keeper.py
+++ b/packages/entry/src/berylstage_entry/queue_keeper.py
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING
 
 from berylstage_policy.slot_queue import (
-    Place,
+    PermitStatus,
+    QueuedRequest,
     RequestId,
-    Say,
     SlotQueue,
     TargetReport,
 )
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from berylstage_policy.slot_queue import Verdict
+    from berylstage_policy.slot_queue import Decision
 
     from berylstage_entry.directory import Directory
     from berylstage_entry.membership import Membership
@@ -32,11 +32,11 @@
 
 # Seconds between two looks for what has become due in queues where requests wait: a
 # place or permit may expire, and nobody says so.
-TICK = 0.02
+EXPIRY_INTERVAL_SECONDS = 0.02
 
 # Lines a second about turns that were refused: together with those about requests they
 # stay below a hundredth of a core.
-REFUSAL_LINES = 10.0
+REFUSAL_LINES_PER_SECOND = 10.0
 
 log = Logger(__name__)
 
@@ -60,17 +60,17 @@
         self._membership = membership
         self._queues: dict[str, SlotQueue] = {}
         # When the targets of each queue were looked up last.
-        self._looked_up: dict[str, float] = {}
+        self._targets_updated_at: dict[str, float] = {}
         self._members_revision = -1
         # Data centre of each VM, by its host.
-        self._centres: dict[str, str] = {}
+        self._data_centres: dict[str, str] = {}
         self._revision = -1
         # Names by their checksums: queues, targets and kinds of request.
         self._names: dict[int, str] = {}
         self._task: asyncio.Task | None = None
-        self._lines = LineBudget(REFUSAL_LINES)
+        self._log_limiter = LineBudget(REFUSAL_LINES_PER_SECOND)
         # Set while requests wait in some queue.
-        self._has_waiting = asyncio.Event()
+        self._has_queued = asyncio.Event()
         # Sends a reply to a VM, which may be this one.
         self.send: Callable[[str, Reply], None] = lambda host, reply: None
 
@@ -86,7 +86,7 @@
         if self._task is not None:
             self._task.cancel()
         for queue in self._queues.values():
-            self._say(queue.send_away())
+            self._send_decisions(queue.close())
 
     def take_ask(self, data: bytes, host: str) -> None:
         """Take in a VM's datagram that asks for a turn."""
@@ -96,7 +96,7 @@
             log.warning("question passed over", extra={"cause": str(exc)})
 
     def take_return(self, data: bytes, host: str) -> None:
-        """Take in a VM's datagram that gives a turn back."""
+        """Take in a VM's datagram that gives a turn release."""
         try:
             self.returned(Return.decode(data), host)
         except UnreadableRecord as exc:
@@ -104,60 +104,65 @@
 
     def asked(self, ask: Ask, host: str) -> None:
         """Answer a request that asks for its turn."""
-        queue = self._queue(ask.queue)
+        queue = self._find_queue(ask.queue)
         if queue is None:
             # A target that this VM has not heard of yet. Who asks does without a turn.
             return
         moment = now()
-        place = Place(
+        req = QueuedRequest(
             RequestId(host, ask.number),
             self._names.get(ask.kind, ""),
-            self._centre(host),
+            self._find_data_centre(host),
             ask.priority,
             moment + ask.wanted,
             ask.objective,
-            moment + ask.left,
+            moment + ask.deadline,
             moment,
         )
-        verdicts = queue.ask(place, moment)
-        self._say(verdicts)
-        self._note_refusals(verdicts, queue, ask.queue)
+        decisions = queue.request(req, moment)
+        self._send_decisions(decisions)
+        self._log_refusals(decisions, queue, ask.queue)
         if len(queue):
-            self._has_waiting.set()
+            self._has_queued.set()
 
-    def returned(self, back: Return, host: str) -> None:
-        """Take back the turn of a request."""
-        queue = self._queue(back.queue)
+    def returned(self, release: Return, host: str) -> None:
+        """Take release the turn of a request."""
+        queue = self._find_queue(release.queue)
         if queue is None:
             return
         moment = now()
-        name = self._names.get(back.target, "")
+        name = self._names.get(release.target, "")
         report = None
         if name:
-            self._loads.told_how(name, back.failed)
-        if name and back.load is not None:
-            busy = back.load.running
-            self._loads.told_of(name, busy, back.load.pace, moment)
-            report = TargetReport(name, busy)
-        self._say(queue.returned(RequestId(host, back.number), moment, report))
-
-    def _queue(self, number: int) -> SlotQueue | None:
+            self._loads.record_outcome(name, release.failed)
+        if name and release.load is not None:
+            active = release.load.running
+            self._loads.apply_remote_report(name, active, release.load.pace, moment)
+            report = TargetReport(name, active)
+        self._send_decisions(
+            queue.release(RequestId(host, release.number), moment, report)
+        )
+
+    def _find_queue(self, number: int) -> SlotQueue | None:
         if self._revision != self._directory.revision:
-            self._learn()
+            self._refresh_names()
         name = self._names.get(number)
-        service = self._service_of(name) if name is not None else None
+        service = self._find_service(name) if name is not None else None
         if name is None or service is None:
             return None
         queue = self._queues.get(name)
         if queue is None:
             times = TurnTimes(self._loads, self._directory, service.name)
             queue = self._queues[name] = SlotQueue(times)
-        if now() - self._looked_up.get(name, float("-inf")) >= TICK:
-            self._looked_up[name] = now()
-            queue.know(self._targets(name, service))
+        if (
+            now() - self._targets_updated_at.get(name, float("-inf"))
+            >= EXPIRY_INTERVAL_SECONDS
+        ):
+            self._targets_updated_at[name] = now()
+            queue.set_targets(self._target_slots(name, service))
         return queue
 
-    def _service_of(self, name: str) -> Service | None:
+    def _find_service(self, name: str) -> Service | None:
         """Return the service of a queue; None when nothing is known of it."""
         cfg = self._directory.configuration
         if cfg is None:
@@ -165,7 +170,7 @@
         known = self._directory.known.get(name)
         return cfg.services.get(known.target.service if known else name)
 
-    def _targets(self, name: str, service: Service) -> dict[str, int]:
+    def _target_slots(self, name: str, service: Service) -> dict[str, int]:
         """Return the slots of the targets of a queue."""
         known = self._directory.known
         if name in known:
@@ -176,10 +181,10 @@
             for n in self._directory.usable(service.name)
             if known[n].cold_until <= now()
         ]
-        sound = self._loads.sound(service.name, warm) or warm
-        return {n: known[n].target.slots for n in sound}
+        non_ejected = self._loads.non_ejected(service.name, warm) or warm
+        return {n: known[n].target.slots for n in non_ejected}
 
-    def _learn(self) -> None:
+    def _refresh_names(self) -> None:
         """Take over which queues, targets and kinds of request there are."""
         self._revision = self._directory.revision
         known = self._directory.known
@@ -190,48 +195,52 @@
         self._names = {checksum(name): name for name in names}
         for name in [name for name in self._queues if name not in names]:
             del self._queues[name]
-        self._looked_up.clear()
+        self._targets_updated_at.clear()
 
-    def _centre(self, host: str) -> str:
+    def _find_data_centre(self, host: str) -> str:
         if self._members_revision != self._membership.revision:
             self._members_revision = self._membership.revision
-            self._centres = {
+            self._data_centres = {
                 member.host: member.data_centre for member in self._membership.members()
             }
-        return self._centres.get(host, "")
-
-    def _say(self, verdicts: list[Verdict]) -> None:
-        for verdict in verdicts:
-            host, number = verdict.ident
-            target = checksum(verdict.target) if verdict.say is Say.GO else 0
-            reply = Reply(number, verdict.say.value, verdict.seconds, target)
+        return self._data_centres.get(host, "")
+
+    def _send_decisions(self, decisions: list[Decision]) -> None:
+        for decision in decisions:
+            host, number = decision.request_id
+            target = (
+                checksum(decision.target)
+                if decision.status is PermitStatus.GRANTED
+                else 0
+            )
+            reply = Reply(number, decision.status.value, decision.retry_after, target)
             self.send(host, reply)
 
-    def _note_refusals(
-        self, verdicts: list[Verdict], queue: SlotQueue, number: int
+    def _log_refusals(
+        self, decisions: list[Decision], queue: SlotQueue, number: int
     ) -> None:
-        for verdict in verdicts:
-            if verdict.say is Say.REFUSED and self._lines.take():
+        for decision in decisions:
+            if decision.status is PermitStatus.REFUSED and self._log_limiter.take():
                 log.info(
                     "turn refused",
                     extra={
                         "queue": self._names[number],
-                        "host": verdict.ident.host,
-                        "number": verdict.ident.number,
-                        "back_in": round(verdict.seconds, 3),
+                        "host": decision.request_id.host,
+                        "number": decision.request_id.number,
+                        "back_in": round(decision.retry_after, 3),
                         "waiting": len(queue),
                         "targets": queue.describe(now()),
-                        "left_out": self._lines.take_left_out(),
+                        "left_out": self._log_limiter.take_left_out(),
                     },
                 )
 
     async def _run(self) -> None:
         while True:
-            await self._has_waiting.wait()
-            await asyncio.sleep(TICK)
+            await self._has_queued.wait()
+            await asyncio.sleep(EXPIRY_INTERVAL_SECONDS)
             moment = now()
             waiting = [queue for queue in self._queues.values() if len(queue)]
             for queue in waiting:
-                self._say(queue.due(moment))
+                self._send_decisions(queue.grant_due(moment))
             if not waiting:
-                self._has_waiting.clear()
+                self._has_queued.clear()
--- a/packages/entry/src/berylstage_entry/router.py
+++ b/packages/entry/src/berylstage_entry/router.py
@@ -21,12 +21,12 @@
     Unanswered,
 )
 from berylstage_entry.journey import Answered, Journey
-from berylstage_entry.owners import Owners
+from berylstage_entry.owners import OwnerResolver
 from berylstage_entry.target_loads import (
     SERVER_ERROR,
     TargetLoads,
-    has_failed,
-    report_of,
+    build_load_report,
+    is_failure,
 )
 
 if TYPE_CHECKING:
@@ -45,12 +45,12 @@
 LEAST_TIME = 0.02
 # Seconds after which a caller may come back when a service has no room. Callers take up
 # to a third of their time for it; the spread keeps them from coming all at once.
-SHORTEST_RETURN = 0.05
-LONGEST_RETURN = 0.25
+MIN_RETRY_AFTER_SECONDS = 0.05
+MAX_RETRY_AFTER_SECONDS = 0.25
 # The same for callers whose target turned them away though it had room.
 RETURN_AT_ONCE = 0.01
 # Times the wait until there is room over which refused callers are spread.
-RETURN_SPREAD = 1.25
+RETRY_AFTER_SPREAD = 1.25
 # Share of the bound on repeats that is used; the rest is for the clocks of the VMs,
 # which do not cut time into the same windows.
 BUDGET_USE = 0.8
@@ -94,15 +94,15 @@
         vm: str = "",
     ):
         self._directory = directory
-        self._owners = Owners(feed, directory)
+        self._owner_resolver = OwnerResolver(feed, directory)
         self._senders = senders
         self._bounds = bounds
         self._rng = rng
         self._data_centre = data_centre
         self.loads = TargetLoads(directory, rng)
         self.cold = ColdTargets(directory, bounds, vm)
-        self._budgets: dict[str, Budget] = {}
-        self._turns: dict[str, tuple[tuple, WeightedTurns]] = {}
+        self._retry_budgets: dict[str, Budget] = {}
+        self._splits: dict[str, tuple[tuple, WeightedTurns]] = {}
         self._seen_revision = -1
         # VMs that are known, and some that may be starting.
         self.vms = 10
@@ -121,29 +121,29 @@
         BadRequest, Refused, Unanswered
         """
         if self._seen_revision != self._directory.revision:
-            self._forget_gone()
+            self._drop_removed_targets()
         cfg = self._directory.configuration
         if cfg is None:
-            raise Refused("no-configuration", LONGEST_RETURN)
+            raise Refused("no-configuration", MAX_RETRY_AFTER_SECONDS)
         route = cfg.table.find(req.host, req.path.partition("?")[0])
         if route is None:
             raise BadRequest(
                 NOT_FOUND, "no route; add one for this host and path to the sheet"
             )
-        service = cfg.services.get(self._service_of(route))
+        service = cfg.services.get(self._choose_service(route))
         if service is None:
-            raise Refused("no-service", LONGEST_RETURN)
+            raise Refused("no-service", MAX_RETRY_AFTER_SECONDS)
         wait = min(req.time_left - ANSWER_WAY, route.timeout)
         moment = now() - req.waited
         wanted = moment + route.objective - ANSWER_WAY
         journey = Journey(req, route, service, moment + wait, wanted)
-        self._budget(service.name).earn()
-        self.loads.asked(service.name)
+        self._retry_budget(service.name).earn()
+        self.loads.record_request(service.name)
         if service.owns_keys and req.key is not None:
             counts = self._key_counts.setdefault(service.name, {})
             counts[req.key] = counts.get(req.key, 0) + 1
             self.has_counted.set()
-        return await self._travel(journey)
+        return await self._forward(journey)
 
     def take_key_counts(self) -> dict[str, dict[int, int]]:
         """Return the requests for each key, by service, since the last call."""
@@ -151,17 +151,17 @@
         self.has_counted.clear()
         return counts
 
-    def _forget_gone(self) -> None:
+    def _drop_removed_targets(self) -> None:
         self._seen_revision = self._directory.revision
         names = set(self._directory.known)
-        self._senders.keep(names)
-        self.cold.keep(names)
+        self._senders.retain(names)
+        self.cold.retain(names)
 
-    async def _travel(self, journey: Journey) -> Answered:
+    async def _forward(self, journey: Journey) -> Answered:
         """Send until there is an answer to give, or no way to get one."""
         try:
             while True:
-                name = await self._choose(journey)
+                name = await self._choose_target(journey)
                 answer = await self._attempt(journey, name)
                 if answer is not None:
                     attempts, waited = journey.attempts, journey.waited
@@ -171,44 +171,44 @@
                 raise
             return journey.failure
 
-    async def _choose(self, journey: Journey) -> str:
+    async def _choose_target(self, journey: Journey) -> str:
         """Return the target for the next attempt."""
         if journey.left(now()) < LEAST_TIME:
-            raise self._given_up(journey, "no-time")
+            raise self._build_error(journey, "no-time")
         if journey.service.owns_keys and journey.req.key is not None:
-            name = await self._owner(journey)
+            name = await self._choose_owner(journey)
         else:
-            name = await self._free(journey)
+            name = await self._choose_without_key(journey)
         if journey.attempts:
-            self._may_repeat(journey, name)
+            self._check_retry_limits(journey, name)
         return name
 
-    def _may_repeat(self, journey: Journey, name: str) -> None:
+    def _check_retry_limits(self, journey: Journey, name: str) -> None:
         if journey.attempts >= journey.route.attempts and name not in journey.tried:
-            raise self._given_up(journey, "attempts")
-        if not self._budget(journey.service.name).spend():
-            raise self._given_up(journey, "budget")
+            raise self._build_error(journey, "attempts")
+        if not self._retry_budget(journey.service.name).spend():
+            raise self._build_error(journey, "budget")
 
-    async def _owner(self, journey: Journey) -> str:
+    async def _choose_owner(self, journey: Journey) -> str:
         """Return the owner of the key, unless it has enough to do."""
         while True:
             try:
-                name = await self._owners.find(journey)
+                name = await self._owner_resolver.find(journey)
             except NoOwner as exc:
-                raise self._given_up(journey, "no-owner", str(exc)) from exc
+                raise self._build_error(journey, "no-owner", str(exc)) from exc
             if not self.cold.may_send(name, journey.service):
-                raise self._given_up(journey, "cold")
+                raise self._build_error(journey, "cold")
             centre = self._directory.known[name].target.data_centre
-            await self._await_turn(journey, name, centre)
-            if not self._owners.holds(journey, name):
+            await self._acquire_permit(journey, name, centre)
+            if not self._owner_resolver.is_owner(journey, name):
                 # The key has moved, or its owner has left, while the request waited.
-                self._end_turn(journey)
+                self._release_permit(journey)
                 continue
             if journey.turn is None:
-                return self._paced(journey, name)
+                return self._check_owner_load(journey, name)
             return name
 
-    async def _await_turn(
+    async def _acquire_permit(
         self, journey: Journey, queue: str, data_centre: str = ""
     ) -> None:
         """Wait for the turn of a request in a queue; none when nobody gives any."""
@@ -220,43 +220,43 @@
         except TurnRefused as exc:
             journey.waited += now() - began
             reason = "owner-busy" if data_centre else "no-room"
-            raise self._given_up(journey, reason, exc.turn, exc.retry_after) from exc
+            raise self._build_error(journey, reason, exc.turn, exc.retry_after) from exc
         journey.waited += now() - began
         if journey.left(now()) < LEAST_TIME:
-            self._end_turn(journey)
-            raise self._given_up(journey, "no-time")
+            self._release_permit(journey)
+            raise self._build_error(journey, "no-time")
 
-    def _end_turn(
+    def _release_permit(
         self, journey: Journey, failed: bool = False, load: LoadReport | None = None
     ) -> None:
         if journey.turn is not None and self.turns is not None:
             self.turns.done(journey.turn, failed, load)
         journey.turn = None
 
-    def _paced(self, journey: Journey, name: str) -> str:
+    def _check_owner_load(self, journey: Journey, name: str) -> str:
         """Let the owner of a key get no more than this VM believes it can bear."""
-        loads = self.loads.of(journey.service.name)
+        loads = self.loads.for_service(journey.service.name)
         loads.load(name, self._directory.known[name].target.slots)
         expected = loads.expected(name, journey.route.name, now())
         limit = min(OWNER_WAIT * journey.route.objective, journey.left(now()))
         if expected > limit:
             detail = loads.describe(name, now())
-            raise self._given_up(journey, "owner-busy", detail)
+            raise self._build_error(journey, "owner-busy", detail)
         return name
 
-    async def _free(self, journey: Journey) -> str:
+    async def _choose_without_key(self, journey: Journey) -> str:
         """Return the target of a request without a key, when it has its turn there."""
-        names = self._fit(journey)
-        cold = [n for n in names if self.cold.pace(n, journey.service) is not None]
+        names = self._eligible_targets(journey)
+        cold = [n for n in names if self.cold.limiter(n, journey.service) is not None]
         if journey.attempts or len(cold) == len(names):
             # Repeats go around what has failed them.
-            return self._free_target(journey, names)
+            return self._choose_by_load(journey, names)
         if cold:
             # What a cold target may get is shared out among the VMs, without turns.
-            name = self._free_target(journey, names)
+            name = self._choose_by_load(journey, names)
             if name in cold:
                 return name
-        await self._await_turn(journey, journey.service.name)
+        await self._acquire_permit(journey, journey.service.name)
         name = ""
         if journey.turn is not None:
             name = self._directory.named(journey.turn.target)
@@ -265,17 +265,17 @@
         if name in names:
             return name
         # The keeper does not know yet that it is gone, or knows it before this VM.
-        self._end_turn(journey)
+        self._release_permit(journey)
         if not names:
-            raise self._given_up(journey, "no-target")
-        return self._free_target(journey, names)
+            raise self._build_error(journey, "no-target")
+        return self._choose_by_load(journey, names)
 
-    def _fit(self, journey: Journey) -> list[str]:
+    def _eligible_targets(self, journey: Journey) -> list[str]:
         """Return the targets that a request without a key may go to."""
         names = self._directory.usable(journey.service.name)
-        loads = self.loads.of(journey.service.name)
+        loads = self.loads.for_service(journey.service.name)
         known = self._directory.known
-        fit = []
+        eligible = []
         for name in names:
             if name in journey.tried or not self.cold.may_send(name, journey.service):
                 continue
@@ -283,33 +283,33 @@
             load = loads.load(name, target.slots)
             if target.data_centre != self._data_centre:
                 load.distance = OTHER_DATA_CENTRE
-            fit.append(name)
-        if not fit:
-            raise self._given_up(journey, "no-target")
-        return fit
+            eligible.append(name)
+        if not eligible:
+            raise self._build_error(journey, "no-target")
+        return eligible
 
-    def _free_target(self, journey: Journey, fit: list[str]) -> str:
+    def _choose_by_load(self, journey: Journey, eligible: list[str]) -> str:
         """Return the target that this VM believes will be done first."""
-        loads = self.loads.of(journey.service.name)
+        loads = self.loads.for_service(journey.service.name)
         kind = journey.route.name
-        name = loads.choose(fit, kind, now())
+        name = loads.choose(eligible, kind, now())
         if loads.expected(name, kind, now()) > journey.left(now()):
-            raise self._given_up(journey, "no-room", loads.describe(name, now()))
+            raise self._build_error(journey, "no-room", loads.describe(name, now()))
         return name
 
     async def _attempt(self, journey: Journey, name: str) -> TargetAnswer | None:
         """Send once; None when it may be tried again."""
         target = self._directory.known[name].target
-        sender = self._senders.to(target, journey.service.connections)
-        loads = self.loads.of(journey.service.name)
+        sender = self._senders.get(target, journey.service.connections)
+        loads = self.loads.for_service(journey.service.name)
         load = loads.load(name, target.slots)
-        self.cold.sent(name, journey.service)
+        self.cold.record_request(name, journey.service)
         load.inflight += 1
         began = now()
-        failed, report, had_turn = True, None, journey.turn is not None
+        failed, report, had_permit = True, None, journey.turn is not None
         try:
             answer = await sender.send(journey.req, journey.left(began))
-            failed, report = has_failed(answer), report_of(answer)
+            failed, report = is_failure(answer), build_load_report(answer)
         except asyncio.CancelledError:
             # Its caller has left, which says nothing about the target.
             if journey.turn is not None:
@@ -318,43 +318,43 @@
         except NeverSent as exc:
             load.failed(now())
             journey.tried.add(name)
-            self._owners.turned_away(journey, name)
+            self._owner_resolver.turned_away(journey, name)
             if journey.left(now()) < LEAST_TIME:
-                raise self._given_up(journey, "unreachable") from exc
+                raise self._build_error(journey, "unreachable") from exc
             return None
         except AnswerLost as exc:
-            self._lost(journey, name, exc)
+            self._handle_lost_answer(journey, name, exc)
             return None
         finally:
             load.inflight -= 1
-            self._end_turn(journey, failed, report)
+            self._release_permit(journey, failed, report)
         kind, service = journey.route.name, journey.service.name
-        self.loads.learn(name, kind, service, answer, now() - began)
-        if answer.not_run and not answer.misdirected and had_turn:
+        self.loads.record_answer(name, kind, service, answer, now() - began)
+        if answer.not_run and not answer.misdirected and had_permit:
             journey.shed += 1
-        return self._judge(journey, name, answer)
+        return self._handle_answer(journey, name, answer)
 
-    def _lost(self, journey: Journey, name: str, exc: AnswerLost) -> None:
+    def _handle_lost_answer(self, journey: Journey, name: str, exc: AnswerLost) -> None:
         journey.attempts += 1
         journey.tried.add(name)
         moment = now()
         late = journey.left(moment) < LEAST_TIME
         journey.lost = "timeout" if late else "answer-lost"
-        self.loads.of(journey.service.name).load(name, 1).failed(moment)
+        self.loads.for_service(journey.service.name).load(name, 1).failed(moment)
         if not journey.route.idempotent or late:
             detail = f"target {name} attempts {journey.attempts}: {exc}"
             raise Unanswered(journey.lost, late, detail) from exc
         # Some targets reset connections when they are full.
-        self._owners.turned_away(journey, name)
+        self._owner_resolver.turned_away(journey, name)
 
-    def _judge(
+    def _handle_answer(
         self, journey: Journey, name: str, answer: TargetAnswer
     ) -> TargetAnswer | None:
         journey.attempts += 1
         if answer.misdirected:
             # The keys have moved, or the address has another target now. The owner may
             # be asked again once this VM has heard of the move.
-            self._owners.turned_away(journey, name)
+            self._owner_resolver.turned_away(journey, name)
             return None
         journey.tried.add(name)
         if answer.not_run:
@@ -363,46 +363,50 @@
             # One that turns away a request which has its turn has slots free, and a
             # pause would only make the answer late.
             if journey.shed != 1:
-                self._owners.turned_away(journey, name)
+                self._owner_resolver.turned_away(journey, name)
             return None
         failed = answer.status >= SERVER_ERROR
-        if failed and journey.route.idempotent and self._can_repeat(journey):
+        if failed and journey.route.idempotent and self._can_retry(journey):
             journey.failure = Answered(answer, name, journey.attempts)
             return None
         return answer
 
-    def _can_repeat(self, journey: Journey) -> bool:
+    def _can_retry(self, journey: Journey) -> bool:
         enough = journey.left(now()) > journey.route.objective / 2
         return enough and journey.attempts < journey.route.attempts
 
-    def _given_up(
+    def _build_error(
         self, journey: Journey, reason: str, detail: str = "", after: float = 0.0
     ) -> Refused | Unanswered:
         detail = f"{detail} attempts {journey.attempts} {journey.trace()}".strip()
         if journey.lost:
             return Unanswered(journey.lost, False, detail)
-        back = self._rng.uniform(SHORTEST_RETURN, LONGEST_RETURN)
+        retry_after = self._rng.uniform(
+            MIN_RETRY_AFTER_SECONDS, MAX_RETRY_AFTER_SECONDS
+        )
         if journey.shed:
             # There is room; waiting would not make the next try any better.
-            back = RETURN_AT_ONCE
+            retry_after = RETURN_AT_ONCE
         if after:
-            back = max(SHORTEST_RETURN, after) * self._rng.uniform(1, RETURN_SPREAD)
-        return Refused(reason, back, detail)
+            retry_after = max(MIN_RETRY_AFTER_SECONDS, after) * self._rng.uniform(
+                1, RETRY_AFTER_SPREAD
+            )
+        return Refused(reason, retry_after, detail)
 
-    def _service_of(self, route: Route) -> str:
+    def _choose_service(self, route: Route) -> str:
         if len(route.shares) == 1:
             return route.shares[0].service
         weights = tuple((s.service, s.weight) for s in route.shares)
-        known = self._turns.get(route.name)
+        known = self._splits.get(route.name)
         if known is None or known[0] != weights:
-            turns = WeightedTurns([w for _, w in weights], self._rng.random())
-            known = self._turns[route.name] = (weights, turns)
+            split = WeightedTurns([w for _, w in weights], self._rng.random())
+            known = self._splits[route.name] = (weights, split)
         return route.shares[known[1].take()].service
 
-    def _budget(self, service: str) -> Budget:
-        budget = self._budgets.get(service)
+    def _retry_budget(self, service: str) -> Budget:
+        budget = self._retry_budgets.get(service)
         if budget is None:
             share = self._bounds.retry_ratio * BUDGET_USE
             reserve = self._bounds.retry_allowance / (2 * self.vms)
-            budget = self._budgets[service] = Budget(share, max(1.0, reserve))
+            budget = self._retry_budgets[service] = Budget(share, max(1.0, reserve))
         return budget
--- a/packages/entry/src/berylstage_entry/senders.py
+++ b/packages/entry/src/berylstage_entry/senders.py
@@ -16,13 +16,13 @@
 
 # Connections that one VM keeps to a target, at least. With two, 65 VMs could hold 130
 # to targets that accept 95 and reset the rest, requests and all.
-FEWEST_CONNECTIONS = 1
+MIN_CONNECTIONS = 1
 # Share of a target's connections that all VMs together use; the rest is for VMs that
 # come and go before the others know, and for grants.
 CONNECTION_SHARE = 0.7
 # Seconds after which an idle connection is not used again: below the shortest idle
 # time that a target has told (10 s), by the time that a connection may stand unnoticed.
-MAX_IDLE = 7
+MAX_IDLE_SECONDS = 7
 
 
 class Sender:
@@ -38,13 +38,13 @@
         Of the connections to all targets of its service.
     """
 
-    __slots__ = ("_client", "_is_retired", "_under_way", "_wire", "target")
+    __slots__ = ("_client", "_is_retired", "_in_flight", "_wire", "target")
 
     def __init__(self, target: Target, wire: TargetWire, connections: int, rest: Rest):
         self.target = target
         self._wire = wire
-        self._client = CallClient(connections, max_idle=MAX_IDLE, rest=rest)
-        self._under_way = 0
+        self._client = CallClient(connections, max_idle=MAX_IDLE_SECONDS, rest=rest)
+        self._in_flight = 0
         self._is_retired = False
 
     async def send(
@@ -77,11 +77,11 @@
             echo_name=self._wire.echo_header,
             unframed=True,
         )
-        self._under_way += 1
+        self._in_flight += 1
         try:
             answer = self._wire.answer(await self._client.call(call))
         finally:
-            self._under_way -= 1
+            self._in_flight -= 1
             self._close_if_done()
         if not answer.genuine and not answer.not_run and not answer.misdirected:
             raise AnswerLost(
@@ -93,7 +93,7 @@
     @property
     def is_busy(self) -> bool:
         """Whether a request is under way."""
-        return self._under_way > 0
+        return self._in_flight > 0
 
     def retire(self) -> None:
         """Send nothing more, and close all connections when what was sent has ended.
@@ -111,7 +111,7 @@
         self._client.close()
 
     def _close_if_done(self) -> None:
-        if self._is_retired and not self._under_way:
+        if self._is_retired and not self._in_flight:
             # The client is still at work on the call that has ended.
             asyncio.get_running_loop().call_soon(self._client.close)
 
@@ -135,7 +135,7 @@
         # VMs that share the connections of a target, as far as they are known.
         self.vms = 10
 
-    def to(self, target: Target, connections: int) -> Sender:
+    def get(self, target: Target, connections: int) -> Sender:
         """Return the sender to a target.
 
         Parameters
@@ -151,11 +151,11 @@
                 return sender
             self._retire(sender)
         rest = self._rests.setdefault(target.service, Rest())
-        sender = Sender(target, self._wire, self.share(connections), rest)
+        sender = Sender(target, self._wire, self.connection_share(connections), rest)
         self._senders[target.name] = sender
         return sender
 
-    def share(self, connections: int) -> int:
+    def connection_share(self, connections: int) -> int:
         """Return how many connections of a target this VM may hold.
 
         Parameters
@@ -163,10 +163,10 @@
         connections : int
             That the target accepts from all VMs.
         """
-        share = int(connections * CONNECTION_SHARE / self.vms)
-        return max(FEWEST_CONNECTIONS, share)
+        connection_share = int(connections * CONNECTION_SHARE / self.vms)
+        return max(MIN_CONNECTIONS, connection_share)
 
-    def keep(self, names: set[str]) -> None:
+    def retain(self, names: set[str]) -> None:
         """Send nothing more to any other target, and close what leads there."""
         for name in [name for name in self._senders if name not in names]:
             self._retire(self._senders.pop(name))
--- a/packages/entry/src/berylstage_entry/target_loads.py
+++ b/packages/entry/src/berylstage_entry/target_loads.py
@@ -17,7 +17,7 @@
     from berylstage_entry.wire import TargetAnswer
 
 # Weight of a new answer in the mean size of its kind.
-SIZE_GAIN = 0.05
+ANSWER_SIZE_GAIN = 0.05
 # Status of an answer that tells of the target's own failure.
 SERVER_ERROR = 500
 
@@ -37,27 +37,29 @@
         self._by_service: dict[str, ServiceLoads] = {}
         self._seen_revision = -1
         # Mean bytes of the answers to each kind of request.
-        self._sizes: dict[str, float] = {}
+        self._answer_sizes: dict[str, float] = {}
         # When a request for each service came last.
-        self._asked: dict[str, float] = {}
+        self._last_requested_at: dict[str, float] = {}
 
-    def of(self, service: str) -> ServiceLoads:
+    def for_service(self, service: str) -> ServiceLoads:
         """Return the loads of the targets of a service."""
         if self._seen_revision != self._directory.revision:
             self._seen_revision = self._directory.revision
             names = set(self._directory.known)
             for loads in self._by_service.values():
-                loads.keep(names)
+                loads.retain(names)
         found = self._by_service.get(service)
         if found is None:
             found = self._by_service[service] = ServiceLoads(self._rng)
         return found
 
-    def asked(self, service: str) -> None:
+    def record_request(self, service: str) -> None:
         """Note that a request for a service has come."""
-        self._asked[service] = now()
+        self._last_requested_at[service] = now()
 
-    def ages(self, target: Target, moment: float) -> tuple[float, float]:
+    def report_and_request_ages(
+        self, target: Target, moment: float
+    ) -> tuple[float, float]:
         """Return the seconds since a target told its load, and since it mattered.
 
         Parameters
@@ -71,38 +73,40 @@
         tuple of float
             Since its last report, and since this VM had a request for its service.
         """
-        loads = self.of(target.service)
+        loads = self.for_service(target.service)
         load = loads.load(target.name, target.slots)
-        asked = self._asked.get(target.service, float("-inf"))
-        return moment - load.reported, moment - asked
+        record_request = self._last_requested_at.get(target.service, float("-inf"))
+        return moment - load.reported, moment - record_request
 
-    def heard(self, target: Target, busy: int, report: LoadReport) -> None:
+    def apply_report(self, target: Target, active: int, report: LoadReport) -> None:
         """Take in what a target has told this VM of its load.
 
         Parameters
         ----------
         target : Target
-        busy : int
+        active : int
             Requests that run or wait there, one that was just answered not counted.
         report : LoadReport
         """
-        loads = self.of(target.service)
+        loads = self.for_service(target.service)
         load = loads.load(target.name, target.slots)
-        load.told(busy, report.slots, report.pace, now())
+        load.told(active, report.slots, report.pace, now())
         loads.told(load)
 
-    def unheard(self, target: Target) -> None:
+    def record_probe_failure(self, target: Target) -> None:
         """Note that a target did not answer when it was asked for its load."""
-        loads = self.of(target.service)
+        loads = self.for_service(target.service)
         loads.load(target.name, target.slots).failed(now())
 
-    def told_of(self, name: str, busy: int, pace: float, at: float) -> None:
+    def apply_remote_report(
+        self, name: str, active: int, pace: float, at: float
+    ) -> None:
         """Take in what another VM has heard of the load of a target.
 
         Parameters
         ----------
         name : str
-        busy : int
+        active : int
             Requests that run or wait there.
         pace : float
         at : float
@@ -115,7 +119,7 @@
         load = loads.load(name, known.target.slots)
         if at <= load.reported:
             return
-        load.told(busy, known.target.slots, pace, at)
+        load.told(active, known.target.slots, pace, at)
         loads.told(load)
 
     def answer_size(self, kind: str) -> float:
@@ -126,9 +130,9 @@
         kind : str
             Name of the route.
         """
-        return self._sizes.get(kind, 0.0)
+        return self._answer_sizes.get(kind, 0.0)
 
-    def told_how(self, name: str, failed: bool) -> None:
+    def record_outcome(self, name: str, failed: bool) -> None:
         """Take in how a request of some VM went at a target.
 
         Parameters
@@ -139,14 +143,14 @@
         known = self._directory.known.get(name)
         if known is None:
             return
-        loads = self.of(known.target.service)
+        loads = self.for_service(known.target.service)
         load = loads.load(name, known.target.slots)
         if failed:
-            load.struck(now())
+            load.record_shared_failure(now())
         else:
-            load.praised()
+            load.record_shared_success()
 
-    def sound(self, service: str, names: list[str]) -> list[str]:
+    def non_ejected(self, service: str, names: list[str]) -> list[str]:
         """Return the targets that are not left out for having failed.
 
         Parameters
@@ -155,18 +159,18 @@
         names : list of str
             Targets of it.
         """
-        loads, known = self.of(service), self._directory.known
+        loads, known = self.for_service(service), self._directory.known
         return [
             name
             for name in names
-            if loads.load(name, known[name].target.slots).shunned_until <= now()
+            if loads.load(name, known[name].target.slots).ejected_until <= now()
         ]
 
     def seen(self, service: str) -> ServiceLoads | None:
         """Return what this VM has seen of a service; None before its first request."""
         return self._by_service.get(service)
 
-    def work(self, service: str, name: str, kind: str) -> float:
+    def service_seconds(self, service: str, name: str, kind: str) -> float:
         """Return the seconds that a target takes for a request of a kind.
 
         Parameters
@@ -176,9 +180,9 @@
         kind : str
             Name of the request's route.
         """
-        return self.of(service).work(name, kind, now())
+        return self.for_service(service).service_seconds(name, kind, now())
 
-    def learn(
+    def record_answer(
         self,
         target: str,
         kind: str,
@@ -198,33 +202,33 @@
         seconds : float
             From sending to the answer.
         """
-        loads = self.of(service)
+        loads = self.for_service(service)
         load = loads.load(target, 1)
         moment = now()
         known = self._directory.known.get(target)
-        report = report_of(answer)
+        report = build_load_report(answer)
         if answer.load is not None and report is not None and known is not None:
-            self.heard(known.target, report.running, answer.load)
-        if has_failed(answer):
+            self.apply_report(known.target, report.running, answer.load)
+        if is_failure(answer):
             load.failed(moment)
             return
         load.worked(moment)
-        size = self._sizes.get(kind, float(len(answer.body)))
-        self._sizes[kind] = size + SIZE_GAIN * (len(answer.body) - size)
+        size = self._answer_sizes.get(kind, float(len(answer.body)))
+        self._answer_sizes[kind] = size + ANSWER_SIZE_GAIN * (len(answer.body) - size)
         if answer.load is None or not answer.load.waiting:
             loads.answered(target, kind, seconds / load.pace)
 
 
-def has_failed(answer: TargetAnswer) -> bool:
+def is_failure(answer: TargetAnswer) -> bool:
     """Tell whether an answer speaks against the target that gave it."""
     return answer.not_run or answer.misdirected or answer.status >= SERVER_ERROR
 
 
-def report_of(answer: TargetAnswer) -> LoadReport | None:
+def build_load_report(answer: TargetAnswer) -> LoadReport | None:
     """Return what a target has to do beside the request that it answered."""
-    told = answer.load
-    if told is None:
+    report = answer.load
+    if report is None:
         return None
     # Its target counts the answered request as still running.
-    busy = max(0, told.running + told.waiting - 1)
-    return LoadReport(busy, 0, told.slots, told.pace)
+    active = max(0, report.running + report.waiting - 1)
+    return LoadReport(active, 0, report.slots, report.pace)
--- a/packages/entry/src/berylstage_entry/turn_messages.py
+++ b/packages/entry/src/berylstage_entry/turn_messages.py
@@ -13,9 +13,9 @@
 REPLY_FORMAT = 21
 RETURN_FORMAT = 22
 _MS = 1000
-_PACE_UNIT = 20
-_MOST_BYTE = 255
-_MOST_SHORT = 65535
+_SLOWDOWN_UNITS = 20
+_MAX_BYTE = 255
+_MAX_SHORT = 65535
 # Number, queue, kind, milliseconds until its answer is of less use, of its objective
 # and until it is of none, priority.
 _ASK = struct.Struct("<BIIIhHHB")
@@ -30,7 +30,7 @@
     return crc32(name.encode())
 
 
-def _read(layout: struct.Struct, data: bytes) -> tuple:
+def _unpack(layout: struct.Struct, data: bytes) -> tuple:
     try:
         return layout.unpack(data)
     except struct.error as exc:
@@ -50,12 +50,20 @@
         Seconds until its answer is of less use; below 0 when it is already.
     objective : float
         Seconds from its arrival until then.
-    left : float
+    deadline : float
         Seconds until its answer is of no use.
     priority : int
     """
 
-    __slots__ = ("kind", "left", "number", "objective", "priority", "queue", "wanted")
+    __slots__ = (
+        "kind",
+        "deadline",
+        "number",
+        "objective",
+        "priority",
+        "queue",
+        "wanted",
+    )
 
     def __init__(
         self,
@@ -64,7 +72,7 @@
         kind: int,
         wanted: float,
         objective: float,
-        left: float,
+        deadline: float,
         priority: int,
     ):
         self.number = number
@@ -72,21 +80,21 @@
         self.kind = kind
         self.wanted = wanted
         self.objective = objective
-        self.left = left
+        self.deadline = deadline
         self.priority = priority
 
     def encode(self) -> bytes:
         """Return the datagram."""
-        wanted = max(-_MOST_SHORT // 2, min(_MOST_SHORT // 2, round(self.wanted * _MS)))
+        wanted = max(-_MAX_SHORT // 2, min(_MAX_SHORT // 2, round(self.wanted * _MS)))
         return _ASK.pack(
             ASK_FORMAT,
             self.number,
             self.queue,
             self.kind,
             wanted,
-            min(_MOST_SHORT, round(self.objective * _MS)),
-            max(0, min(_MOST_SHORT, round(self.left * _MS))),
-            min(_MOST_BYTE, max(0, self.priority)),
+            min(_MAX_SHORT, round(self.objective * _MS)),
+            max(0, min(_MAX_SHORT, round(self.deadline * _MS))),
+            min(_MAX_BYTE, max(0, self.priority)),
         )
 
     @classmethod
@@ -98,8 +106,10 @@
         UnreadableRecord
             It is none.
         """
-        _, number, queue, kind, wanted, objective, left, priority = _read(_ASK, data)
-        times = wanted / _MS, objective / _MS, left / _MS
+        _, number, queue, kind, wanted, objective, deadline, priority = _unpack(
+            _ASK, data
+        )
+        times = wanted / _MS, objective / _MS, deadline / _MS
         return cls(number, queue, kind, *times, priority)
 
 
@@ -109,26 +119,26 @@
     Parameters
     ----------
     number : int
-    say : int
+    status : int
         Value of :class:`berylstage_policy.slot_queue.Say`.
-    seconds : float
+    retry_after : float
         After which a refused one may come back.
     target : int
         Checksum of the target to which it is to go.
     """
 
-    __slots__ = ("number", "say", "seconds", "target")
+    __slots__ = ("number", "status", "retry_after", "target")
 
-    def __init__(self, number: int, say: int, seconds: float, target: int):
+    def __init__(self, number: int, status: int, retry_after: float, target: int):
         self.number = number
-        self.say = say
-        self.seconds = seconds
+        self.status = status
+        self.retry_after = retry_after
         self.target = target
 
     def encode(self) -> bytes:
         """Return the datagram."""
-        ms = min(_MOST_SHORT, round(self.seconds * _MS))
-        return _REPLY.pack(REPLY_FORMAT, self.number, self.say, ms, self.target)
+        ms = min(_MAX_SHORT, round(self.retry_after * _MS))
+        return _REPLY.pack(REPLY_FORMAT, self.number, self.status, ms, self.target)
 
     @classmethod
     def decode(cls, data: bytes) -> Reply:
@@ -139,8 +149,8 @@
         UnreadableRecord
             It is none.
         """
-        _, number, say, ms, target = _read(_REPLY, data)
-        return cls(number, say, ms / _MS, target)
+        _, number, status, ms, target = _unpack(_REPLY, data)
+        return cls(number, status, ms / _MS, target)
 
 
 class Return:
@@ -177,12 +187,18 @@
 
     def encode(self) -> bytes:
         """Return the datagram."""
-        busy, pace = 0, 0
+        active, pace = 0, 0
         if self.load is not None:
-            busy = min(_MOST_BYTE, self.load.running)
-            pace = max(1, min(_MOST_BYTE, round(self.load.pace * _PACE_UNIT)))
+            active = min(_MAX_BYTE, self.load.running)
+            pace = max(1, min(_MAX_BYTE, round(self.load.pace * _SLOWDOWN_UNITS)))
         return _RETURN.pack(
-            RETURN_FORMAT, self.number, self.queue, self.target, busy, pace, self.failed
+            RETURN_FORMAT,
+            self.number,
+            self.queue,
+            self.target,
+            active,
+            pace,
+            self.failed,
         )
 
     @classmethod
@@ -194,7 +210,7 @@
         UnreadableRecord
             It is none.
         """
-        _, number, queue, target, busy, pace, failed = _read(_RETURN, data)
+        _, number, queue, target, active, pace, failed = _unpack(_RETURN, data)
         # A pace of 0 stands for a target that told nothing.
-        load = LoadReport(busy, 0, 0, pace / _PACE_UNIT) if pace else None
+        load = LoadReport(active, 0, 0, pace / _SLOWDOWN_UNITS) if pace else None
         return cls(number, queue, target, bool(failed), load)
--- a/packages/entry/src/berylstage_entry/turn_times.py
+++ b/packages/entry/src/berylstage_entry/turn_times.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from berylstage_policy.completion import CROSSING_PER_BYTE, OTHER_DATA_CENTRE
+from berylstage_policy.completion import CROSSING_SECONDS_PER_BYTE, OTHER_DATA_CENTRE
 from berylstage_policy.slot_queue import ServiceTimes
 
 if TYPE_CHECKING:
@@ -30,13 +30,13 @@
         self._service = service
 
     def seconds(self, target: str, kind: str) -> float:  # noqa: D102
-        return self._loads.work(self._service, target, kind)
+        return self._loads.service_seconds(self._service, target, kind)
 
-    def distance(  # noqa: D102
+    def locality_penalty(  # noqa: D102
         self, target: str, origin: str, kind: str
     ) -> float:
         known = self._directory.known.get(target)
         if known is None or known.target.data_centre == origin:
             return 0.0
         size = self._loads.answer_size(kind)
-        return max(OTHER_DATA_CENTRE, CROSSING_PER_BYTE * size)
+        return max(OTHER_DATA_CENTRE, CROSSING_SECONDS_PER_BYTE * size)
--- a/packages/entry/tests/test_probes.py
+++ b/packages/entry/tests/test_probes.py
@@ -64,7 +64,7 @@
         router, probes = installation("10.0.0.1", Members(), records, targets)
         play(probes)
         assert sorted(targets.probed) == list(NAMES)
-        assert router.loads.of("s").slowness() == dict.fromkeys(NAMES, 1.5)
+        assert router.loads.for_service("s").slowness() == dict.fromkeys(NAMES, 1.5)
 
     def members(self):
         return Members(
--- a/packages/entry/tests/test_router.py
+++ b/packages/entry/tests/test_router.py
@@ -62,10 +62,10 @@
         self.script = list(script)
         self.sent = []
 
-    def to(self, target, connections):
+    def get(self, target, connections):
         return Sender(target.name, self)
 
-    def keep(self, names):
+    def retain(self, names):
         pass
 
 
@@ -262,7 +262,7 @@
         router, senders = self.owned(objective=0.3)
         req = CallerRequest("id", "GET", "h", "/a/", {}, 1.0, 7)
         asyncio.run(router.serve(req))
-        router.loads.told_of("a", 12, 1.0, now())
+        router.loads.apply_remote_report("a", 12, 1.0, now())
         with pytest.raises(Refused):
             asyncio.run(router.serve(req))
         assert senders.sent == ["a"]
@@ -272,8 +272,8 @@
         # wait for its answer until its time is over.
         router, senders = self.owned(objective=0.8)
         asyncio.run(router.serve(CallerRequest("1", "GET", "h", "/a/", {}, 1.0, 7)))
-        loads = router.loads.of("s")
-        router.loads.told_of("a", 4, 1.0, now())
+        loads = router.loads.for_service("s")
+        router.loads.apply_remote_report("a", 4, 1.0, now())
         expected = loads.expected("a", "r", now())
         assert 0.05 < expected < 0.8
         with pytest.raises(Refused):
@@ -436,10 +436,10 @@
         # all of 195 VMs for each cold target: answers took longer the more VMs there
         # were.
         asked = []
-        real = cold_targets.may_warm_up
+        real = cold_targets.is_cold_sender
         monkeypatch.setattr(
             cold_targets,
-            "may_warm_up",
+            "is_cold_sender",
             lambda name, *rest: asked.append(name) or real(name, *rest),
         )
         service = Service("s", "/", 50, 3.0, 5.0, False)
--- a/packages/entry/tests/test_senders.py
+++ b/packages/entry/tests/test_senders.py
@@ -20,7 +20,7 @@
         # requests of which nobody knows whether they ran.
         senders = Senders(None)
         senders.vms = vms
-        assert 1 <= senders.share(accepted) * vms <= 0.75 * accepted
+        assert 1 <= senders.connection_share(accepted) * vms <= 0.75 * accepted
 
 
 class PlainTargets(TargetWire):
@@ -93,12 +93,12 @@
             port = await made.start()
             known = target("i-1", address=f"127.0.0.1:{port}")
             senders = Senders(PlainTargets())
-            sent = asyncio.create_task(senders.to(known, 50).send(request("o-1"), 2.0))
+            sent = asyncio.create_task(senders.get(known, 50).send(request("o-1"), 2.0))
             await made.begun.wait()
             if successor:
-                senders.to(target("i-1", life=2, address="127.0.0.1:1"), 50)
+                senders.get(target("i-1", life=2, address="127.0.0.1:1"), 50)
             else:
-                senders.keep(set())
+                senders.retain(set())
             answer = await sent
             assert (answer.status, answer.body) == (200, b"whole")
             assert made.cut == 0
@@ -116,11 +116,11 @@
             known = target("i-1", address=f"127.0.0.1:{await made.start()}")
             senders = Senders(PlainTargets())
             senders.vms = 50
-            sender = senders.to(known, 50)
+            sender = senders.get(known, 50)
             first = asyncio.create_task(sender.send(request("o-1"), 2.0))
             second = asyncio.create_task(sender.send(request("o-2"), 2.0))
             await made.begun.wait()
-            senders.keep(set())
+            senders.retain(set())
             with pytest.raises(NeverSent):
                 await asyncio.wait_for(second, 0.1)
             assert (await first).body == b"whole"
@@ -134,7 +134,7 @@
             made = SlowTarget(0.0)
             known = target("i-1", address=f"127.0.0.1:{await made.start()}")
             senders = Senders(PlainTargets())
-            await senders.to(known, 50).send(request("o-1"), 2.0)
+            await senders.get(known, 50).send(request("o-1"), 2.0)
             assert made.open == 1
             senders.close()
             await asyncio.sleep(0.05)
--- a/packages/entry/tests/test_turn_times.py
+++ b/packages/entry/tests/test_turn_times.py
@@ -18,21 +18,21 @@
     directory.apply(Record(configuration=configuration()), 0.0, False)
     directory.apply(Record(target=target("a", data_centre="dc-1")), 0.0, False)
     router = Router(directory, None, Senders(None), BOUNDS, Random(1))
-    router.loads._sizes = sizes
+    router.loads._answer_sizes = sizes
     return TurnTimes(router.loads, directory, "s")
 
 
 class TestDistance:
     def test_target_in_the_same_data_centre_is_near(self):
-        assert times(r=1e6).distance("a", "dc-1", "r") == 0
+        assert times(r=1e6).locality_penalty("a", "dc-1", "r") == 0
 
     def test_small_answers_cross_for_little(self):
-        assert times(r=400).distance("a", "dc-2", "r") == OTHER_DATA_CENTRE
+        assert times(r=400).locality_penalty("a", "dc-2", "r") == OTHER_DATA_CENTRE
 
     def test_large_answers_cross_only_where_much_is_won(self):
         # Files of 90 kB, of which each data centre has some targets. Half of them
         # crossed for some ten milliseconds.
-        assert times(r=90e3).distance("a", "dc-2", "r") > 0.25
+        assert times(r=90e3).locality_penalty("a", "dc-2", "r") > 0.25
 
     def test_target_that_is_not_known_is_not_far(self):
-        assert times().distance("z", "dc-2", "r") == 0
+        assert times().locality_penalty("z", "dc-2", "r") == 0
--- a/packages/entry/tests/test_turns.py
+++ b/packages/entry/tests/test_turns.py
@@ -17,14 +17,14 @@
 from berylstage_entry.targets import LoadReport
 from berylstage_entry.turn_messages import Ask, Reply, Return, checksum
 from berylstage_entry.turns import (
-    ASKED,
-    LONGEST_TIMEOUT,
-    REPLY_TIMEOUT,
-    ReplyTimes,
+    MAX_ATTEMPTS,
+    MAX_REPLY_TIMEOUT_SECONDS,
+    MIN_REPLY_TIMEOUT_SECONDS,
+    ReplyTimeout,
     Turns,
 )
 from berylstage_entry.wire import CallerRequest, Record
-from berylstage_policy.keepers import PASSED_OVER
+from berylstage_policy.keepers import SERVER_BACKOFF_SECONDS
 from fakes import BOUNDS, configuration, target
 from virtual_time import virtual_loop
 
@@ -70,18 +70,18 @@
         directory.apply(Record(configuration=configuration()), 0.0, False)
         directory.apply(Record(target=target("a")), 0.0, False)
         router = Router(directory, None, Senders(None), BOUNDS, Random(1))
-        self.keeper = QueueKeeper(router.loads, directory, Members())
+        self.server = QueueKeeper(router.loads, directory, Members())
         self.turns = Turns(Members(), host)
-        self.turns.ask = self.turns.give_back = self.keeper.send = lambda to, word: (
+        self.turns.ask = self.turns.give_back = self.server.send = lambda to, word: (
             network.carry(host, to, word.encode())
         )
         network.vms[host] = self
 
     def receive(self, host, data):
         reads = {
-            20: self.keeper.take_ask,
+            20: self.server.take_ask,
             21: self.turns.take_reply,
-            22: self.keeper.take_return,
+            22: self.server.take_return,
         }
         reads[data[0]](data, host)
 
@@ -107,12 +107,12 @@
                 network = Network()
                 vms = [Vm(host, network) for host in HOSTS]
                 for vm in vms:
-                    vm.keeper.start()
+                    vm.server.start()
                 try:
                     return await step(network, vms)
                 finally:
                     for vm in vms:
-                        vm.keeper.stop()
+                        vm.server.stop()
 
             return loop.run_until_complete(all_of_it())
 
@@ -120,7 +120,7 @@
 
 
 def keeper_of(vms):
-    return vms[0].turns._keepers_of("a", "dc-1")
+    return vms[0].turns._servers_for("a", "dc-1")
 
 
 class TestTurns:
@@ -145,7 +145,7 @@
             assert not waiting.done()
             vms[0].turns.done(first, False, LoadReport(1, 0, 2, 1.0))
             await asyncio.sleep(0.005)
-            assert waiting.result().keeper == second.keeper
+            assert waiting.result().server == second.server
 
         played(step)
 
@@ -161,8 +161,8 @@
             assert now() - began < 0.03
             assert caught.value.retry_after > 0
             # What finds the decision in the keeper's log.
-            keeper = keeper_of(vms)[0]
-            assert caught.value.turn.startswith(f"queue a keeper {keeper} number ")
+            server = keeper_of(vms)[0]
+            assert caught.value.turn.startswith(f"queue a keeper {server} number ")
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
@@ -177,11 +177,11 @@
             asks = next(vm for vm in vms if vm.host not in (first, second))
             network.lost_hosts.add(first)
             began = now()
-            assert (await asks.take()).keeper == second
-            assert now() - began < (ASKED + 1) * REPLY_TIMEOUT
+            assert (await asks.take()).server == second
+            assert now() - began < (MAX_ATTEMPTS + 1) * MIN_REPLY_TIMEOUT_SECONDS
             began = now()
-            assert (await asks.take()).keeper == second
-            assert now() - began < REPLY_TIMEOUT
+            assert (await asks.take()).server == second
+            assert now() - began < MIN_REPLY_TIMEOUT_SECONDS
             network.lost_hosts.add(second)
             assert await asks.take() is None
             began = now()
@@ -197,8 +197,8 @@
             network.lost_hosts.add(first)
             await asks.take()
             network.lost_hosts.clear()
-            await asyncio.sleep(PASSED_OVER + 0.1)
-            assert (await asks.take()).keeper == first
+            await asyncio.sleep(SERVER_BACKOFF_SECONDS + 0.1)
+            assert (await asks.take()).server == first
 
         played(step)
 
@@ -209,8 +209,8 @@
             asks = next(vm for vm in vms if vm.host not in (first, second))
             network.losing = lost
             began = now()
-            assert (await asks.take()).keeper == first
-            assert now() - began < (lost + 1) * REPLY_TIMEOUT
+            assert (await asks.take()).server == first
+            assert now() - began < (lost + 1) * MIN_REPLY_TIMEOUT_SECONDS
 
         played(step)
 
@@ -246,11 +246,11 @@
             waiting = asyncio.create_task(asking.take(0.3))
             await asyncio.sleep(0.15)
             assert not waiting.done()
-            next(vm for vm in vms if vm.host == first).keeper.stop()
+            next(vm for vm in vms if vm.host == first).server.stop()
             network.lost_hosts.add(first)
             began = now()
-            assert (await waiting).keeper == second
-            assert now() - began < REPLY_TIMEOUT
+            assert (await waiting).server == second
+            assert now() - began < MIN_REPLY_TIMEOUT_SECONDS
 
         played(step)
 
@@ -263,12 +263,12 @@
             turns = [await asking.take() for _ in range(2)]
             waiting = asyncio.create_task(asking.take())
             await asyncio.sleep(0.05)
-            keeping.keeper.stop()
+            keeping.server.stop()
             await asyncio.sleep(0.01)
             for turn in turns:
                 asking.turns.done(turn)
             await asyncio.sleep(0.01)
-            assert waiting.result().keeper == second
+            assert waiting.result().server == second
 
         played(step)
 
@@ -286,10 +286,10 @@
                 turn = await asking.take()
                 if turn is not None:
                     asking.turns.done(turn)
-                await asyncio.sleep(2 * PASSED_OVER)
+                await asyncio.sleep(2 * SERVER_BACKOFF_SECONDS)
             turn = await asking.take()
             assert turn is not None
-            assert turn.keeper == first
+            assert turn.server == first
 
         played(step)
 
@@ -301,41 +301,41 @@
             await asyncio.sleep(0.6)
             network.delay = 0.0005
             turn = await asking.take()
-            assert turn.keeper == keeper_of(vms)[0]
+            assert turn.server == keeper_of(vms)[0]
 
         played(step)
 
 
 class TestReplyTimes:
     def test_quick_keepers_are_given_up_soon(self):
-        times = ReplyTimes()
+        times = ReplyTimeout()
         for _ in range(50):
-            times.took(0.001)
-        assert times.timeout == REPLY_TIMEOUT
+            times.record(0.001)
+        assert times.timeout == MIN_REPLY_TIMEOUT_SECONDS
 
     def test_replies_that_wait_behind_large_answers_are_waited_for(self):
         # A VM with a link of 10 Mbit/s that passes answers of 90 kB on. Each of its 100
         # keepers counted as lost some times a minute, and requests went without turns.
-        times = ReplyTimes()
+        times = ReplyTimeout()
         for n in range(50):
-            times.took(0.002 if n % 3 else 0.07)
+            times.record(0.002 if n % 3 else 0.07)
         assert times.timeout > 0.07
 
     def test_lost_keeper_is_given_up_all_the_same(self):
-        times = ReplyTimes()
+        times = ReplyTimeout()
         for _ in range(50):
-            times.took(3.0)
-        assert times.timeout == LONGEST_TIMEOUT
+            times.record(3.0)
+        assert times.timeout == MAX_REPLY_TIMEOUT_SECONDS
 
 
 class TestMessages:
     def test_say_what_they_said(self):
         ask = Ask.decode(Ask(7, 1, 2, -0.25, 0.3, 0.8, 1).encode())
         assert (ask.number, ask.queue, ask.kind, ask.priority) == (7, 1, 2, 1)
-        assert (ask.wanted, ask.objective, ask.left) == (-0.25, 0.3, 0.8)
+        assert (ask.wanted, ask.objective, ask.deadline) == (-0.25, 0.3, 0.8)
         reply = Reply.decode(Reply(7, 3, 0.125, 9).encode())
-        assert (reply.number, reply.say) == (7, 3)
-        assert (reply.seconds, reply.target) == (0.125, 9)
+        assert (reply.number, reply.status) == (7, 3)
+        assert (reply.retry_after, reply.target) == (0.125, 9)
         back = Return.decode(
             Return(7, 1, checksum("a"), True, LoadReport(3, 0, 2, 1.6)).encode()
         )
@@ -346,7 +346,7 @@
     def test_far_off_times_are_kept_within_what_fits(self):
         ask = Ask.decode(Ask(1, 1, 2, 900.0, 900.0, 900.0, 999).encode())
         assert 30 < ask.wanted < 40
-        assert ask.left == 65.535
+        assert ask.deadline == 65.535
 
     @pytest.mark.parametrize("message", [Ask, Reply, Return])
     @pytest.mark.parametrize("data", [b"", b"\x14", b"\x15abc", b"\x16" * 99])
@@ -390,20 +390,20 @@
         # requests waited for it.
         fleet = Fleet()
         turns = Turns(fleet, "10.0.0.1")
-        before, first = turns.revision, turns._keepers_of("a", "dc-1")
+        before, first = turns.revision, turns._servers_for("a", "dc-1")
         fleet.come("small", 0.2)
         assert turns.revision == before
-        assert turns._keepers_of("a", "dc-1") is first
+        assert turns._servers_for("a", "dc-1") is first
         fleet.lose("small")
         assert turns.revision == before
 
     def test_queues_of_a_lost_keeper_go_to_another(self):
         fleet = Fleet()
         turns = Turns(fleet, "10.0.0.1")
-        before, first = turns.revision, turns._keepers_of("a", "dc-1")[0]
+        before, first = turns.revision, turns._servers_for("a", "dc-1")[0]
         fleet.lose(next(m.name for m in fleet.known if m.host == first))
         assert turns.revision > before
-        assert turns._keepers_of("a", "dc-1")[0] != first
+        assert turns._servers_for("a", "dc-1")[0] != first
 
     def test_larger_vm_takes_queues_over(self):
         fleet = Fleet()
@@ -411,9 +411,9 @@
         before = turns.revision
         fleet.come("larger", 1.0)
         assert turns.revision > before
-        kept = {turns._keepers_of(f"t{n}", "dc-1")[0] for n in range(50)}
+        kept = {turns._servers_for(f"t{n}", "dc-1")[0] for n in range(50)}
         assert "10.0.1.1" in kept
 
     def test_data_centre_without_a_vm_has_its_queues_kept_elsewhere(self):
         turns = Turns(Fleet(), "10.0.0.1")
-        assert len(turns._keepers_of("a", "dc-9")) == 2
+        assert len(turns._servers_for("a", "dc-9")) == 2
--- a/packages/policy/src/berylstage_policy/cold_pace.py
+++ b/packages/policy/src/berylstage_policy/cold_pace.py
@@ -1,9 +1,9 @@
-"""How often one of many VMs may send to a cold target.
+"""Rate limit of one VM's requests to a cold target.
 
-The load it answers: a cold target that is found by ten VMs at once. It bears a handful
-of requests a second from all of them together and falls over above that, and no VM
-knows what the others send at this moment. So each VM keeps a pace that stays within the
-bound when all of them send; one sees without it targets that die again and again right
+A target that returns cold may be discovered by ten VMs at once. It handles a handful of
+requests per second from all of them together and fails above that, and no VM knows what
+the others are sending at the moment. Each VM therefore limits its rate so that the sum
+stays within the bound even if all VMs send; without that, targets fail repeatedly right
 after their start.
 """
 
@@ -15,77 +15,79 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-# VMs that are assumed beyond those that are known, for those that are just starting.
-UNKNOWN = 2
-# Seconds between two requests of one VM at least. A little over the second in which the
-# bound is counted, so that delays on the way cannot bring two into one second.
-SHORTEST_GAP = 1.15
+# VMs assumed in addition to the known ones, for those that are just starting.
+ASSUMED_UNKNOWN_VMS = 2
+# Minimum interval between two requests of one VM. It is slightly longer than the second
+# over which the bound is counted, so that delays in transit cannot bring two requests
+# into one second.
+MIN_INTERVAL_SECONDS = 1.15
 
 
-# Share of the bound that is given out as turns when there are more VMs than that; the
-# rest is for VMs that do not know of each other yet.
-TURNS_SHARE = 0.7
+# Share of the bound that is given to selected senders if there are more VMs than the
+# bound has requests. The rest is for VMs that do not know of each other yet.
+SENDER_SHARE = 0.7
 
 
-def may_warm_up(target: str, vm: str, vms: Sequence[str], bound: float) -> bool:
-    """Tell whether a VM is one of those that send to a cold target.
+def is_cold_sender(target: str, vm: str, vms: Sequence[str], bound: float) -> bool:
+    """Tell whether a VM may send requests to a cold target.
 
-    With more VMs than the bound has requests, no pace of each is slow enough: all of
-    them may send in the same second (seen in play: 30 of 30). So some of them send, by
-    an order that is another one for each target and the same on all VMs.
+    If there are more VMs than the bound has requests, no rate limit per VM is low
+    enough: all VMs may send in the same second (30 of 30 did in a simulation). Only the
+    first VMs of a ranking then send, which differs by target and is the same on all
+    VMs.
 
     Parameters
     ----------
     target, vm : str
     vms : sequence of str
-        All that are known, this one included or not.
+        Known VMs, with or without this one.
     bound : float
-        Requests that the target bears in any one second, from all VMs.
+        Maximum requests in any one second, from all VMs.
 
     Returns
     -------
     bool
     """
     others = {name for name in vms if name != vm}
-    if len(others) + 1 + UNKNOWN <= int(bound):
+    if len(others) + 1 + ASSUMED_UNKNOWN_VMS <= int(bound):
         return True
-    turns = max(1, int(TURNS_SHARE * bound))
-    mine = _rank(target, vm)
-    return sum(1 for name in others if _rank(target, name) < mine) < turns
+    max_senders = max(1, int(SENDER_SHARE * bound))
+    own_rank = _rank(target, vm)
+    return sum(1 for name in others if _rank(target, name) < own_rank) < max_senders
 
 
 def _rank(target: str, vm: str) -> int:
     return crc32(f"{target} {vm}".encode())
 
 
-class ColdPace:
-    """The pace of one VM towards one cold target.
+class ColdRateLimiter:
+    """Rate limiter of one VM for one cold target.
 
     Parameters
     ----------
     bound : float
-        Requests that the target bears in any one second, from all VMs.
-    senders : int
-        VMs that may send, at least 1; more are assumed than are known.
+        Maximum requests in any one second, from all VMs.
+    vm_count : int
+        VMs that may send, at least 1; includes VMs assumed to be starting.
     now : float
-        Monotonic seconds. A VM that has just started doesn't know what it sent before,
-        so it begins as if it had just sent.
+        Monotonic seconds. A VM that has just started does not know what it sent before
+        and therefore starts as if it had just sent a request.
     """
 
-    __slots__ = ("_gap", "_next")
+    __slots__ = ("_interval", "_next_at")
 
-    def __init__(self, bound: float, senders: int, now: float):
-        self._gap = self.gap(bound, senders)
-        self._next = now + self._gap
+    def __init__(self, bound: float, vm_count: int, now: float):
+        self._interval = self.interval(bound, vm_count)
+        self._next_at = now + self._interval
 
     @staticmethod
-    def gap(bound: float, senders: int) -> float:
-        """Return the seconds between two requests; infinite when none may be sent.
+    def interval(bound: float, vm_count: int) -> float:
+        """Return the interval in seconds between two requests; infinite to send none.
 
         Parameters
         ----------
         bound : float
-        senders : int
+        vm_count : int
 
         Returns
         -------
@@ -93,12 +95,12 @@
         """
         if bound < 1:
             return float("inf")
-        return SHORTEST_GAP / max(1, int(bound / max(1, senders)))
+        return MIN_INTERVAL_SECONDS / max(1, int(bound / max(1, vm_count)))
 
     def may_send(self, now: float) -> bool:
         """Tell whether a request may be sent now."""
-        return now >= self._next
+        return now >= self._next_at
 
-    def sent(self, now: float) -> None:
-        """Note a request."""
-        self._next = now + self._gap
+    def record_request(self, now: float) -> None:
+        """Record that a request is sent."""
+        self._next_at = now + self._interval
--- a/packages/policy/src/berylstage_policy/completion.py
+++ b/packages/policy/src/berylstage_policy/completion.py
@@ -1,10 +1,10 @@
-"""Which target of several will be done with a request first.
+"""Choice of the target with the earliest expected completion.
 
-The load it answers: targets with two or three slots, of uneven and changing speed,
-before which many VMs choose at the same time. What a target told in its last answer is
-stale within a few hundred milliseconds, so it fades; what this VM has under way itself
-is certain and counts in full. A VM that goes by the reports alone sends one request
-after the other to the target that was idle when it answered last.
+Targets have two or three slots and uneven, changing speed, and many VMs choose among
+them concurrently. The load that a target reported with its last answer is stale within
+a few hundred milliseconds, so the weight of a report decays; this VM's own requests in
+flight are known exactly and count in full. A VM that relied on reports alone would send
+one request after another to the target that was idle when it answered last.
 """
 
 from __future__ import annotations
@@ -16,53 +16,56 @@
     from collections.abc import Iterable
     from random import Random
 
-# Seconds in which a report loses two thirds of its weight: about two service times of
-# the middle of the kinds that the targets of today work on (40 to 300 ms).
+# Time constant in seconds of the decay of a report: about two service times of the
+# median request kind of the current targets (40 to 300 ms).
 REPORT_MEMORY = 0.3
-# Weight of a new answer in the slowness of a target, and in the typical time of a kind,
-# of which a VM sees as many answers as of all targets of the service together.
-SLOWNESS_GAIN = 0.15
-TYPICAL_GAIN = 0.04
-# Slowness is kept within these: an answer that took a twentieth of the usual was small,
-# and one that took ten times as long is of the rare long kind; neither tells of the
-# target. Targets of today are from 0.65 to 2 times as slow as the middle one.
-LEAST_SLOWNESS = 0.6
-MOST_SLOWNESS = 2.2
-# Seconds in which the usual pace of a target's machine rises most of the way to what it
-# tells; it falls at once. Neighbours slow a machine by a factor of three for 0.4 s at a
-# time: that must not count as its own speed, which is lasting (0.5 to 1.5 are told).
-PACE_RISE = 2.0
-# Times its usual pace from which a machine counts as slowed by neighbours; for how long
-# that is taken to last until it has been seen, and the weight of each time.
-SLOWED = 1.5
-FIRST_SPELL = 0.4
-SPELL_GAIN = 0.1
-# Seconds assumed for a service whose targets have not answered yet.
-FIRST_TIME = 0.1
-# Targets that are compared in one choice. All of them at today's size, where one
-# comparison costs about 1 us.
+# Weights of a new answer in a target's service time ratio, and in the typical service
+# time of a kind, which averages the answers of all targets of the service.
+SERVICE_TIME_RATIO_GAIN = 0.15
+TYPICAL_SECONDS_GAIN = 0.04
+# Bounds of the service time ratio. An answer that took a twentieth of the typical time
+# was small, and one that took ten times as long is of a rare long kind; neither says
+# anything about the target. Current targets range from 0.65 to 2 times the median.
+MIN_SERVICE_TIME_RATIO = 0.6
+MAX_SERVICE_TIME_RATIO = 2.2
+# Time constant in seconds with which a machine's lasting slowdown rises to the reported
+# one; it falls immediately. Noisy neighbours slow a machine by a factor of three for
+# 0.4 s at a time, which must not count as its lasting slowdown (reported as 0.5 to
+# 1.5).
+SLOWDOWN_RISE_SECONDS = 2.0
+# A machine is considered slowed by neighbours from this multiple of its lasting
+# slowdown. The mean length of such a slow period starts at the initial value, and each
+# observed period is averaged in with the gain.
+SLOW_PERIOD_FACTOR = 1.5
+INITIAL_SLOW_PERIOD_SECONDS = 0.4
+SLOW_PERIOD_GAIN = 0.1
+# Service time assumed until a target of the service has answered.
+INITIAL_SERVICE_SECONDS = 0.1
+# Maximum number of targets compared in one choice, which covers all targets of current
+# services. One comparison costs about 1 us.
 COMPARED = 16
-# How much better than the best, as a share of the service time, makes no difference: a
-# choice among equals at random keeps VMs with the same picture apart.
+# Expected times that differ by less than this share of the mean service time count as
+# equal. A random choice among them keeps VMs with the same information from all
+# choosing the same target.
 TIE = 0.15
-# Seconds by which a target in another data centre is put behind one in the same: bytes
-# between data centres are paid for, and the way there and back takes 2 to 3 ms. At 1.3
-# times today's requests 0.65, 0.42, 0.28 and 0.14 of them cross with 0, 0.04, 0.08 and
-# 0.16 s, and earn 0.955, 0.959, 0.960 and 0.956 (`make bench-placement`).
+# Locality penalty in seconds of a target in another data centre: traffic between data
+# centres is paid for, and a round trip takes 2 to 3 ms. At 1.3 times the current load,
+# shares of 0.65, 0.42, 0.28 and 0.14 of the requests cross with penalties of 0, 0.04,
+# 0.08 and 0.16 s, and earn 0.955, 0.959, 0.960 and 0.956 (`make bench-placement`).
 OTHER_DATA_CENTRE = 0.08
-# The same for each byte of an answer, where that is more: 90 kB that cross cost about a
-# quarter of what the request is worth.
-CROSSING_PER_BYTE = 3.3e-6
-# Seconds for which a target that lost a request or failed is left alone at first, and
-# at most: the span doubles with each new failure.
-FIRST_PENALTY = 0.5
-# Failures in a row, of requests of all VMs, after which no VM sends there for a while.
-STRIKES = 3
-LONGEST_PENALTY = 4.0
+# Locality penalty for each byte of an answer, if that is more: an answer of 90 kB that
+# crosses costs about a quarter of the request's value.
+CROSSING_SECONDS_PER_BYTE = 3.3e-6
+# A target that lost or failed a request is avoided for the initial time; the time
+# doubles with each further failure, up to the maximum.
+INITIAL_BACKOFF_SECONDS = 0.5
+# Consecutive failures, over the requests of all VMs, after which a target is ejected.
+MAX_CONSECUTIVE_FAILURES = 3
+MAX_BACKOFF_SECONDS = 4.0
 
 
 class TargetLoad:
-    """What one VM knows of the load of one target.
+    """Load of one target as seen by one VM.
 
     Parameters
     ----------
@@ -70,221 +73,246 @@
     """
 
     __slots__ = (
-        "avoid_until",
+        "backoff_until",
         "distance",
         "inflight",
-        "others",
+        "other_active",
         "pace",
-        "penalty",
+        "backoff_seconds",
         "reported",
         "slots",
         "slow_since",
-        "shunned_until",
+        "ejected_until",
         "slowness",
-        "spell",
-        "strikes",
-        "usual_pace",
-        "was_heard",
+        "slow_period",
+        "consecutive_failures",
+        "usual_slowdown",
+        "has_data",
     )
 
     def __init__(self, slots: int):
         self.slots = slots
         self.inflight = 0
-        # Seconds by which it is put behind others, for what its answers cost on the
-        # way.
+        # Seconds added to the expected time, for the cost of transferring the answers.
         self.distance = 0.0
-        # Requests of other VMs there when it answered last.
-        self.others = 0.0
-        # How long work takes on its machine, over the usual: as told last, and as it is
-        # without the neighbours that slow it for moments.
+        # Requests of other VMs at the target, by its last report.
+        self.other_active = 0.0
+        # Service time on the target's machine relative to the usual machine: as last
+        # reported, and without the slow periods that neighbours cause.
         self.pace = 1.0
-        self.usual_pace = inf
+        self.usual_slowdown = inf
         self.reported = -inf
-        # Since when its machine has been slowed, infinite while it is not; and for how
-        # long it was the last time, until that has been taken in.
+        # Start of the current slow period, infinite if there is none; and length of the
+        # last one until it is averaged into the service's mean.
         self.slow_since = inf
-        self.spell = 0.0
-        # Mean of its service times over what is typical for their kinds and the pace.
+        self.slow_period = 0.0
+        # Mean ratio of service times to those typical for their kinds and the machine.
         self.slowness = 1.0
-        self.avoid_until = -inf
-        self.penalty = 0.0
-        # Failures in a row that any VM has told of, and until when it gets no turns.
-        self.strikes = 0
-        self.shunned_until = -inf
-        # Whether it told or answered anything yet.
-        self.was_heard = False
+        self.backoff_until = -inf
+        self.backoff_seconds = 0.0
+        # Consecutive failures reported by any VM, and the end of the ejection.
+        self.consecutive_failures = 0
+        self.ejected_until = -inf
+        # Whether the target has reported its load or answered a request.
+        self.has_data = False
 
-    def told(self, busy: int, slots: int, pace: float, now: float) -> None:
-        """Take in what the target told in an answer that has just come.
+    def told(self, active: int, slots: int, pace: float, now: float) -> None:
+        """Record the load that the target has just reported.
 
         Parameters
         ----------
-        busy : int
-            Requests that run or wait there, the answered one not counted.
+        active : int
+            Requests running or queued at the target, without an answered one.
         slots : int
         pace : float
         now : float
         """
-        self.was_heard = True
+        self.has_data = True
         self.slots = max(1, slots)
-        self.others = max(0.0, busy - self.inflight)
+        self.other_active = max(0.0, active - self.inflight)
         self.pace = pace
-        rise = 1 - exp(-(now - self.reported) / PACE_RISE)
-        if pace < self.usual_pace:
-            self.usual_pace = pace
+        gain = 1 - exp(-(now - self.reported) / SLOWDOWN_RISE_SECONDS)
+        if pace < self.usual_slowdown:
+            self.usual_slowdown = pace
         else:
-            self.usual_pace += rise * (pace - self.usual_pace)
+            self.usual_slowdown += gain * (pace - self.usual_slowdown)
         self.reported = now
-        self._note_spell(now)
+        self._update_slow_period(now)
 
-    def _note_spell(self, now: float) -> None:
-        if self.pace > SLOWED * self.lasting_pace:
+    def _update_slow_period(self, now: float) -> None:
+        if self.pace > SLOW_PERIOD_FACTOR * self.lasting_pace:
             self.slow_since = min(self.slow_since, now)
         elif self.slow_since < inf:
-            self.spell = now - self.slow_since
+            self.slow_period = now - self.slow_since
             self.slow_since = inf
 
     @property
     def lasting_pace(self) -> float:
-        """Pace to be expected some seconds from now."""
-        return 1.0 if self.usual_pace == inf else self.usual_pace
+        """Machine slowdown expected in some seconds."""
+        return 1.0 if self.usual_slowdown == inf else self.usual_slowdown
 
-    def work(self, now: float, typical: float, spell: float) -> float:
-        """Return the seconds of work here, for a request with no other target to go to.
+    def service_seconds(
+        self, now: float, typical_seconds: float, slow_period: float
+    ) -> float:
+        """Return the expected service time here, without queueing.
 
-        A neighbour slows the machine for a moment; a request that begins then does most
-        of its work after that. Taken for slow all the way, a machine of half the usual
-        speed would seem to be of no use to any request, a fifth of the time.
+        A slow period is short, so a request that starts in one does most of its work
+        after it. If a machine of half the usual speed were considered slow for the
+        whole request, it would seem too slow for any request a fifth of the time.
 
         Parameters
         ----------
         now : float
-        typical : float
-            Service time of its kind.
-        spell : float
-            Seconds for which machines are slowed at a time, on average.
+        typical_seconds : float
+            Typical service time of the request's kind.
+        slow_period : float
+            Mean length of a slow period in seconds.
 
         Returns
         -------
         float
         """
-        base = self.slowness * self.lasting_pace * typical
-        times = self.pace / self.lasting_pace
-        if times <= 1:
-            return base
-        # The longer it has been slow, the longer it will be: it may be of its own.
-        left = max(spell, now - self.slow_since) / 2
-        excess = min((times - 1) * base, (1 - 1 / times) * left)
-        return base + exp(-(now - self.reported) / REPORT_MEMORY) * excess
-
-    def took(self, ratio: float) -> None:
-        """Take in the time of an answer over what is typical for its kind."""
-        self.was_heard = True
-        ratio = min(max(ratio, LEAST_SLOWNESS / 2), MOST_SLOWNESS * 2)
-        slowness = self.slowness + SLOWNESS_GAIN * (ratio - self.slowness)
-        self.slowness = min(max(slowness, LEAST_SLOWNESS), MOST_SLOWNESS)
+        usual = self.slowness * self.lasting_pace * typical_seconds
+        factor = self.pace / self.lasting_pace
+        if factor <= 1:
+            return usual
+        # The longer a slow period has lasted, the longer it is expected to last: the
+        # machine itself may have become slow.
+        remaining = max(slow_period, now - self.slow_since) / 2
+        excess = min((factor - 1) * usual, (1 - 1 / factor) * remaining)
+        return usual + exp(-(now - self.reported) / REPORT_MEMORY) * excess
+
+    def record_ratio(self, ratio: float) -> None:
+        """Record the ratio of a service time to the typical one of its kind."""
+        self.has_data = True
+        ratio = min(max(ratio, MIN_SERVICE_TIME_RATIO / 2), MAX_SERVICE_TIME_RATIO * 2)
+        slowness = self.slowness + SERVICE_TIME_RATIO_GAIN * (ratio - self.slowness)
+        self.slowness = min(
+            max(slowness, MIN_SERVICE_TIME_RATIO), MAX_SERVICE_TIME_RATIO
+        )
 
     def failed(self, now: float) -> None:
-        """Leave the target alone for a while."""
-        if now < self.avoid_until:
+        """Record a failure, and avoid the target for some time."""
+        if now < self.backoff_until:
             return
-        self.penalty = min(2 * self.penalty or FIRST_PENALTY, LONGEST_PENALTY)
-        self.avoid_until = now + self.penalty
+        self.backoff_seconds = min(
+            2 * self.backoff_seconds or INITIAL_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS
+        )
+        self.backoff_until = now + self.backoff_seconds
 
-    def struck(self, now: float) -> None:
-        """Take in that it failed a request of some VM.
+    def record_shared_failure(self, now: float) -> None:
+        """Record that the target failed a request of some VM.
 
-        One failure is no reason to leave a target out: where a fortieth of the answers
-        get lost, each target of a service fails somebody's request every few seconds,
-        and all of them were left out at once.
+        A single failure does not eject a target: where one in forty answers is lost,
+        each target of a service fails a request every few seconds, and all of them
+        would be ejected at once.
         """
-        self.strikes += 1
-        if self.strikes < STRIKES or now < self.shunned_until:
+        self.consecutive_failures += 1
+        if (
+            self.consecutive_failures < MAX_CONSECUTIVE_FAILURES
+            or now < self.ejected_until
+        ):
             return
-        span = FIRST_PENALTY * 2 ** (self.strikes - STRIKES)
-        self.shunned_until = now + min(span, LONGEST_PENALTY)
+        span = INITIAL_BACKOFF_SECONDS * 2 ** (
+            self.consecutive_failures - MAX_CONSECUTIVE_FAILURES
+        )
+        self.ejected_until = now + min(span, MAX_BACKOFF_SECONDS)
 
-    def praised(self) -> None:
-        """Take in that it served a request of some VM."""
-        self.strikes = 0
+    def record_shared_success(self) -> None:
+        """Record that the target answered a request of some VM."""
+        self.consecutive_failures = 0
 
     def worked(self, now: float) -> None:
-        """Note a good answer."""
-        if now >= self.avoid_until:
-            self.penalty = 0.0
+        """Record a success of one of this VM's requests."""
+        if now >= self.backoff_until:
+            self.backoff_seconds = 0.0
 
-    def busy(self, now: float, usual: float) -> float:
-        """Return the requests that are expected there.
+    def active(self, now: float, mean_other_active: float) -> float:
+        """Return the expected number of active requests at the target.
 
         Parameters
         ----------
         now : float
-        usual : float
-            Requests of others that a target of the service has on average.
+        mean_other_active : float
+            Mean number of other VMs' requests at a target of the service.
         """
         weight = exp(-(now - self.reported) / REPORT_MEMORY)
-        return self.inflight + weight * self.others + (1 - weight) * usual
+        return (
+            self.inflight
+            + weight * self.other_active
+            + (1 - weight) * mean_other_active
+        )
 
     def completion(
-        self, now: float, usual: float, typical: float, mean: float
+        self, now: float, mean_other_active: float, typical_seconds: float, mean: float
     ) -> float:
-        """Return the seconds until one more request would be done here.
+        """Return the seconds until one more request is expected to complete here.
 
         Parameters
         ----------
-        now, usual : float
-            As for :meth:`busy`.
-        typical : float
-            Service time of its kind.
+        now, mean_other_active : float
+            As for :meth:`active`.
+        typical_seconds : float
+            Typical service time of the request's kind.
         mean : float
-            Service time of what is ahead of it.
+            Mean service time of the requests ahead of it.
         """
         weight = exp(-(now - self.reported) / REPORT_MEMORY)
-        # An old report decays to the pace of all, not to the machine's lasting one: by
-        # that a slow machine was left out once the others were taken for busy, nobody
-        # heard of it again, and all VMs pressed on the rest (0.78 of the credit instead
-        # of 0.93 in a model of 12 targets at three quarters of their slots).
+        # The weight of an old report moves to the usual slowdown, not to the machine's
+        # lasting one. With the lasting one, a slow machine was left out once the others
+        # were considered busy, its report was never renewed, and all VMs overloaded the
+        # rest (0.78 of the credit instead of 0.93 in a model of 12 targets at three
+        # quarters of their slots).
         speed = self.slowness * (weight * self.pace + (1 - weight))
-        ahead = self.busy(now, usual) + 1 - self.slots
-        work = speed * (typical + max(0.0, ahead) * mean / self.slots)
-        return work + self.distance
+        ahead = self.active(now, mean_other_active) + 1 - self.slots
+        service_seconds = speed * (
+            typical_seconds + max(0.0, ahead) * mean / self.slots
+        )
+        return service_seconds + self.distance
 
 
 class ServiceLoads:
-    """The loads of the targets of one service.
+    """Loads of the targets of one service.
 
     Parameters
     ----------
     rng : Random
     """
 
-    __slots__ = ("_loads", "_rng", "_spell", "_typical", "_usual", "mean")
+    __slots__ = (
+        "_loads",
+        "_rng",
+        "_slow_period",
+        "_typical_seconds",
+        "_mean_other_active",
+        "mean",
+    )
 
     def __init__(self, rng: Random):
         self._rng = rng
         self._loads: dict[str, TargetLoad] = {}
-        # Service time by kind, and over all kinds.
-        self._typical: dict[str, float] = {}
-        self.mean = FIRST_TIME
-        self._usual = 0.0
-        # Seconds for which machines are slowed at a time.
-        self._spell = FIRST_SPELL
+        # Typical service time by kind, and mean over all kinds.
+        self._typical_seconds: dict[str, float] = {}
+        self.mean = INITIAL_SERVICE_SECONDS
+        self._mean_other_active = 0.0
+        # Mean length of a slow period in seconds.
+        self._slow_period = INITIAL_SLOW_PERIOD_SECONDS
 
     def load(self, name: str, slots: int) -> TargetLoad:
-        """Return what is known of a target, which may be new."""
+        """Return the load of a target, which is added if it is new."""
         load = self._loads.get(name)
         if load is None:
             load = self._loads[name] = TargetLoad(slots)
         return load
 
-    def keep(self, names: Iterable[str]) -> None:
-        """Forget all targets but these."""
-        wanted = set(names)
-        for name in [name for name in self._loads if name not in wanted]:
+    def retain(self, names: Iterable[str]) -> None:
+        """Remove all targets except the given ones."""
+        retained = set(names)
+        for name in [name for name in self._loads if name not in retained]:
             del self._loads[name]
 
-    def work(self, name: str, kind: str, now: float) -> float:
-        """Return the seconds that a target takes for a request of a kind.
+    def service_seconds(self, name: str, kind: str, now: float) -> float:
+        """Return a target's expected service time for a request kind.
 
         Parameters
         ----------
@@ -295,59 +323,68 @@
         Returns
         -------
         float
-            Without any waiting.
+            Seconds, without queueing.
         """
         load = self._loads.get(name)
-        typical = self._typical.get(kind, self.mean)
-        return load.work(now, typical, self._spell) if load is not None else typical
+        typical_seconds = self._typical_seconds.get(kind, self.mean)
+        return (
+            load.service_seconds(now, typical_seconds, self._slow_period)
+            if load is not None
+            else typical_seconds
+        )
 
     def answered(self, name: str, kind: str, seconds: float) -> None:
-        """Take in a service time.
+        """Record the service time of a request.
 
         Parameters
         ----------
         name : str
             Target.
         kind : str
-            Requests of one kind take alike.
+            Requests of one kind have similar service times.
         seconds : float
-            Without the waiting, at the usual pace of the target's machine.
+            Service time without queueing, on a machine of the usual speed.
         """
-        typical = self._typical.get(kind)
-        if typical is None:
-            typical = self._typical[kind] = seconds
-        self._typical[kind] += TYPICAL_GAIN * (seconds - typical)
-        self.mean += TYPICAL_GAIN * (seconds - self.mean)
+        typical_seconds = self._typical_seconds.get(kind)
+        if typical_seconds is None:
+            typical_seconds = self._typical_seconds[kind] = seconds
+        self._typical_seconds[kind] += TYPICAL_SECONDS_GAIN * (
+            seconds - typical_seconds
+        )
+        self.mean += TYPICAL_SECONDS_GAIN * (seconds - self.mean)
         load = self._loads.get(name)
-        if load is not None and typical > 0:
-            load.took(seconds / typical)
+        if load is not None and typical_seconds > 0:
+            load.record_ratio(seconds / typical_seconds)
 
     def slowness(self) -> dict[str, float]:
-        """Return how slow each target is that was heard of, over the typical one.
+        """Return the ratio of each known target's service times to the typical ones.
 
-        What its machine's pace explains is part of it: keys are dealt out by it, and
-        without the pace the fastest target got no more of them than the slowest.
+        The ratio includes the machine's lasting slowdown: keys are distributed by it,
+        and without the slowdown the fastest target would get no more of them than the
+        slowest.
         """
         return {
             name: round(load.slowness * load.lasting_pace, 3)
             for name, load in self._loads.items()
-            if load.was_heard
+            if load.has_data
         }
 
     def told(self, load: TargetLoad) -> None:
-        """Take a report into what is usual."""
-        self._usual += 0.05 * (load.others - self._usual)
-        if load.spell:
-            self._spell += SPELL_GAIN * (load.spell - self._spell)
-            load.spell = 0.0
+        """Include a target's new report in the means of the service."""
+        self._mean_other_active += 0.05 * (load.other_active - self._mean_other_active)
+        if load.slow_period:
+            self._slow_period += SLOW_PERIOD_GAIN * (
+                load.slow_period - self._slow_period
+            )
+            load.slow_period = 0.0
 
-    def choose(self, names: list[str], kind: str, now: float) -> str:
-        """Return the target that is expected to be done first.
+    def choose(self, candidates: list[str], kind: str, now: float) -> str:
+        """Return a target with the earliest expected completion.
 
         Parameters
         ----------
-        names : list of str
-            At least one.
+        candidates : list of str
+            Must not be empty.
         kind : str
         now : float
 
@@ -355,16 +392,18 @@
         -------
         str
         """
-        if len(names) > COMPARED:
-            names = self._rng.sample(names, COMPARED)
-        sound = [n for n in names if self._loads[n].avoid_until <= now] or names
-        times = [(self.expected(n, kind, now), n) for n in sound]
-        best = min(times)[0]
-        equal = [n for t, n in times if t <= best + TIE * self.mean]
-        return self._rng.choice(equal)
+        if len(candidates) > COMPARED:
+            candidates = self._rng.sample(candidates, COMPARED)
+        healthy = [
+            n for n in candidates if self._loads[n].backoff_until <= now
+        ] or candidates
+        estimates = [(self.expected(n, kind, now), n) for n in healthy]
+        best = min(estimates)[0]
+        tied = [n for t, n in estimates if t <= best + TIE * self.mean]
+        return self._rng.choice(tied)
 
     def describe(self, name: str, now: float) -> str:
-        """Return what a choice went by, for the log.
+        """Return the data that a choice is based on, for the log.
 
         Parameters
         ----------
@@ -377,12 +416,14 @@
         """
         load = self._loads[name]
         return (
-            f"target {name} inflight {load.inflight} others {load.others:.0f} "
+            f"target {name} inflight {load.inflight} others {load.other_active:.0f} "
             f"slots {load.slots} pace {load.pace:.2f} slowness {load.slowness:.2f} "
             f"report {now - load.reported:.3f} s old"
         )
 
     def expected(self, name: str, kind: str, now: float) -> float:
-        """Return the seconds until one more request would be done at a target."""
-        typical = self._typical.get(kind, self.mean)
-        return self._loads[name].completion(now, self._usual, typical, self.mean)
+        """Return the seconds until one more request is expected to complete."""
+        typical_seconds = self._typical_seconds.get(kind, self.mean)
+        return self._loads[name].completion(
+            now, self._mean_other_active, typical_seconds, self.mean
+        )
--- a/packages/policy/src/berylstage_policy/keepers.py
+++ b/packages/policy/src/berylstage_policy/keepers.py
@@ -1,8 +1,9 @@
-"""Which VM keeps the queue before some targets.
+"""Assignment of queues to the VMs that serve them.
 
-The load it answers: a queue of which each VM sees a part is in no order. So one VM
-keeps it, the same one for all VMs that know the same ones; queues are spread over the
-VMs that have room for such work, and those of a lost VM go to the next one.
+Requests can be ordered only if a single VM sees the whole queue. Each queue is assigned
+to one VM, its permit server, by rendezvous hashing, so all VMs with the same membership
+choose the same one. Queues are spread over the VMs with enough capacity, and the queues
+of a lost VM move to the next one in their ranking.
 """
 
 from __future__ import annotations
@@ -15,17 +16,18 @@
 
     from berylstage_policy.candidates import Candidate
 
-# Share of the best VM's power that a keeper must have: behind a small one requests wait
-# for its processor rather than for slots.
-LEAST_SHARE = 0.5
-# Keepers that are tried for a queue before its requests go without one.
-TRIED = 2
-# Seconds for which a keeper that gave no answer is passed over.
-PASSED_OVER = 2.0
+# Share of the largest relative capacity that a permit server needs: on a small VM
+# requests wait for its processor rather than for slots.
+MIN_CAPACITY_SHARE = 0.5
+# Number of permit servers that are tried for a queue before its requests are sent
+# without a permit.
+MAX_SERVERS_PER_QUEUE = 2
+# Time for which a permit server that did not answer is not asked again.
+SERVER_BACKOFF_SECONDS = 2.0
 
 
 def keepers(queue: str, candidates: Iterable[Candidate]) -> list[str]:
-    """Return the VMs that may keep a queue, the first one first.
+    """Return the VMs that may serve a queue, in order of preference.
 
     Parameters
     ----------
@@ -36,30 +38,32 @@
     Returns
     -------
     list of str
-        At most ``TRIED``. When a VM goes, only its own queues get another one.
+        At most ``MAX_SERVERS_PER_QUEUE``. The loss of a VM moves only its own queues.
     """
-    return first_for(queue, able(candidates))
+    return rank_servers(queue, eligible_vms(candidates))
 
 
-def first_for(queue: str, names: Iterable[str]) -> list[str]:
-    """Return the VMs that keep a queue, of those that are able to.
+def rank_servers(queue: str, names: Iterable[str]) -> list[str]:
+    """Return the eligible VMs that may serve a queue, in order of preference.
 
     Parameters
     ----------
     queue : str
     names : iterable of str
-        As :func:`able` returns them.
+        As returned by :func:`eligible_vms`.
 
     Returns
     -------
     list of str
-        At most ``TRIED``, the first one first.
+        At most ``MAX_SERVERS_PER_QUEUE``.
     """
-    return sorted(names, key=lambda vm: crc32(f"{queue} {vm}".encode()))[:TRIED]
+    return sorted(names, key=lambda vm: crc32(f"{queue} {vm}".encode()))[
+        :MAX_SERVERS_PER_QUEUE
+    ]
 
 
-def able(candidates: Iterable[Candidate]) -> list[str]:
-    """Return the names of the VMs that have room for keeping queues, in order.
+def eligible_vms(candidates: Iterable[Candidate]) -> list[str]:
+    """Return the sorted names of the VMs with enough capacity to serve queues.
 
     Parameters
     ----------
@@ -71,4 +75,4 @@
     """
     known = list(candidates)
     best = max((candidate.power for candidate in known), default=0.0)
-    return sorted(c.name for c in known if c.power >= LEAST_SHARE * best)
+    return sorted(c.name for c in known if c.power >= MIN_CAPACITY_SHARE * best)
--- a/packages/policy/src/berylstage_policy/slot_queue.py
+++ b/packages/policy/src/berylstage_policy/slot_queue.py
@@ -1,16 +1,16 @@
-"""The one queue before the slots of some targets, and who goes next.
-
-The load it answers: more requests than slots, for seconds at a time, before targets of
-uneven and changing speed. Many VMs that each go by late reports send too much to a
-target that is full, and let others stand idle; in the target's own queue the first to
-come is the first to be served, so most answers come late, which is worth next to
-nothing. One queue knows which slots are free, and gives them to requests that can still
-be answered in time: the more urgent ones first, then those that have the least time
-left. A request that will come too late gives way to one that won't, and is told so
-while it may still be of use elsewhere.
-
-It holds no clock and sends nothing: each call is told the moment, and returns what is
-to be said to whom.
+"""Shared admission queue for the slots of a group of targets.
+
+The queue handles bursts of several seconds in which more requests arrive than targets
+of uneven and changing speed have slots. VMs that each rely on delayed load reports
+overload a target that is already full while other targets are idle. A target's own
+queue is first in, first out, so under overload most answers come late and have almost
+no value. A single queue knows which slots are free and grants them only to requests
+that can still be answered in time: by priority first, then by the least remaining time.
+A request that would be late gives way to one that would not, and is refused while its
+caller can still use the refusal to try elsewhere.
+
+The queue reads no clock and does no I/O: callers pass the current time, and each call
+returns the decisions to deliver.
 """
 
 from __future__ import annotations
@@ -24,350 +24,373 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
 
-# Share of the objective within which a request must be expected to be done for it to be
-# let in. The estimate errs to both sides, and a request that waits can still be told to
-# go elsewhere, or give way to one that comes in time.
-ADMITTED_WITHIN = 1.5
-# Seconds without a word of who asked after which a place is given up: its VM was lost.
-PLACE_MEMORY = 0.4
-# Seconds after which a permit must be at its target, or be done.
-UNDER_WAY = 0.03
-# Seconds for which requests count that a target has from others than this queue.
-FOREIGN_MEMORY = 0.3
-# Share of a request's time that is expected to be left when it takes longer than it
-# was expected to; and share of the time for which it has been taking longer.
-OVERDUE = 0.2
+# A request is admitted if it is expected to complete within this multiple of its
+# objective. The estimate errs in both directions, and a queued request can still be
+# refused later or give way to one that will be in time.
+ADMISSION_OBJECTIVE_FACTOR = 1.5
+# A queued request that has not been renewed for this long is dropped, because its VM
+# is assumed to be lost.
+QUEUED_REQUEST_TTL_SECONDS = 0.4
+# After this time a request with a permit has either reached its target or completed.
+PERMIT_ARRIVAL_SECONDS = 0.03
+# How long a target's report of requests from outside this queue remains valid.
+FOREIGN_REPORT_TTL_SECONDS = 0.3
+# Estimate of the remaining time of an overdue request: this share of its expected
+# duration, or this multiple of the time by which it is overdue, if that is longer.
+OVERDUE_SHARE = 0.2
 OVERDUE_GROWTH = 1.0
-# Seconds without a request after which a target gets the next one that it can serve in
-# time. What is known of an idle target is old, and one that was slow for a moment, or
-# has just come, would never be heard of again.
-IDLE_AFTER = 1.0
-# Targets of a queue that a log line tells of.
-DESCRIBED = 4
-# Seconds after which a refused request may come back, at least.
-SHORTEST_RETURN = 0.05
+# A target without a request for this long receives the next one that it can answer in
+# time. Information about an idle target is old; without such a request a target that
+# was slow for a moment, or has just joined, would never be measured again.
+IDLE_TARGET_SECONDS = 1.0
+# Maximum number of targets that a log line describes.
+MAX_DESCRIBED_TARGETS = 4
+MIN_RETRY_AFTER_SECONDS = 0.05
 
 
 class ServiceTimes(ABC):
-    """How long targets work on requests."""
+    """Service time estimates of targets."""
 
     @abstractmethod
     def seconds(self, target: str, kind: str) -> float:
-        """Return the seconds that a target takes for a request of a kind now."""
+        """Return a target's current service time for a request kind."""
 
     @abstractmethod
-    def distance(self, target: str, origin: str, kind: str) -> float:
-        """Return the seconds by which a target is put behind nearer ones."""
+    def locality_penalty(self, target: str, origin: str, kind: str) -> float:
+        """Return the seconds added to a target's time if it is not local to a request.
+
+        The penalty affects only the choice among targets.
+        """
 
 
 class RequestId(NamedTuple):
-    """What tells a request from all others: the VM that asks, and its own number."""
+    """Unique identifier of a request: the VM that sent it and that VM's counter."""
 
     host: str
     number: int
 
 
-class Place:
-    """A request that is to be sent to one of the targets.
+class QueuedRequest:
+    """A request for one of the queue's targets.
 
     Parameters
     ----------
-    ident : RequestId
+    request_id : RequestId
     kind : str
-        Requests of one kind take alike.
+        Requests of one kind have similar service times.
     origin : str
-        Where it comes from, for :meth:`ServiceTimes.distance`.
+        Origin of the request, for :meth:`ServiceTimes.locality_penalty`.
     priority : int
         0 is the most urgent.
-    wanted : float
-        Moment until which its answer is of full use.
+    soft_deadline : float
+        Time until which the answer has its full value.
     objective : float
-        Seconds from its arrival to ``wanted``.
+        Seconds from the request's arrival to ``soft_deadline``.
     deadline : float
-        Moment after which its answer is of no use.
+        Time after which the answer has no value.
     now : float
     """
 
     __slots__ = (
         "deadline",
-        "heard",
-        "ident",
         "kind",
+        "last_seen",
         "objective",
         "origin",
         "priority",
         "rank",
-        "wanted",
+        "request_id",
+        "soft_deadline",
     )
 
     def __init__(
         self,
-        ident: RequestId,
+        request_id: RequestId,
         kind: str,
         origin: str,
         priority: int,
-        wanted: float,
+        soft_deadline: float,
         objective: float,
         deadline: float,
         now: float,
     ):
-        self.ident = ident
+        self.request_id = request_id
         self.kind = kind
         self.origin = origin
         self.priority = priority
-        self.wanted = wanted
+        self.soft_deadline = soft_deadline
         self.objective = objective
         self.deadline = deadline
-        self.heard = now
-        self.rank = (priority, wanted)
+        self.last_seen = now
+        self.rank = (priority, soft_deadline)
 
 
-class Say(Enum):
-    """What is said to who asked for a place."""
+class PermitStatus(Enum):
+    """Status of a request for a permit."""
 
-    GO = 1
-    WAIT = 2
+    GRANTED = 1
+    QUEUED = 2
     REFUSED = 3
-    # This queue is kept no more.
-    ELSEWHERE = 4
+    # This VM no longer serves the queue.
+    QUEUE_CLOSED = 4
 
 
-class Verdict:
-    """What is said about one place.
+class Decision:
+    """Decision about one request.
 
     Parameters
     ----------
-    ident : RequestId
-    say : Say
+    request_id : RequestId
+    status : PermitStatus
     target : str
-        To which it goes; empty unless it goes.
-    seconds : float
-        Until it may come back, if it is refused.
+        Target to send the request to; empty unless granted.
+    retry_after : float
+        Seconds after which a refused request may be retried.
     """
 
-    __slots__ = ("ident", "say", "seconds", "target")
+    __slots__ = ("request_id", "retry_after", "status", "target")
 
     def __init__(
-        self, ident: RequestId, say: Say, target: str = "", seconds: float = 0.0
+        self,
+        request_id: RequestId,
+        status: PermitStatus,
+        target: str = "",
+        retry_after: float = 0.0,
     ):
-        self.ident = ident
-        self.say = say
+        self.request_id = request_id
+        self.status = status
         self.target = target
-        self.seconds = seconds
+        self.retry_after = retry_after
 
 
 class TargetReport:
-    """What a target tells of itself with an answer.
+    """Load that a target reported with an answer.
 
     Parameters
     ----------
     target : str
-    busy : int
-        Requests that run or wait there, the answered one not counted.
+    active : int
+        Requests running or queued at the target, without the answered one.
     """
 
-    __slots__ = ("busy", "target")
+    __slots__ = ("active", "target")
 
-    def __init__(self, target: str, busy: int):
+    def __init__(self, target: str, active: int):
         self.target = target
-        self.busy = busy
+        self.active = active
 
 
 class _Permit:
-    """A request that was told to go."""
+    """Permission for one request to use a slot of a target."""
 
-    __slots__ = ("deadline", "done", "given", "target")
+    __slots__ = ("deadline", "expected_done", "granted_at", "target")
 
-    def __init__(self, target: str, given: float, done: float, deadline: float):
+    def __init__(
+        self, target: str, granted_at: float, expected_done: float, deadline: float
+    ):
         self.target = target
-        self.given = given
-        # When it is expected to be done.
-        self.done = done
+        self.granted_at = granted_at
+        self.expected_done = expected_done
         self.deadline = deadline
 
     def expected_end(self, now: float) -> float:
-        """Return when the request is expected to be done.
+        """Return the time when the request is expected to complete.
 
-        One that takes long already will take longer still. A target that has fallen
-        silent ends none of them, and whoever waited for its slots would wait for
-        nothing until their time is over.
+        The estimate for an overdue request grows with the time by which it is overdue.
+        A target that has stopped responding completes nothing, and requests queued for
+        its slots would otherwise wait until their deadlines.
         """
-        usual = OVERDUE * (self.done - self.given)
-        return max(self.done, now + max(usual, OVERDUE_GROWTH * (now - self.done)))
+        least = OVERDUE_SHARE * (self.expected_done - self.granted_at)
+        return max(
+            self.expected_done,
+            now + max(least, OVERDUE_GROWTH * (now - self.expected_done)),
+        )
 
 
-class _Slots:
-    """The slots of one target."""
+class _TargetSlots:
+    """Slots of one target."""
 
-    __slots__ = ("foreign", "foreign_at", "given_at", "permits", "slots")
+    __slots__ = (
+        "foreign",
+        "foreign_reported_at",
+        "last_granted_at",
+        "permits",
+        "slots",
+    )
 
     def __init__(self, slots: int):
         self.slots = slots
         self.permits: dict[RequestId, _Permit] = {}
-        # Requests there that this queue did not send, as told last.
+        # Requests at the target, by its last report, that this queue did not send.
         self.foreign = 0
-        self.foreign_at = float("-inf")
-        # When it was last given a request.
-        self.given_at = float("-inf")
+        self.foreign_reported_at = float("-inf")
+        self.last_granted_at = float("-inf")
 
     def free(self, now: float) -> int:
-        """Return the slots that stand idle."""
-        foreign = self.foreign if now - self.foreign_at < FOREIGN_MEMORY else 0
+        """Return the number of free slots."""
+        foreign = (
+            self.foreign
+            if now - self.foreign_reported_at < FOREIGN_REPORT_TTL_SECONDS
+            else 0
+        )
         return self.slots - len(self.permits) - foreign
 
 
 class SlotQueue:
-    """Requests that wait for slots of some targets.
+    """Queue of requests for the slots of a group of targets.
 
     Parameters
     ----------
     times : ServiceTimes
     """
 
-    __slots__ = ("_slots", "_times", "_waiting")
+    __slots__ = ("_queued", "_targets", "_times")
 
     def __init__(self, times: ServiceTimes):
         self._times = times
-        self._slots: dict[str, _Slots] = {}
-        # In the order in which they are to go.
-        self._waiting: list[Place] = []
+        self._targets: dict[str, _TargetSlots] = {}
+        # Sorted by rank; the next request to grant comes first.
+        self._queued: list[QueuedRequest] = []
 
     def __len__(self) -> int:
-        """Return the number of requests that wait."""
-        return len(self._waiting)
+        """Return the number of queued requests."""
+        return len(self._queued)
 
     def describe(self, now: float) -> str:
-        """Return how full the targets are, for the log.
+        """Return the usage of the targets' slots, for the log.
 
         Parameters
         ----------
         now : float
         """
         parts = []
-        for name, each in self._slots.items():
-            others = each.slots - each.free(now) - len(each.permits)
+        for name, target in self._targets.items():
+            others = target.slots - target.free(now) - len(target.permits)
             parts.append(
-                f"{name} slots {each.slots} permits {len(each.permits)} others {others}"
+                f"{name} slots {target.slots} permits {len(target.permits)} "
+                f"others {others}"
             )
-        return "; ".join(parts[:DESCRIBED])
+        return "; ".join(parts[:MAX_DESCRIBED_TARGETS])
 
-    def know(self, targets: Mapping[str, int]) -> None:
-        """Take over which targets there are.
+    def set_targets(self, targets: Mapping[str, int]) -> None:
+        """Replace the set of targets.
 
         Parameters
         ----------
         targets : mapping of str to int
-            The slots of each.
+            Number of slots by target.
         """
-        for name in [name for name in self._slots if name not in targets]:
-            del self._slots[name]
+        for name in [name for name in self._targets if name not in targets]:
+            del self._targets[name]
         for name, slots in targets.items():
-            known = self._slots.get(name)
+            known = self._targets.get(name)
             if known is None:
-                self._slots[name] = _Slots(slots)
+                self._targets[name] = _TargetSlots(slots)
             else:
                 known.slots = slots
 
-    def ask(self, place: Place, now: float) -> list[Verdict]:
-        """Take in a request, or hear again of one that waits.
+    def request(self, req: QueuedRequest, now: float) -> list[Decision]:
+        """Admit a new request, or renew one that is already queued.
 
         Parameters
         ----------
-        place : Place
+        req : QueuedRequest
         now : float
 
         Returns
         -------
-        list of Verdict
-            One about this request, and others that its coming has decided.
+        list of Decision
+            One about this request, and others that its arrival has caused.
         """
         self._expire(now)
-        for each in self._slots.values():
-            permit = each.permits.get(place.ident)
+        for target in self._targets.values():
+            permit = target.permits.get(req.request_id)
             if permit is not None:
-                # It was told so, but did not hear it.
-                return [Verdict(place.ident, Say.GO, permit.target)]
-        for known in self._waiting:
-            if known.ident == place.ident:
-                known.heard = now
-                return self._asked_again(known, now)
-        late = self._lateness(place, now)
-        if late > 0 and not self._stands_idle(now):
-            back = max(SHORTEST_RETURN, late)
-            return [Verdict(place.ident, Say.REFUSED, seconds=back)]
-        self._waiting.append(place)
-        self._waiting.sort(key=attrgetter("rank"))
-        verdicts = self.due(now)
-        if not any(verdict.ident == place.ident for verdict in verdicts):
-            verdicts.append(Verdict(place.ident, Say.WAIT))
-        return verdicts
-
-    def send_away(self) -> list[Verdict]:
-        """Empty the queue, since it is kept no more.
+                # The reply that granted the permit was lost.
+                return [Decision(req.request_id, PermitStatus.GRANTED, permit.target)]
+        for known in self._queued:
+            if known.request_id == req.request_id:
+                known.last_seen = now
+                return self._renew(known, now)
+        late = self._lateness(req, now)
+        if late > 0 and not self._has_unclaimed_slot(now):
+            retry_after = max(MIN_RETRY_AFTER_SECONDS, late)
+            return [
+                Decision(req.request_id, PermitStatus.REFUSED, retry_after=retry_after)
+            ]
+        self._queued.append(req)
+        self._queued.sort(key=attrgetter("rank"))
+        decisions = self.grant_due(now)
+        if not any(decision.request_id == req.request_id for decision in decisions):
+            decisions.append(Decision(req.request_id, PermitStatus.QUEUED))
+        return decisions
+
+    def close(self) -> list[Decision]:
+        """Empty the queue because this VM no longer serves it.
 
         Returns
         -------
-        list of Verdict
-            One for each request that waited.
+        list of Decision
+            One for each queued request.
         """
-        waiting, self._waiting = self._waiting, []
-        return [Verdict(place.ident, Say.ELSEWHERE) for place in waiting]
+        queued, self._queued = self._queued, []
+        return [Decision(req.request_id, PermitStatus.QUEUE_CLOSED) for req in queued]
 
-    def _asked_again(self, place: Place, now: float) -> list[Verdict]:
-        """Return what is said about a request that waits and is heard of again.
+    def _renew(self, req: QueuedRequest, now: float) -> list[Decision]:
+        """Return the decisions about a queued request that is renewed.
 
-        Those before it may have taken longer than they were expected to. Kept until its
-        deadline, its caller could neither be served nor come back.
+        Requests ahead of it may have taken longer than expected. If it stayed queued
+        until its deadline, its caller could neither be answered nor retry in time.
         """
-        verdicts = self.due(now)
-        if place not in self._waiting:
-            return verdicts
-        if self._expected_end(place, now) > place.deadline:
-            return [*verdicts, self._refused(place, now)]
-        return [Verdict(place.ident, Say.WAIT), *verdicts]
-
-    def returned(
-        self, ident: RequestId, now: float, report: TargetReport | None = None
-    ) -> list[Verdict]:
-        """Take back the place or permit of a request that is done, or was given up.
+        decisions = self.grant_due(now)
+        if req not in self._queued:
+            return decisions
+        if self._expected_end(req, now) > req.deadline:
+            return [*decisions, self._refuse(req, now)]
+        return [Decision(req.request_id, PermitStatus.QUEUED), *decisions]
+
+    def release(
+        self, request_id: RequestId, now: float, report: TargetReport | None = None
+    ) -> list[Decision]:
+        """Remove a request that has completed or was abandoned.
 
         Parameters
         ----------
-        ident : RequestId
+        request_id : RequestId
         now : float
         report : TargetReport, optional
-            What its target told along with the answer.
+            Load that the target reported with the answer.
 
         Returns
         -------
-        list of Verdict
+        list of Decision
         """
-        for each in self._slots.values():
-            each.permits.pop(ident, None)
-        self._waiting = [place for place in self._waiting if place.ident != ident]
+        for target in self._targets.values():
+            target.permits.pop(request_id, None)
+        self._queued = [req for req in self._queued if req.request_id != request_id]
         if report is not None:
-            self._reported(report, now)
-        return self.due(now)
-
-    def _reported(self, report: TargetReport, now: float) -> None:
-        # A word that a request is done may get lost, and would take a slot out of use
-        # until the request's deadline. What the target says of itself puts that right:
-        # of the permits that must have reached it no more are under way than it has.
-        known = self._slots.get(report.target)
+            self._apply_report(report, now)
+        return self.grant_due(now)
+
+    def _apply_report(self, report: TargetReport, now: float) -> None:
+        # A lost release message would block a slot until the request's deadline. The
+        # target's report corrects this: of the permits whose requests must have
+        # arrived there, no more can be active than the target reports.
+        known = self._targets.get(report.target)
         if known is None:
             return
         arrived = [
-            ident
-            for ident, permit in known.permits.items()
-            if now - permit.given >= UNDER_WAY
+            request_id
+            for request_id, permit in known.permits.items()
+            if now - permit.granted_at >= PERMIT_ARRIVAL_SECONDS
         ]
-        for ident in arrived[: max(0, len(arrived) - report.busy)]:
-            del known.permits[ident]
-        known.foreign = max(0, report.busy - len(known.permits))
-        known.foreign_at = now
+        for request_id in arrived[: max(0, len(arrived) - report.active)]:
+            del known.permits[request_id]
+        known.foreign = max(0, report.active - len(known.permits))
+        known.foreign_reported_at = now
 
-    def due(self, now: float) -> list[Verdict]:
-        """Return what is decided by now.
+    def grant_due(self, now: float) -> list[Decision]:
+        """Grant the free slots to queued requests.
 
         Parameters
         ----------
@@ -375,128 +398,143 @@
 
         Returns
         -------
-        list of Verdict
+        list of Decision
         """
         self._expire(now)
-        verdicts: list[Verdict] = []
-        while self._waiting:
-            free = [name for name, each in self._slots.items() if each.free(now) > 0]
+        decisions: list[Decision] = []
+        while self._queued:
+            free = [name for name, t in self._targets.items() if t.free(now) > 0]
             if not free:
                 break
-            place, target, late = self._next(free, now)
-            verdicts += [self._refused(each, now) for each in late]
-            self._waiting.remove(place)
-            self._give(place, target, now)
-            verdicts.append(Verdict(place.ident, Say.GO, target))
-        return verdicts
-
-    def _next(self, free: Sequence[str], now: float) -> tuple[Place, str, list[Place]]:
-        """Return who goes next, where to, and who is too late to go before it."""
-        late: list[Place] = []
-        for place in self._waiting:
-            target = self._best(place, free, now)
-            if now + self._times.seconds(target, place.kind) <= place.wanted:
-                return place, target, late
-            late.append(place)
-        # All are late; slots are free, and a late answer is better than none, or than
-        # one that comes when nobody waits for it any more.
-        place = next(
-            (each for each in late if self._is_of_use(each, free, now)), late[0]
+            req, target, late = self._next(free, now)
+            decisions += [self._refuse(late_req, now) for late_req in late]
+            self._queued.remove(req)
+            self._grant(req, target, now)
+            decisions.append(Decision(req.request_id, PermitStatus.GRANTED, target))
+        return decisions
+
+    def _next(
+        self, free: Sequence[str], now: float
+    ) -> tuple[QueuedRequest, str, list[QueuedRequest]]:
+        """Return the next request, its target, and late requests ahead of it."""
+        late: list[QueuedRequest] = []
+        for req in self._queued:
+            target = self._best(req, free, now)
+            if now + self._times.seconds(target, req.kind) <= req.soft_deadline:
+                return req, target, late
+            late.append(req)
+        # All requests are late, but slots are free. A late answer has more value than
+        # none, or than one that arrives after its caller has stopped waiting.
+        req = next(
+            (each for each in late if self._meets_deadline(each, free, now)), late[0]
         )
-        return place, self._best(place, free, now), []
+        return req, self._best(req, free, now), []
 
-    def _is_of_use(self, place: Place, free: Sequence[str], now: float) -> bool:
-        target = self._best(place, free, now)
-        return now + self._times.seconds(target, place.kind) <= place.deadline
+    def _meets_deadline(
+        self, req: QueuedRequest, free: Sequence[str], now: float
+    ) -> bool:
+        target = self._best(req, free, now)
+        return now + self._times.seconds(target, req.kind) <= req.deadline
 
-    def _best(self, place: Place, free: Sequence[str], now: float) -> str:
+    def _best(self, req: QueuedRequest, free: Sequence[str], now: float) -> str:
         if len(free) == 1:
             return free[0]
         times = self._times
-        near = [
-            name for name in free if not times.distance(name, place.origin, place.kind)
+        local = [
+            name
+            for name in free
+            if not times.locality_penalty(name, req.origin, req.kind)
         ]
-        idle = min(near, key=lambda name: self._slots[name].given_at, default="")
-        if idle and now - self._slots[idle].given_at > IDLE_AFTER:
-            if now + times.seconds(idle, place.kind) <= place.wanted:
+        idle = min(
+            local, key=lambda name: self._targets[name].last_granted_at, default=""
+        )
+        if idle and now - self._targets[idle].last_granted_at > IDLE_TARGET_SECONDS:
+            if now + times.seconds(idle, req.kind) <= req.soft_deadline:
                 return idle
         return min(
             free,
             key=lambda name: (
-                times.seconds(name, place.kind)
-                + times.distance(name, place.origin, place.kind)
+                times.seconds(name, req.kind)
+                + times.locality_penalty(name, req.origin, req.kind)
             ),
         )
 
-    def _refused(self, place: Place, now: float) -> Verdict:
-        self._waiting.remove(place)
-        return Verdict(place.ident, Say.REFUSED, seconds=SHORTEST_RETURN)
+    def _refuse(self, req: QueuedRequest, now: float) -> Decision:
+        self._queued.remove(req)
+        return Decision(
+            req.request_id,
+            PermitStatus.REFUSED,
+            retry_after=MIN_RETRY_AFTER_SECONDS,
+        )
 
-    def _give(self, place: Place, target: str, now: float) -> None:
-        done = now + self._times.seconds(target, place.kind)
-        permit = _Permit(target, now, done, place.deadline)
-        self._slots[target].permits[place.ident] = permit
-        self._slots[target].given_at = now
+    def _grant(self, req: QueuedRequest, target: str, now: float) -> None:
+        expected_done = now + self._times.seconds(target, req.kind)
+        permit = _Permit(target, now, expected_done, req.deadline)
+        self._targets[target].permits[req.request_id] = permit
+        self._targets[target].last_granted_at = now
 
     def _expire(self, now: float) -> None:
-        self._waiting = [
-            place
-            for place in self._waiting
-            if now - place.heard < PLACE_MEMORY and now < place.deadline
+        self._queued = [
+            req
+            for req in self._queued
+            if now - req.last_seen < QUEUED_REQUEST_TTL_SECONDS and now < req.deadline
         ]
-        for each in self._slots.values():
-            over = [i for i, permit in each.permits.items() if now > permit.deadline]
-            for ident in over:
-                del each.permits[ident]
-
-    def _lateness(self, place: Place, now: float) -> float:
-        """Return the seconds by which a request would be too late; 0 for in time."""
-        if not self._slots:
-            return SHORTEST_RETURN
-        slack = (ADMITTED_WITHIN - 1) * place.objective
-        # A caller that was refused before may have less time left than that.
-        limit = min(place.wanted + slack, place.deadline)
-        return max(0.0, self._expected_end(place, now) - limit)
-
-    def _stands_idle(self, now: float) -> bool:
-        """Tell whether a slot is free that nobody waits for.
-
-        How long a kind of request takes is learned from those that went. Refused before
-        idle slots, because a few had taken long, none would ever go again to show that
-        they no longer do.
+        for target in self._targets.values():
+            expired = [
+                i for i, permit in target.permits.items() if now > permit.deadline
+            ]
+            for request_id in expired:
+                del target.permits[request_id]
+
+    def _lateness(self, req: QueuedRequest, now: float) -> float:
+        """Return the seconds by which a request would be late; 0 if in time."""
+        if not self._targets:
+            return MIN_RETRY_AFTER_SECONDS
+        slack = (ADMISSION_OBJECTIVE_FACTOR - 1) * req.objective
+        # The deadline of a retried request may be earlier than the soft deadline plus
+        # the slack.
+        limit = min(req.soft_deadline + slack, req.deadline)
+        return max(0.0, self._expected_end(req, now) - limit)
+
+    def _has_unclaimed_slot(self, now: float) -> bool:
+        """Tell whether a slot is free while no request is queued.
+
+        Service times are learned only from requests that were sent. If a kind that was
+        slow for a few requests were refused while slots are free, none would be sent
+        and the estimate would never be corrected.
         """
-        if self._waiting:
+        if self._queued:
             return False
-        return any(each.free(now) > 0 for each in self._slots.values())
+        return any(target.free(now) > 0 for target in self._targets.values())
 
-    def _expected_end(self, place: Place, now: float) -> float:
-        """Return when a request is expected to be done, behind those before it."""
-        slots = self._free_at(now, place.kind)
+    def _expected_end(self, req: QueuedRequest, now: float) -> float:
+        """Return when a request is expected to complete, after those ahead of it."""
+        slots = self._slot_free_times(now, req.kind)
         if not slots:
             return float("inf")
-        for other in self._waiting:
-            if other is place or other.rank > place.rank:
+        for other in self._queued:
+            if other is req or other.rank > req.rank:
                 break
-            self._run(slots, other)
-        return self._run(slots, place)
+            self._schedule(slots, other)
+        return self._schedule(slots, req)
 
-    def _free_at(self, now: float, kind: str) -> list[tuple[float, str]]:
-        """Return when each slot is expected to be free, as a heap."""
+    def _slot_free_times(self, now: float, kind: str) -> list[tuple[float, str]]:
+        """Return when each slot is expected to become free, as a heap."""
         slots = []
-        for name, each in self._slots.items():
-            free = each.free(now)
-            ends = [permit.expected_end(now) for permit in each.permits.values()]
+        for name, target in self._targets.items():
+            free = target.free(now)
+            ends = [permit.expected_end(now) for permit in target.permits.values()]
             ends += [now] * max(0, free)
-            # Of what others have sent there nothing is known but that it is there.
-            others = max(0, each.slots - len(ends))
+            # Of requests from outside this queue only the number is known.
+            others = max(0, target.slots - len(ends))
             ends += [now + self._times.seconds(name, kind)] * others
-            slots += [(end, name) for end in sorted(ends)[: each.slots]]
+            slots += [(end, name) for end in sorted(ends)[: target.slots]]
         heapq.heapify(slots)
         return slots
 
-    def _run(self, slots: list[tuple[float, str]], place: Place) -> float:
-        """Put a request into the first free slot, and return when it is done."""
+    def _schedule(self, slots: list[tuple[float, str]], req: QueuedRequest) -> float:
+        """Assign a request to the first free slot, and return its expected end."""
         start, name = slots[0]
-        done = start + self._times.seconds(name, place.kind)
-        heapq.heapreplace(slots, (done, name))
-        return done
+        end = start + self._times.seconds(name, req.kind)
+        heapq.heapreplace(slots, (end, name))
+        return end
--- a/packages/policy/tests/test_probing.py
+++ b/packages/policy/tests/test_probing.py
@@ -1,4 +1,4 @@
-"""Tests of asking targets for their load."""
+"""Tests of when targets are probed for their load."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 
 class TestIsDue:
-    def test_busy_target_is_not_asked(self):
+    def test_busy_target_is_not_probed(self):
         assert not is_due(0.05, 0.0, False)
 
-    def test_target_of_which_nothing_was_heard_for_long_is_asked(self):
-        # A machine was slow when it was heard of last, so nobody sends there. It has
-        # been fast again for a while and stands idle beside targets with queues.
+    def test_target_with_an_old_report_is_probed(self):
+        # A machine was slow at its last report, so no VM sends there. It has recovered
+        # and is idle while other targets have queues.
         assert is_due(0.35, 0.0, False)
 
-    def test_owner_of_keys_is_asked_rarely(self):
+    def test_owner_of_keys_is_probed_rarely(self):
         assert not is_due(0.5, 0.0, True)
         assert is_due(1.5, 0.0, True)
 
-    def test_service_without_requests_costs_nothing(self):
+    def test_target_of_a_service_without_requests_is_not_probed(self):
         assert not is_due(60.0, 60.0, False)
 
-    def test_new_target_is_asked_before_the_first_request(self):
+    def test_new_target_is_probed_before_the_first_request(self):
         assert is_due(INF, INF, True)
--- a/packages/policy/tests/test_slot_queue.py
+++ b/packages/policy/tests/test_slot_queue.py
@@ -1,350 +1,398 @@
-"""Tests of the one queue before the slots of some targets."""
+"""Tests of the shared admission queue for slots."""
 
 from __future__ import annotations
 
 from random import Random
 
 from berylstage_policy.slot_queue import (
-    ADMITTED_WITHIN,
-    PLACE_MEMORY,
-    UNDER_WAY,
-    Place,
+    ADMISSION_OBJECTIVE_FACTOR,
+    PERMIT_ARRIVAL_SECONDS,
+    QUEUED_REQUEST_TTL_SECONDS,
+    PermitStatus,
+    QueuedRequest,
     RequestId,
-    Say,
     ServiceTimes,
     SlotQueue,
     TargetReport,
 )
 
-WORK = 0.1
-OBJECTIVE = 0.3
-DEADLINE = 0.8
+WORK_SECONDS = 0.1
+OBJECTIVE_SECONDS = 0.3
+DEADLINE_SECONDS = 0.8
 
 
 class Times(ServiceTimes):
-    """All requests take the same, times the pace of the target."""
+    """Give all requests one service time, scaled by a factor for each target."""
 
     def __init__(self):
-        self.paces = {}
-        self.far = {}
+        self.factors = {}
+        self.penalties = {}
 
     def seconds(self, target, kind):
-        return WORK * self.paces.get(target, 1.0)
+        return WORK_SECONDS * self.factors.get(target, 1.0)
 
-    def distance(self, target, origin, kind):
-        return self.far.get((target, origin), 0.0)
+    def locality_penalty(self, target, origin, kind):
+        return self.penalties.get((target, origin), 0.0)
 
 
-def place(number, now, priority=1, objective=OBJECTIVE, host="vm-1"):
-    wanted, deadline = now + objective, now + DEADLINE
-    ident = RequestId(host, number)
-    return Place(ident, "kind", "dc-1", priority, wanted, objective, deadline, now)
+def queued_request(number, now, priority=1, objective=OBJECTIVE_SECONDS, host="vm-1"):
+    soft_deadline, deadline = now + objective, now + DEADLINE_SECONDS
+    request_id = RequestId(host, number)
+    return QueuedRequest(
+        request_id, "kind", "dc-1", priority, soft_deadline, objective, deadline, now
+    )
 
 
-def queue(slots=2, **targets):
-    each = SlotQueue(Times())
-    each.know(targets or {"a": slots})
-    return each
+def slot_queue(slots=2, **targets):
+    queue = SlotQueue(Times())
+    queue.set_targets(targets or {"a": slots})
+    return queue
 
 
-def said(verdicts, say):
-    return [v.ident.number for v in verdicts if v.say is say]
+def numbers_with(decisions, status):
+    return [d.request_id.number for d in decisions if d.status is status]
 
 
-def number(n, host="vm-1"):
+def request_id(n, host="vm-1"):
     return RequestId(host, n)
 
 
 class TestEnd:
-    def test_all_that_wait_are_sent_away_and_those_that_went_are_not(self):
-        # Guards against a queue whose VM stops while requests wait in it for nothing.
-        each = queue(slots=1)
+    def test_closing_rejects_queued_requests_but_not_granted_ones(self):
+        # Guards against requests that stay in the queue of a VM that stops.
+        queue = slot_queue(slots=1)
         for n in range(3):
-            each.ask(place(n, 0.0), 0.0)
-        assert said(each.send_away(), Say.ELSEWHERE) == [1, 2]
-        assert len(each) == 0
-        assert each.returned(number(0), 0.1) == []
+            queue.request(queued_request(n, 0.0), 0.0)
+        assert numbers_with(queue.close(), PermitStatus.QUEUE_CLOSED) == [1, 2]
+        assert len(queue) == 0
+        assert queue.release(request_id(0), 0.1) == []
 
 
 class TestOrder:
-    def test_as_many_go_as_there_are_slots(self):
+    def test_as_many_permits_are_granted_as_there_are_slots(self):
         # Nine VMs that each see a free slot send nine requests to a target with two.
-        each = queue()
-        verdicts = [v for n in range(4) for v in each.ask(place(n, 0.0), 0.0)]
-        assert said(verdicts, Say.GO) == [0, 1]
-        assert said(verdicts, Say.WAIT) == [2, 3]
-        assert said(each.returned(number(1), 0.05), Say.GO) == [2]
-
-    def test_more_urgent_request_goes_first(self):
-        each = queue(1)
-        each.ask(place(0, 0.0), 0.0)
-        each.ask(place(1, 0.0, priority=2), 0.0)
-        each.ask(place(2, 0.01, priority=0), 0.01)
-        assert said(each.returned(number(0), 0.1), Say.GO) == [2]
-
-    def test_least_time_left_goes_first_among_equals(self):
-        # A caller that was refused before has less time left than one that has just
-        # come.
-        each = queue(1)
-        each.ask(place(0, 0.0), 0.0)
-        each.ask(place(1, 0.0, objective=0.32), 0.0)
-        each.ask(place(2, 0.01, objective=0.25), 0.01)
-        assert said(each.returned(number(0), 0.1), Say.GO) == [2]
-
-    def test_request_that_will_be_late_gives_way_and_is_told(self):
-        # A neighbour slows the target, and the first of its queue would be late. Served
-        # in turn, each later one would be late as well.
-        each = queue(1)
-        each.ask(place(0, 0.0), 0.0)
-        each.ask(place(1, 0.0), 0.0)
-        each.ask(place(2, 0.1), 0.1)
-        verdicts = each.returned(number(0), 0.25)
-        assert said(verdicts, Say.REFUSED) == [1]
-        assert said(verdicts, Say.GO) == [2]
-
-    def test_late_request_is_served_when_nothing_better_waits(self):
-        # A late answer is better than none, and the slot stands idle.
-        each = queue(1)
-        each.ask(place(0, 0.0), 0.0)
-        each.ask(place(1, 0.0), 0.0)
-        assert said(each.returned(number(0), 0.25), Say.GO) == [1]
-
-    def test_nearest_of_the_fastest_free_targets_is_taken(self):
-        each = queue(a=1, b=1, c=1)
+        queue = slot_queue()
+        decisions = [
+            d for n in range(4) for d in queue.request(queued_request(n, 0.0), 0.0)
+        ]
+        assert numbers_with(decisions, PermitStatus.GRANTED) == [0, 1]
+        assert numbers_with(decisions, PermitStatus.QUEUED) == [2, 3]
+        assert numbers_with(
+            queue.release(request_id(1), 0.05), PermitStatus.GRANTED
+        ) == [2]
+
+    def test_higher_priority_is_granted_first(self):
+        queue = slot_queue(1)
+        queue.request(queued_request(0, 0.0), 0.0)
+        queue.request(queued_request(1, 0.0, priority=2), 0.0)
+        queue.request(queued_request(2, 0.01, priority=0), 0.01)
+        assert numbers_with(
+            queue.release(request_id(0), 0.1), PermitStatus.GRANTED
+        ) == [2]
+
+    def test_earlier_soft_deadline_is_granted_first_at_equal_priority(self):
+        # A request that was refused before has less time left than a new one.
+        queue = slot_queue(1)
+        queue.request(queued_request(0, 0.0), 0.0)
+        queue.request(queued_request(1, 0.0, objective=0.32), 0.0)
+        queue.request(queued_request(2, 0.01, objective=0.25), 0.01)
+        assert numbers_with(
+            queue.release(request_id(0), 0.1), PermitStatus.GRANTED
+        ) == [2]
+
+    def test_request_that_would_be_late_is_refused_for_one_in_time(self):
+        # A noisy neighbour slows the target, so the first queued request would be late.
+        # Served in order, each later one would be late as well.
+        queue = slot_queue(1)
+        queue.request(queued_request(0, 0.0), 0.0)
+        queue.request(queued_request(1, 0.0), 0.0)
+        queue.request(queued_request(2, 0.1), 0.1)
+        decisions = queue.release(request_id(0), 0.25)
+        assert numbers_with(decisions, PermitStatus.REFUSED) == [1]
+        assert numbers_with(decisions, PermitStatus.GRANTED) == [2]
+
+    def test_late_request_is_granted_when_no_other_is_queued(self):
+        # A late answer is better than none, and the slot would be idle.
+        queue = slot_queue(1)
+        queue.request(queued_request(0, 0.0), 0.0)
+        queue.request(queued_request(1, 0.0), 0.0)
+        assert numbers_with(
+            queue.release(request_id(0), 0.25), PermitStatus.GRANTED
+        ) == [1]
+
+    def test_fastest_free_target_is_chosen_with_its_locality_penalty(self):
+        queue = slot_queue(a=1, b=1, c=1)
         for name in ("a", "b", "c"):
-            each._slots[name].given_at = 0.0
-        each._times.paces = {"a": 1.0, "b": 1.2, "c": 3.0}
-        each._times.far = {("a", "dc-1"): 0.08}
-        verdicts = [v for n in range(3) for v in each.ask(place(n, 0.0), 0.0)]
-        assert [v.target for v in verdicts] == ["b", "a", "c"]
-
-    def test_idle_target_gets_a_request_now_and_then(self):
-        # A target has just come, or was slow when it was heard of last, and the others
-        # have slots free all the time. It would stand idle for ever.
-        each = queue(a=2, b=2)
-        each._times.paces = {"b": 1.5}
-        told = []
+            queue._targets[name].last_granted_at = 0.0
+        queue._times.factors = {"a": 1.0, "b": 1.2, "c": 3.0}
+        queue._times.penalties = {("a", "dc-1"): 0.08}
+        decisions = [
+            d for n in range(3) for d in queue.request(queued_request(n, 0.0), 0.0)
+        ]
+        assert [d.target for d in decisions] == ["b", "a", "c"]
+
+    def test_idle_target_receives_occasional_requests(self):
+        # A target has just joined, or was slow when last measured, and the others
+        # always have free slots. Without such requests it would stay idle for ever.
+        queue = slot_queue(a=2, b=2)
+        queue._times.factors = {"b": 1.5}
+        chosen = []
         for n in range(40):
             now = n * 0.2
-            told += [v.target for v in each.ask(place(n, now), now)]
-            each.returned(number(n), now + 0.1)
-        assert 4 <= told.count("b") <= 12
-
-    def test_idle_target_elsewhere_is_left_to_its_own_data_centre(self):
-        # Bytes that cross are paid for, and the requests of its own data centre will
-        # tell how it is.
-        each = queue(a=2, b=2)
-        each._times.far = {("b", "dc-1"): 0.3}
+            chosen += [d.target for d in queue.request(queued_request(n, now), now)]
+            queue.release(request_id(n), now + 0.1)
+        assert 4 <= chosen.count("b") <= 12
+
+    def test_idle_target_in_another_data_centre_receives_none(self):
+        # Traffic between data centres is paid for, and the requests of the target's own
+        # data centre measure it.
+        queue = slot_queue(a=2, b=2)
+        queue._times.penalties = {("b", "dc-1"): 0.3}
         for n in range(20):
             now = n * 0.2
-            assert [v.target for v in each.ask(place(n, now), now)] == ["a"]
-            each.returned(number(n), now + 0.1)
+            assert [d.target for d in queue.request(queued_request(n, now), now)] == [
+                "a"
+            ]
+            queue.release(request_id(n), now + 0.1)
 
-    def test_idle_target_is_not_tried_where_it_would_be_too_slow(self):
-        each = queue(a=2, b=2)
-        each._times.paces = {"b": 4.0}
-        told = [v.target for v in each.ask(place(0, 0.0), 0.0)]
-        assert told == ["a"]
+    def test_idle_target_is_not_tried_if_it_would_be_too_slow(self):
+        queue = slot_queue(a=2, b=2)
+        queue._times.factors = {"b": 4.0}
+        chosen = [d.target for d in queue.request(queued_request(0, 0.0), 0.0)]
+        assert chosen == ["a"]
 
 
 class TestAdmission:
-    def test_request_that_cannot_be_in_time_is_refused_at_once(self):
-        # More requests than slots for seconds. One that waits for nothing costs its
-        # caller the time in which it could be served elsewhere or later.
-        each = queue(1)
-        verdicts = [v for n in range(9) for v in each.ask(place(n, 0.0), 0.0)]
-        refused = [v for v in verdicts if v.say is Say.REFUSED]
-        assert said(verdicts, Say.GO) == [0]
-        assert len(said(verdicts, Say.WAIT)) == int(ADMITTED_WITHIN * 3) - 1
-        # There is room when what is ahead of it has gone.
-        assert all(0.04 < v.seconds < 0.2 for v in refused)
-
-    def test_urgent_request_is_let_in_before_others_that_wait(self):
-        each = queue(1)
+    def test_request_that_cannot_be_in_time_is_refused_immediately(self):
+        # More requests than slots arrive for seconds. A request that waits in vain
+        # loses the time in which another target or a retry could have answered it.
+        queue = slot_queue(1)
+        decisions = [
+            d for n in range(9) for d in queue.request(queued_request(n, 0.0), 0.0)
+        ]
+        refused = [d for d in decisions if d.status is PermitStatus.REFUSED]
+        assert numbers_with(decisions, PermitStatus.GRANTED) == [0]
+        assert (
+            len(numbers_with(decisions, PermitStatus.QUEUED))
+            == int(ADMISSION_OBJECTIVE_FACTOR * 3) - 1
+        )
+        # The retry comes when the requests ahead have completed.
+        assert all(0.04 < d.retry_after < 0.2 for d in refused)
+
+    def test_urgent_request_is_admitted_ahead_of_queued_ones(self):
+        queue = slot_queue(1)
         for n in range(9):
-            each.ask(place(n, 0.0), 0.0)
-        verdicts = each.ask(place(10, 0.0, priority=0), 0.0)
-        assert said(verdicts, Say.WAIT) == [10]
-
-    def test_slots_that_others_use_are_not_given_out(self):
-        # Some VMs have lost the keeper and send without turns. What the target tells
-        # shows them.
-        each = queue(2)
-        each.ask(place(0, 0.0), 0.0)
-        verdicts = each.returned(number(0), 0.1, TargetReport("a", 2))
-        assert verdicts == []
-        assert said(each.ask(place(1, 0.11), 0.11), Say.WAIT) == [1]
-        assert said(each.due(0.3), Say.GO) == []
-        # What others did a while ago says nothing any more.
-        assert said(each.due(0.5), Say.GO) == [1]
-
-    def test_nobody_waits_for_a_target_that_has_fallen_silent(self):
-        # A target takes requests and answers none. Those that came after would wait for
-        # its slots until their time is over, and could be told at once.
-        each = queue(2)
-        each.ask(place(0, 0.0), 0.0)
-        each.ask(place(1, 0.0), 0.0)
-        assert said(each.ask(place(2, 0.7), 0.7), Say.REFUSED) == [2]
-
-    def test_kind_that_once_took_long_is_not_refused_before_idle_slots(self):
-        # The first requests of a kind met slow machines, and it is believed to take far
-        # longer than its objective. All of them were refused for a whole day, before
-        # targets that stood idle: none went to show how long they take now.
-        each = queue()
-        each._times.paces["a"] = 2 * ADMITTED_WITHIN * OBJECTIVE / WORK
-        assert said(each.ask(place(0, 0.0), 0.0), Say.GO) == [0]
-        assert said(each.ask(place(1, 0.0), 0.0), Say.GO) == [1]
-        assert said(each.ask(place(2, 0.0), 0.0), Say.REFUSED) == [2]
-
-    def test_request_with_little_time_left_is_refused_rather_than_held(self):
-        # A caller that was refused before comes back with less time than its answer
-        # would take. Held until that is over, it gets neither an answer nor the word
-        # that it had better go elsewhere.
-        each = queue(1)
-        each.ask(place(0, 0.0), 0.0)
-        short = place(1, 0.0)
-        short.deadline = 1.5 * WORK
-        assert said(each.ask(short, 0.0), Say.REFUSED) == [1]
-
-    def test_request_that_waits_is_told_when_there_is_no_hope_left(self):
-        # A target falls silent, or its machine turns slow, after requests were let in
-        # behind its work. They waited until their deadlines.
-        each = queue(1)
-        each.ask(place(0, 0.0), 0.0)
-        waiting = place(1, 0.0)
-        assert said(each.ask(waiting, 0.0), Say.WAIT) == [1]
-        moment, told = 0.0, []
-        while not told and moment < DEADLINE:
+            queue.request(queued_request(n, 0.0), 0.0)
+        decisions = queue.request(queued_request(10, 0.0, priority=0), 0.0)
+        assert numbers_with(decisions, PermitStatus.QUEUED) == [10]
+
+    def test_slots_used_by_foreign_requests_are_not_granted(self):
+        # Some VMs have lost the permit server and send without permits. The target's
+        # report shows their requests.
+        queue = slot_queue(2)
+        queue.request(queued_request(0, 0.0), 0.0)
+        decisions = queue.release(request_id(0), 0.1, TargetReport("a", 2))
+        assert decisions == []
+        assert numbers_with(
+            queue.request(queued_request(1, 0.11), 0.11), PermitStatus.QUEUED
+        ) == [1]
+        assert numbers_with(queue.grant_due(0.3), PermitStatus.GRANTED) == []
+        # An old report of foreign requests no longer counts.
+        assert numbers_with(queue.grant_due(0.5), PermitStatus.GRANTED) == [1]
+
+    def test_no_request_is_queued_for_a_target_that_stopped_responding(self):
+        # A target accepts requests and answers none. Later requests would wait for its
+        # slots until their deadlines instead of being refused immediately.
+        queue = slot_queue(2)
+        queue.request(queued_request(0, 0.0), 0.0)
+        queue.request(queued_request(1, 0.0), 0.0)
+        assert numbers_with(
+            queue.request(queued_request(2, 0.7), 0.7), PermitStatus.REFUSED
+        ) == [2]
+
+    def test_kind_that_was_slow_is_not_refused_while_slots_are_free(self):
+        # The first requests of a kind ran on slow machines, and its estimate is far
+        # above its objective. All of them were refused for a whole day while targets
+        # were idle, because none was sent that would have corrected the estimate.
+        queue = slot_queue()
+        queue._times.factors["a"] = (
+            2 * ADMISSION_OBJECTIVE_FACTOR * OBJECTIVE_SECONDS / WORK_SECONDS
+        )
+        assert numbers_with(
+            queue.request(queued_request(0, 0.0), 0.0), PermitStatus.GRANTED
+        ) == [0]
+        assert numbers_with(
+            queue.request(queued_request(1, 0.0), 0.0), PermitStatus.GRANTED
+        ) == [1]
+        assert numbers_with(
+            queue.request(queued_request(2, 0.0), 0.0), PermitStatus.REFUSED
+        ) == [2]
+
+    def test_request_with_little_time_left_is_refused_rather_than_queued(self):
+        # A retried request has less time left than its answer takes. Queued until its
+        # deadline, it would get neither an answer nor a refusal that lets its caller
+        # try elsewhere.
+        queue = slot_queue(1)
+        queue.request(queued_request(0, 0.0), 0.0)
+        short = queued_request(1, 0.0)
+        short.deadline = 1.5 * WORK_SECONDS
+        assert numbers_with(queue.request(short, 0.0), PermitStatus.REFUSED) == [1]
+
+    def test_queued_request_is_refused_once_it_cannot_be_answered(self):
+        # A target stops responding, or its machine slows down, after requests were
+        # queued for its slots. They stayed queued until their deadlines.
+        queue = slot_queue(1)
+        queue.request(queued_request(0, 0.0), 0.0)
+        waiting = queued_request(1, 0.0)
+        assert numbers_with(queue.request(waiting, 0.0), PermitStatus.QUEUED) == [1]
+        moment, chosen = 0.0, []
+        while not chosen and moment < DEADLINE_SECONDS:
             moment += 0.1
-            told = said(each.ask(place(1, 0.0), moment), Say.REFUSED)
-        assert told == [1]
-        assert moment < DEADLINE - WORK
-
-    def test_slot_goes_to_a_late_answer_that_somebody_waits_for(self):
-        # Two requests are late. One of them could be answered before its caller has
-        # gone; a slot spent on the other serves nobody.
-        each = queue(1)
-        each.ask(place(0, 0.0), 0.0)
-        hopeless, late = place(1, 0.0), place(2, 0.0)
-        each.ask(hopeless, 0.0)
-        each.ask(late, 0.0)
+            chosen = numbers_with(
+                queue.request(queued_request(1, 0.0), moment), PermitStatus.REFUSED
+            )
+        assert chosen == [1]
+        assert moment < DEADLINE_SECONDS - WORK_SECONDS
+
+    def test_slot_is_granted_to_a_late_request_that_meets_its_deadline(self):
+        # Two requests are late. Only one can be answered before its caller stops
+        # waiting; a slot granted to the other is wasted.
+        queue = slot_queue(1)
+        queue.request(queued_request(0, 0.0), 0.0)
+        hopeless, late = queued_request(1, 0.0), queued_request(2, 0.0)
+        queue.request(hopeless, 0.0)
+        queue.request(late, 0.0)
         for waiting in (hopeless, late):
-            waiting.wanted = 0.05
-            waiting.heard = 0.15
+            waiting.soft_deadline = 0.05
+            waiting.last_seen = 0.15
         hopeless.deadline = 0.2
-        assert said(each.returned(number(0), 0.15), Say.GO) == [2]
+        assert numbers_with(
+            queue.release(request_id(0), 0.15), PermitStatus.GRANTED
+        ) == [2]
 
-    def test_tells_what_a_refusal_was_decided_by(self):
-        each = queue(2)
-        each.ask(place(0, 0.0), 0.0)
-        each.returned(number(9), 0.0, TargetReport("a", 2))
-        assert each.describe(0.1) == "a slots 2 permits 1 others 1"
+    def test_description_shows_the_basis_of_a_refusal(self):
+        queue = slot_queue(2)
+        queue.request(queued_request(0, 0.0), 0.0)
+        queue.release(request_id(9), 0.0, TargetReport("a", 2))
+        assert queue.describe(0.1) == "a slots 2 permits 1 others 1"
 
-    def test_no_target_is_no_room(self):
-        each = SlotQueue(Times())
-        assert said(each.ask(place(0, 0.0), 0.0), Say.REFUSED) == [0]
+    def test_queue_without_targets_refuses_requests(self):
+        queue = SlotQueue(Times())
+        assert numbers_with(
+            queue.request(queued_request(0, 0.0), 0.0), PermitStatus.REFUSED
+        ) == [0]
 
 
 class TestLosses:
-    def test_lost_word_to_go_is_said_again(self):
-        # The datagram that told a request to go is lost, and the VM asks again.
-        each = queue(1)
-        each.ask(place(0, 0.0), 0.0)
-        assert said(each.ask(place(0, 0.03), 0.03), Say.GO) == [0]
-
-    def test_lost_return_does_not_take_a_slot_out_of_use(self):
-        # Five in two hundred datagrams are lost on a bad link. Each lost word that a
-        # request is done would keep a slot idle until the request's deadline.
-        each = queue(2)
-        each.ask(place(0, 0.0), 0.0)
-        each.ask(place(1, 0.0), 0.0)
-        each.ask(place(2, 0.0), 0.0)
-        verdicts = each.returned(number(1), 0.1, TargetReport("a", 0))
-        assert said(verdicts, Say.GO) == [2]
-        each.ask(place(3, 0.1), 0.1)
-        assert len(each) == 0
-
-    def test_request_on_its_way_is_not_taken_for_done(self):
-        each = queue(2)
-        each.ask(place(0, 0.0), 0.0)
-        each.ask(place(1, 0.1), 0.1)
-        each.returned(number(0), 0.1 + UNDER_WAY / 2, TargetReport("a", 0))
-        each.ask(place(2, 0.12), 0.12)
-        assert said(each.ask(place(3, 0.12), 0.12), Say.WAIT) == [3]
-
-    def test_place_of_a_lost_vm_is_given_up(self):
-        each = queue(1)
-        each.ask(place(0, 0.0), 0.0)
-        each.ask(place(1, 0.0, host="vm-2"), 0.0)
-        each.due(PLACE_MEMORY + 0.01)
-        assert len(each) == 0
-
-    def test_permit_ends_with_its_deadline(self):
-        each = queue(1)
-        each.ask(place(0, 0.0), 0.0)
-        later = DEADLINE + 0.01
-        assert said(each.ask(place(1, later), later), Say.GO) == [1]
-
-    def test_target_that_is_gone_gets_nothing(self):
-        each = queue(a=1, b=1)
-        each.know({"b": 1})
-        assert each.ask(place(0, 0.0), 0.0)[0].target == "b"
-        assert said(each.ask(place(1, 0.0), 0.0), Say.WAIT) == [1]
+    def test_lost_grant_is_repeated(self):
+        # The datagram that granted the permit is lost, and the VM asks again.
+        queue = slot_queue(1)
+        queue.request(queued_request(0, 0.0), 0.0)
+        assert numbers_with(
+            queue.request(queued_request(0, 0.03), 0.03), PermitStatus.GRANTED
+        ) == [0]
+
+    def test_lost_release_does_not_block_a_slot(self):
+        # A bad link loses five in two hundred datagrams. Each lost release would keep a
+        # slot idle until the request's deadline.
+        queue = slot_queue(2)
+        queue.request(queued_request(0, 0.0), 0.0)
+        queue.request(queued_request(1, 0.0), 0.0)
+        queue.request(queued_request(2, 0.0), 0.0)
+        decisions = queue.release(request_id(1), 0.1, TargetReport("a", 0))
+        assert numbers_with(decisions, PermitStatus.GRANTED) == [2]
+        queue.request(queued_request(3, 0.1), 0.1)
+        assert len(queue) == 0
+
+    def test_request_in_transit_is_not_taken_for_completed(self):
+        queue = slot_queue(2)
+        queue.request(queued_request(0, 0.0), 0.0)
+        queue.request(queued_request(1, 0.1), 0.1)
+        queue.release(
+            request_id(0), 0.1 + PERMIT_ARRIVAL_SECONDS / 2, TargetReport("a", 0)
+        )
+        queue.request(queued_request(2, 0.12), 0.12)
+        assert numbers_with(
+            queue.request(queued_request(3, 0.12), 0.12), PermitStatus.QUEUED
+        ) == [3]
+
+    def test_queued_request_of_a_lost_vm_is_dropped(self):
+        queue = slot_queue(1)
+        queue.request(queued_request(0, 0.0), 0.0)
+        queue.request(queued_request(1, 0.0, host="vm-2"), 0.0)
+        queue.grant_due(QUEUED_REQUEST_TTL_SECONDS + 0.01)
+        assert len(queue) == 0
+
+    def test_permit_expires_at_its_deadline(self):
+        queue = slot_queue(1)
+        queue.request(queued_request(0, 0.0), 0.0)
+        later = DEADLINE_SECONDS + 0.01
+        assert numbers_with(
+            queue.request(queued_request(1, later), later), PermitStatus.GRANTED
+        ) == [1]
+
+    def test_removed_target_receives_no_request(self):
+        queue = slot_queue(a=1, b=1)
+        queue.set_targets({"b": 1})
+        assert queue.request(queued_request(0, 0.0), 0.0)[0].target == "b"
+        assert numbers_with(
+            queue.request(queued_request(1, 0.0), 0.0), PermitStatus.QUEUED
+        ) == [1]
 
 
 class FirstComeFirstServed:
-    """The target's own queue, with requests let in up to 1.4 objectives."""
+    """A target's own FIFO queue, which admits requests up to 1.4 objectives."""
 
     def __init__(self):
         self.free = [0.0] * 4
 
     def done(self, now, work):
         start = max(now, min(self.free))
-        if start + WORK - now > 1.4 * OBJECTIVE:
+        if start + WORK_SECONDS - now > 1.4 * OBJECTIVE_SECONDS:
             return None
         self.free.remove(min(self.free))
         self.free.append(start + work)
         return start + work
 
 
-def play_plain(load, seconds=30.0):
-    """Return the share of the slots' time that brings answers in time."""
-    rng, now, good, each = Random(1), 0.0, 0, FirstComeFirstServed()
+def simulate_fifo(load, seconds=30.0):
+    """Return the share of slot time that yields answers in time."""
+    rng, now, good, queue = Random(1), 0.0, 0, FirstComeFirstServed()
     while now < seconds:
-        now += rng.expovariate(load * 4 / WORK)
-        done = each.done(now, WORK * rng.uniform(0.5, 1.5))
-        good += done is not None and done - now <= OBJECTIVE
-    return good / (seconds * 4 / WORK)
+        now += rng.expovariate(load * 4 / WORK_SECONDS)
+        done = queue.done(now, WORK_SECONDS * rng.uniform(0.5, 1.5))
+        good += done is not None and done - now <= OBJECTIVE_SECONDS
+    return good / (seconds * 4 / WORK_SECONDS)
 
 
-def play(load, seconds=30.0):
-    """Return the shares of requests and of slots' time with answers in time."""
-    rng, each = Random(1), queue(4)
+def simulate(load, seconds=30.0):
+    """Return the shares of requests and of slot time with answers in time."""
+    rng, queue = Random(1), slot_queue(4)
     events = [(0.0, "come", 0)]
-    came, good = {}, 0
+    arrivals, good = {}, 0
     while events[0][0] < seconds:
-        now, what, n = events.pop(0)
-        if what == "come":
-            came[n] = now
-            verdicts = each.ask(place(n, now), now)
-            gap = rng.expovariate(load * 4 / WORK)
+        now, event, n = events.pop(0)
+        if event == "come":
+            arrivals[n] = now
+            decisions = queue.request(queued_request(n, now), now)
+            gap = rng.expovariate(load * 4 / WORK_SECONDS)
             events.append((now + gap, "come", n + 1))
         else:
-            good += now - came[n] <= OBJECTIVE
-            verdicts = each.returned(number(n), now)
-        for waiting in each._waiting:
-            waiting.heard = now
-        for gone in said(verdicts, Say.GO):
-            events.append((now + WORK * rng.uniform(0.5, 1.5), "done", gone))
+            good += now - arrivals[n] <= OBJECTIVE_SECONDS
+            decisions = queue.release(request_id(n), now)
+        for waiting in queue._queued:
+            waiting.last_seen = now
+        for gone in numbers_with(decisions, PermitStatus.GRANTED):
+            events.append((now + WORK_SECONDS * rng.uniform(0.5, 1.5), "done", gone))
         events.sort()
-    return good / len(came), good / (seconds * 4 / WORK)
+    return good / len(arrivals), good / (seconds * 4 / WORK_SECONDS)
 
 
 class TestOverload:
-    def test_slots_are_spent_on_answers_in_time(self):
-        # 1.3 times as many requests as the slots can serve, for half a minute. First
-        # come, first served fills the queue, and most answers come just too late.
-        assert play(1.3)[1] > 2 * play_plain(1.3)
+    def test_slots_are_used_for_answers_in_time(self):
+        # 1.3 times as many requests as the slots can serve, for half a minute. A FIFO
+        # queue fills up, and most of its answers come just too late.
+        assert simulate(1.3)[1] > 2 * simulate_fifo(1.3)
 
-    def test_nearly_all_are_served_in_time_below_capacity(self):
-        assert play(0.7)[0] > 0.97
+    def test_nearly_all_requests_are_in_time_below_capacity(self):
+        assert simulate(0.7)[0] > 0.97
