--- a/packages/entry/src/berylstage_entry/cold_targets.py
+++ b/packages/entry/src/berylstage_entry/cold_targets.py
@@ -1,4 +1,4 @@
-"""How much of its requests a VM sends to targets that are cold."""
+"""Limits the requests that this VM sends to cold targets."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ColdTargets:
-    """What one VM may send of that which cold targets bear from all VMs together.
+    """Applies one VM's part of the request limits of cold targets.
 
     Parameters
     ----------
@@ -27,9 +27,9 @@
     Attributes
     ----------
     vms : int
-        VMs that are known, with some that may be starting.
+        Number of known VMs, plus some that may be starting.
     vm_names : list of str
-        Those that are known; replaced, never changed.
+        Names of the known VMs; the list is replaced and never modified.
     """
 
     def __init__(self, directory: Directory, bounds: Bounds, vm: str):
@@ -39,20 +39,20 @@
         self._limiters: dict[tuple[str, int], ColdRateLimiter] = {}
         self.vms = 10
         self.vm_names: list[str] = []
-        # Whether this VM sends to a cold target, with the bound on it, as long as the
-        # known VMs stay the same.
+        # Bound of each cold target, and whether this VM may send to it. Valid for
+        # `_cold_senders_vms`.
         self._cold_senders: dict[str, tuple[float, bool]] = {}
         self._cold_senders_vms = self.vm_names
 
     def retain(self, names: set[str]) -> None:
-        """Forget all targets but these."""
+        """Remove all targets except the given ones."""
         for name in [name for name in self._cold_senders if name not in names]:
             del self._cold_senders[name]
         for identity in [each for each in self._limiters if each[0] not in names]:
             del self._limiters[identity]
 
     def limiter(self, name: str, service: Service) -> ColdRateLimiter | None:
-        """Return the pace towards a target that is cold; None for a warm one.
+        """Return the rate limiter of a cold target; None if the target is warm.
 
         Parameters
         ----------
@@ -84,11 +84,11 @@
         return self._is_sender(name, service) and limiter.may_send(now())
 
     def _is_sender(self, name: str, service: Service) -> bool:
-        """Tell whether this VM is one of those that send to a cold target.
+        """Tell whether this VM is one of the senders to a cold target.
 
-        Each request for a service asks that of all its cold targets, and each answer
-        takes a look at all VMs: with hundreds of both, only a change of the VMs or of
-        the target's pace is worth another look.
+        Each request for a service checks all its cold targets, and each check ranks all
+        VMs. With hundreds of both this is too expensive, so the result is kept until
+        the VMs or the target's bound change.
         """
         if self._cold_senders_vms is not self.vm_names:
             self._cold_senders_vms = self.vm_names
@@ -101,7 +101,7 @@
         return known[1]
 
     def record_request(self, name: str, service: Service) -> None:
-        """Note a request to a target.
+        """Record that a request is sent to a target.
 
         Parameters
         ----------
--- a/packages/entry/src/berylstage_entry/owners.py
+++ b/packages/entry/src/berylstage_entry/owners.py
@@ -1,9 +1,9 @@
-"""Finds the owner of a request's key, and waits a moment while the key moves.
+"""Resolves the owner of a request's key, and waits for a short time while it moves.
 
-The load it answers: an owner that has crashed resets each connection within a
-millisecond, and one that has just been given a key may turn requests away until its
-grant is there. Without a pause one request opens hundreds of connections, or uses up
-its attempts within a few milliseconds of a move that takes a tenth of a second.
+A crashed owner resets each connection within a millisecond, and a new owner may reject
+requests until its grant arrives. Without a delay, one request would open hundreds of
+connections, or use all its attempts within a few milliseconds of a move that takes a
+tenth of a second.
 """
 
 from __future__ import annotations
@@ -20,26 +20,27 @@
     from berylstage_entry.feed import Feed
     from berylstage_entry.journey import Journey
 
-# Seconds between two looks for the new owner of keys on the move. A move takes as long
-# as the work under way on the keys, a few hundred milliseconds.
+# Interval at which the new owner of a moving key is looked up. A move takes as long as
+# the requests in progress on the keys, a few hundred milliseconds.
 MOVE_POLL_SECONDS = 0.05
-# Seconds after which an owner that did not take a request is asked again under the same
-# assignment, at first and at most: a grant is at its target within 10 ms, and a target
-# that has crashed is found out by the next order to it, 0.8 s later at most.
+# Bounds of the delay after which an owner that rejected a request is asked again under
+# the same assignment. A grant reaches its target within 10 ms, and a crashed target is
+# detected by the next grant request to it, at most 0.8 s later.
 INITIAL_RETRY_DELAY_SECONDS = 0.05
 MAX_RETRY_DELAY_SECONDS = 0.2
-# Seconds of waiting after which the store is read ahead of time. An assignment is told
-# from VM to VM within a few milliseconds, so by then this VM has been left out.
+# Time of waiting after which the store is read early. VMs publish an assignment to each
+# other within a few milliseconds, so this VM has missed the publication by then.
 REFRESH_AFTER_SECONDS = 0.15
-# Share of its route's time limit that a request may wait for an owner, or of its own
-# time where it has less: one that came back after a refusal would be turned away at
-# once again, though most moves end within a few times MOVE_WAIT. The rest is for the
-# work, which takes less than half of the limit on all routes of today.
+# Share of the route's timeout, or of the request's remaining time if that is less, for
+# which a request may wait for an owner. Without the second limit, a retried request
+# would be refused immediately again, although most moves end within a few times
+# MOVE_POLL_SECONDS. The rest is for the request itself, which takes less than half of
+# the timeout on all current routes.
 WAIT_SHARE = 0.5
 
 
 class OwnerResolver:
-    """Finds the owners of keys for the requests of one VM.
+    """Resolves the owners of keys for the requests of one VM.
 
     Parameters
     ----------
@@ -52,7 +53,7 @@
         self._directory = directory
 
     async def find(self, journey: Journey) -> str:
-        """Return the target that is to get a request with a key.
+        """Return the target that should receive a request with a key.
 
         Parameters
         ----------
@@ -65,7 +66,7 @@
         Raises
         ------
         NoOwner
-            None was known in time.
+            No usable owner was found in time.
         """
         began = now()
         retry_at = began + journey.pause
@@ -86,7 +87,7 @@
             await asyncio.sleep(MOVE_POLL_SECONDS)
 
     def is_owner(self, journey: Journey, name: str) -> bool:
-        """Tell whether a target still holds the key of a request."""
+        """Tell whether a target is still the owner of a request's key."""
         key_range = self._find_range(journey)
         return (
             key_range is not None
@@ -95,7 +96,7 @@
         )
 
     def turned_away(self, journey: Journey, name: str) -> None:
-        """Note that an owner did not take a request, so that it is given a pause."""
+        """Record that an owner rejected a request, and increase its retry delay."""
         journey.turned_away = (name, self._revision(journey))
         journey.pause = min(
             max(INITIAL_RETRY_DELAY_SECONDS, 2 * journey.pause), MAX_RETRY_DELAY_SECONDS
--- a/packages/entry/src/berylstage_entry/probes.py
+++ b/packages/entry/src/berylstage_entry/probes.py
@@ -1,4 +1,4 @@
-"""Asks targets for their load when nobody has heard of it for a moment."""
+"""Probes targets for their load when their last report is old."""
 
 from __future__ import annotations
 
@@ -20,28 +20,28 @@
     from berylstage_entry.turns import Turns
     from berylstage_entry.wire import TargetWire
 
-# Seconds between two looks for targets to be asked: a third of the age at which one is.
+# Interval of checks for targets to probe: a third of the age at which one is probed.
 CHECK_INTERVAL_SECONDS = 0.1
-# The same while no target falls to this VM: hundreds of VMs keep no queue at all.
+# The same while no target is assigned to this VM: hundreds of VMs serve no queue.
 IDLE_CHECK_INTERVAL_SECONDS = 0.5
-# Seconds that an answer may take: targets tell their load without waiting for a slot,
-# and a later answer tells of a load that is past.
+# Time limit of a probe. Targets report their load without waiting for a slot, and a
+# later answer would describe a past load.
 PROBE_TIMEOUT_SECONDS = 0.25
-# Seconds before a target is asked again that gave no answer or tells no load.
+# Delay before the next probe of a target that did not answer or reported no load.
 RETRY_DELAY_SECONDS = 1.0
 
 log = Logger(__name__)
 
 
 class LoadProbes:
-    """Asks the targets that fall to this VM.
+    """Probes the targets of the queues that this VM serves.
 
     Parameters
     ----------
     loads : TargetLoads
     directory : Directory
     turns : Turns
-        Knows which queues fall to this VM.
+        Determines the queues that this VM serves.
     wire : TargetWire
     """
 
@@ -60,16 +60,16 @@
         self._not_before: dict[str, float] = {}
         self._task: asyncio.Task | None = None
         self._unresponsive: set[str] = set()
-        # Targets that fall to this VM, and what that was worked out from.
+        # Targets that this VM probes, and the revisions that they were computed from.
         self._assigned: list[Target] = []
         self._seen_revisions: tuple[int, int] = (-1, -1)
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start probing."""
         self._task = asyncio.create_task(self._run())
 
     def stop(self) -> None:
-        """Ask no more."""
+        """Stop probing."""
         if self._task is not None:
             self._task.cancel()
         for task in self._running.values():
@@ -85,7 +85,7 @@
             self._start_due(now())
 
     def _is_idle(self) -> bool:
-        """Tell whether targets are known, and none falls to this VM."""
+        """Tell whether targets are known, but none is assigned to this VM."""
         return bool(self._directory.known) and not self.targets() and not self._assigned
 
     def _start_due(self, moment: float) -> None:
@@ -104,9 +104,9 @@
                 self._running[target.name] = task
 
     def targets(self) -> list[Target]:
-        """Return the targets that fall to this VM.
+        """Return the targets that this VM should probe.
 
-        Cold ones are left out: each request to them counts against what they bear.
+        Cold targets are excluded, since a probe counts against their request limit.
         """
         known = (self._directory.revision, self._turns.revision)
         if known != self._seen_revisions:
@@ -149,7 +149,7 @@
             if target.name not in self._unresponsive:
                 self._unresponsive.add(target.name)
                 log.info(
-                    "target tells no load",
+                    "load probe failed",
                     extra={"target": target.name, "cause": str(exc)},
                 )
             return
--- a/packages/entry/src/berylstage_entry/queue_keeper.py
+++ b/packages/entry/src/berylstage_entry/queue_keeper.py
@@ -1,4 +1,4 @@
-"""Keeps the queues that fall to this VM, for the requests of all VMs."""
+"""Server side of the permit protocol, for the queues assigned to this VM."""
 
 from __future__ import annotations
 
@@ -30,24 +30,24 @@
     from berylstage_entry.services import Service
     from berylstage_entry.target_loads import TargetLoads
 
-# Seconds between two looks for what has become due in queues where requests wait: a
-# place or permit may expire, and nobody says so.
+# Interval of checks for queued requests and permits that have expired, which no message
+# announces.
 EXPIRY_INTERVAL_SECONDS = 0.02
 
-# Lines a second about turns that were refused: together with those about requests they
-# stay below a hundredth of a core.
+# Log lines per second about refused permits. Together with those about requests they
+# cost less than a hundredth of a core.
 REFUSAL_LINES_PER_SECOND = 10.0
 
 log = Logger(__name__)
 
 
 class QueueKeeper:
-    """Answers what VMs ask of the queues that this VM keeps.
+    """Serves permit requests of all VMs from the queues assigned to this VM.
 
     Parameters
     ----------
     loads : TargetLoads
-        Knows how long targets take.
+        Provides the service times of targets.
     directory : Directory
     membership : Membership
     """
@@ -59,29 +59,30 @@
         self._directory = directory
         self._membership = membership
         self._queues: dict[str, SlotQueue] = {}
-        # When the targets of each queue were looked up last.
+        # When each queue's set of targets was last updated.
         self._targets_updated_at: dict[str, float] = {}
         self._members_revision = -1
-        # Data centre of each VM, by its host.
+        # Data centre of each VM, by host.
         self._data_centres: dict[str, str] = {}
         self._revision = -1
-        # Names by their checksums: queues, targets and kinds of request.
+        # Names of queues, targets and request kinds, by checksum.
         self._names: dict[int, str] = {}
         self._task: asyncio.Task | None = None
         self._log_limiter = LineBudget(REFUSAL_LINES_PER_SECOND)
-        # Set while requests wait in some queue.
+        # Set while a queue contains requests.
         self._has_queued = asyncio.Event()
         # Sends a reply to a VM, which may be this one.
         self.send: Callable[[str, Reply], None] = lambda host, reply: None
 
     def start(self) -> None:
-        """Begin to look for what becomes due."""
+        """Start checking for expired requests and permits."""
         self._task = asyncio.create_task(self._run())
 
     def stop(self) -> None:
-        """Keep no queue any more, and send away who waits in one.
+        """Close all queues, and notify the requests that are queued.
 
-        Left without a word they would ask on, and some have no time for that.
+        Without the notification their VMs would keep asking this one, and some requests
+        have no time for that.
         """
         if self._task is not None:
             self._task.cancel()
@@ -89,24 +90,25 @@
             self._send_decisions(queue.close())
 
     def take_ask(self, data: bytes, host: str) -> None:
-        """Take in a VM's datagram that asks for a turn."""
+        """Handle the datagram of a permit request."""
         try:
             self.asked(Ask.decode(data), host)
         except UnreadableRecord as exc:
-            log.warning("question passed over", extra={"cause": str(exc)})
+            log.warning("invalid permit request ignored", extra={"cause": str(exc)})
 
     def take_return(self, data: bytes, host: str) -> None:
-        """Take in a VM's datagram that gives a turn release."""
+        """Handle the datagram of a permit release."""
         try:
             self.returned(Return.decode(data), host)
         except UnreadableRecord as exc:
-            log.warning("return passed over", extra={"cause": str(exc)})
+            log.warning("invalid permit release ignored", extra={"cause": str(exc)})
 
     def asked(self, ask: Ask, host: str) -> None:
-        """Answer a request that asks for its turn."""
+        """Handle a permit request."""
         queue = self._find_queue(ask.queue)
         if queue is None:
-            # A target that this VM has not heard of yet. Who asks does without a turn.
+            # This VM does not know the target yet. Without a reply the requesting VM
+            # sends the request without a permit.
             return
         moment = now()
         req = QueuedRequest(
@@ -126,7 +128,7 @@
             self._has_queued.set()
 
     def returned(self, release: Return, host: str) -> None:
-        """Take release the turn of a request."""
+        """Handle a permit release."""
         queue = self._find_queue(release.queue)
         if queue is None:
             return
@@ -163,7 +165,7 @@
         return queue
 
     def _find_service(self, name: str) -> Service | None:
-        """Return the service of a queue; None when nothing is known of it."""
+        """Return the service of a queue, or None if the queue is unknown."""
         cfg = self._directory.configuration
         if cfg is None:
             return None
@@ -171,11 +173,11 @@
         return cfg.services.get(known.target.service if known else name)
 
     def _target_slots(self, name: str, service: Service) -> dict[str, int]:
-        """Return the slots of the targets of a queue."""
+        """Return the number of slots of each target of a queue."""
         known = self._directory.known
         if name in known:
             return {name: known[name].target.slots}
-        # Each VM sends a part of what a cold target bears, without turns.
+        # Requests to cold targets are limited per VM and need no permit.
         warm = [
             n
             for n in self._directory.usable(service.name)
@@ -185,7 +187,7 @@
         return {n: known[n].target.slots for n in non_ejected}
 
     def _refresh_names(self) -> None:
-        """Take over which queues, targets and kinds of request there are."""
+        """Update the names of queues, targets and request kinds."""
         self._revision = self._directory.revision
         known = self._directory.known
         cfg = self._directory.configuration
@@ -222,7 +224,7 @@
         for decision in decisions:
             if decision.status is PermitStatus.REFUSED and self._log_limiter.take():
                 log.info(
-                    "turn refused",
+                    "permit refused",
                     extra={
                         "queue": self._names[number],
                         "host": decision.request_id.host,
--- a/packages/entry/src/berylstage_entry/router.py
+++ b/packages/entry/src/berylstage_entry/router.py
@@ -1,4 +1,4 @@
-"""The way of one request: its route, its target, and whether it is tried again."""
+"""Routes requests: chooses a target, sends, and retries."""
 
 from __future__ import annotations
 
@@ -39,31 +39,31 @@
     from berylstage_entry.turns import Turns
     from berylstage_entry.wire import CallerRequest, TargetAnswer
 
-# Seconds of a request's time that are kept for the way of the answer to the caller.
+# Seconds of a request's time limit reserved for returning the answer to the caller.
 ANSWER_WAY = 0.02
-# Seconds within which a target's answer must be expected for it to be worth sending.
+# Minimum seconds left for an attempt; a request with less is not sent.
 LEAST_TIME = 0.02
-# Seconds after which a caller may come back when a service has no room. Callers take up
-# to a third of their time for it; the spread keeps them from coming all at once.
+# Range of the retry delay suggested to callers when a service has no free slots. It
+# uses up to a third of a caller's time; the spread avoids simultaneous retries.
 MIN_RETRY_AFTER_SECONDS = 0.05
 MAX_RETRY_AFTER_SECONDS = 0.25
-# The same for callers whose target turned them away though it had room.
+# Retry delay in seconds when the target rejected a request although it had free slots.
 RETURN_AT_ONCE = 0.01
-# Times the wait until there is room over which refused callers are spread.
+# Refused callers are spread from the expected wait to this multiple of it.
 RETRY_AFTER_SPREAD = 1.25
-# Share of the bound on repeats that is used; the rest is for the clocks of the VMs,
-# which do not cut time into the same windows.
+# Share of the retry bound that is used. The rest allows for the VMs' clocks, which do
+# not divide time into the same windows.
 BUDGET_USE = 0.8
-# Time until the owner of a key would be done with one more request, as a share of the
-# route's objective, above which the request is refused at once. At 1.0 requests were
-# refused that a moment later had room; without a limit those for a key that asks for
-# more than its owner can do were all late.
+# A request is refused if the owner of its key is expected to complete it later than
+# this multiple of the route's objective. With 1.0, requests were refused for which a
+# slot became free a moment later; without a limit, all requests for a key that needs
+# more than its owner's capacity were late.
 OWNER_WAIT = 1.4
 NOT_FOUND = 404
 
 
 class Router:
-    """Serves callers' requests.
+    """Routes callers' requests to targets.
 
     Parameters
     ----------
@@ -73,9 +73,9 @@
     bounds : Bounds
     rng : Random
     data_centre : str
-        Of this VM.
+        Data centre of this VM.
     vm : str
-        Its name.
+        Name of this VM.
 
     Attributes
     ----------
@@ -104,17 +104,17 @@
         self._retry_budgets: dict[str, Budget] = {}
         self._splits: dict[str, tuple[tuple, WeightedTurns]] = {}
         self._seen_revision = -1
-        # VMs that are known, and some that may be starting.
+        # Number of known VMs, plus some that may be starting.
         self.vms = 10
-        # Gets turns at targets from who keeps the queues before them.
+        # Acquires permits for targets from the permit servers.
         self.turns: Turns | None = None
-        # Requests for each key since the last report to the granting VM.
+        # Requests by service and key since the last report to the coordinator.
         self._key_counts: dict[str, dict[int, int]] = {}
-        # Set while there are any.
+        # Set while there are counts to report.
         self.has_counted = asyncio.Event()
 
     async def serve(self, req: CallerRequest) -> Answered:
-        """Serve one request.
+        """Route one request and return its answer.
 
         Raises
         ------
@@ -146,7 +146,7 @@
         return await self._forward(journey)
 
     def take_key_counts(self) -> dict[str, dict[int, int]]:
-        """Return the requests for each key, by service, since the last call."""
+        """Return the requests by service and key since the last call."""
         counts, self._key_counts = self._key_counts, {}
         self.has_counted.clear()
         return counts
@@ -158,7 +158,7 @@
         self.cold.retain(names)
 
     async def _forward(self, journey: Journey) -> Answered:
-        """Send until there is an answer to give, or no way to get one."""
+        """Send until there is an answer to return, or no further attempt is allowed."""
         try:
             while True:
                 name = await self._choose_target(journey)
@@ -190,7 +190,7 @@
             raise self._build_error(journey, "budget")
 
     async def _choose_owner(self, journey: Journey) -> str:
-        """Return the owner of the key, unless it has enough to do."""
+        """Return the owner of the key, unless it is overloaded."""
         while True:
             try:
                 name = await self._owner_resolver.find(journey)
@@ -201,7 +201,7 @@
             centre = self._directory.known[name].target.data_centre
             await self._acquire_permit(journey, name, centre)
             if not self._owner_resolver.is_owner(journey, name):
-                # The key has moved, or its owner has left, while the request waited.
+                # The key moved, or its owner became unusable, during the wait.
                 self._release_permit(journey)
                 continue
             if journey.turn is None:
@@ -211,7 +211,7 @@
     async def _acquire_permit(
         self, journey: Journey, queue: str, data_centre: str = ""
     ) -> None:
-        """Wait for the turn of a request in a queue; none when nobody gives any."""
+        """Wait for a permit from a queue; set none if no VM serves the queue."""
         if self.turns is None:
             return
         began = now()
@@ -234,7 +234,7 @@
         journey.turn = None
 
     def _check_owner_load(self, journey: Journey, name: str) -> str:
-        """Let the owner of a key get no more than this VM believes it can bear."""
+        """Refuse a request if this VM's data shows that the owner is overloaded."""
         loads = self.loads.for_service(journey.service.name)
         loads.load(name, self._directory.known[name].target.slots)
         expected = loads.expected(name, journey.route.name, now())
@@ -245,14 +245,14 @@
         return name
 
     async def _choose_without_key(self, journey: Journey) -> str:
-        """Return the target of a request without a key, when it has its turn there."""
+        """Return the target of a request without a key, with a permit if possible."""
         names = self._eligible_targets(journey)
         cold = [n for n in names if self.cold.limiter(n, journey.service) is not None]
         if journey.attempts or len(cold) == len(names):
-            # Repeats go around what has failed them.
+            # A retry avoids the targets that have failed it.
             return self._choose_by_load(journey, names)
         if cold:
-            # What a cold target may get is shared out among the VMs, without turns.
+            # Requests to cold targets are limited per VM and need no permit.
             name = self._choose_by_load(journey, names)
             if name in cold:
                 return name
@@ -260,18 +260,18 @@
         name = ""
         if journey.turn is not None:
             name = self._directory.named(journey.turn.target)
-        # Targets may have left while the request waited.
+        # Targets may have become unusable during the wait.
         names = [n for n in names if self._directory.may_use(n)]
         if name in names:
             return name
-        # The keeper does not know yet that it is gone, or knows it before this VM.
+        # The permit server learns of a removed target later or earlier than this VM.
         self._release_permit(journey)
         if not names:
             raise self._build_error(journey, "no-target")
         return self._choose_by_load(journey, names)
 
     def _eligible_targets(self, journey: Journey) -> list[str]:
-        """Return the targets that a request without a key may go to."""
+        """Return the targets that may receive a request without a key."""
         names = self._directory.usable(journey.service.name)
         loads = self.loads.for_service(journey.service.name)
         known = self._directory.known
@@ -289,7 +289,7 @@
         return eligible
 
     def _choose_by_load(self, journey: Journey, eligible: list[str]) -> str:
-        """Return the target that this VM believes will be done first."""
+        """Return the target with the earliest completion by this VM's data."""
         loads = self.loads.for_service(journey.service.name)
         kind = journey.route.name
         name = loads.choose(eligible, kind, now())
@@ -298,7 +298,7 @@
         return name
 
     async def _attempt(self, journey: Journey, name: str) -> TargetAnswer | None:
-        """Send once; None when it may be tried again."""
+        """Send once; return None if the request may be sent again."""
         target = self._directory.known[name].target
         sender = self._senders.get(target, journey.service.connections)
         loads = self.loads.for_service(journey.service.name)
@@ -311,7 +311,7 @@
             answer = await sender.send(journey.req, journey.left(began))
             failed, report = is_failure(answer), build_load_report(answer)
         except asyncio.CancelledError:
-            # Its caller has left, which says nothing about the target.
+            # The caller has disconnected, which is no failure of the target.
             if journey.turn is not None:
                 journey.turn.target = 0
             raise
@@ -352,16 +352,16 @@
     ) -> TargetAnswer | None:
         journey.attempts += 1
         if answer.misdirected:
-            # The keys have moved, or the address has another target now. The owner may
-            # be asked again once this VM has heard of the move.
+            # The keys have moved, or another target now uses the address. The owner may
+            # be asked again once this VM has learned of the move.
             self._owner_resolver.turned_away(journey, name)
             return None
         journey.tried.add(name)
         if answer.not_run:
-            # It is full. Without a pause its owner was asked again within a
-            # millisecond, and repeats ran out for requests that they would have served.
-            # One that turns away a request which has its turn has slots free, and a
-            # pause would only make the answer late.
+            # The target is full. Without a delay its owner would be asked again within
+            # a millisecond, and the retry budget would be spent on attempts that fail.
+            # A target that rejects a request with a permit has free slots, and a delay
+            # would only make the answer late.
             if journey.shed != 1:
                 self._owner_resolver.turned_away(journey, name)
             return None
@@ -385,7 +385,7 @@
             MIN_RETRY_AFTER_SECONDS, MAX_RETRY_AFTER_SECONDS
         )
         if journey.shed:
-            # There is room; waiting would not make the next try any better.
+            # Slots are free, so a delay would not improve the next attempt.
             retry_after = RETURN_AT_ONCE
         if after:
             retry_after = max(MIN_RETRY_AFTER_SECONDS, after) * self._rng.uniform(
--- a/packages/entry/src/berylstage_entry/routes.py
+++ b/packages/entry/src/berylstage_entry/routes.py
@@ -1,4 +1,4 @@
-"""Routes: which service answers a request, and what may be done with it."""
+"""Routes: the service for a request, and the limits that apply to it."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class Share:
-    """A service's share of the requests of a route.
+    """Service of a route with its share of the requests.
 
     Parameters
     ----------
     service : str
     weight : float
-        In proportion to the other weights of the route.
+        Weight relative to the sum of the route's weights.
     """
 
     __slots__ = ("service", "weight")
@@ -26,25 +26,25 @@
 
 
 class Route:
-    """How the requests of one host and path prefix are served.
+    """Rules for the requests of one host and path prefix.
 
     Parameters
     ----------
     name : str
     host : str
-        Lower case, without a port.
+        Host in lower case, without a port.
     prefix : str
-        Begins and ends with a slash.
+        Path prefix that begins and ends with a slash.
     shares : sequence of Share
-        One for a route that is not split.
+        Services among which the requests are split.
     idempotent : bool
-        Whether a request may run more than once.
+        Whether a request may be executed more than once.
     attempts : int
-        Targets at most to which one request is sent.
+        Maximum number of targets to which one request is sent.
     timeout : float
-        Seconds for which a caller is kept waiting at most.
+        Maximum seconds for which a caller waits.
     objective : float
-        Seconds within which an answer is worth most.
+        Seconds within which an answer has its full value.
     priority : int
         0 is the most urgent.
     """
@@ -85,7 +85,7 @@
 
 
 class RoutingTable:
-    """Finds the route of a request: the longest prefix among those of its host.
+    """Finds routes by host and longest path prefix.
 
     Parameters
     ----------
@@ -100,14 +100,14 @@
             self._hosts.setdefault(route.host, {})[route.prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route, or None.
+        """Return the route of a request, or None.
 
         Parameters
         ----------
         host : str
-            As the caller sent it, with or without a port.
+            Host as sent by the caller, with or without a port.
         path : str
-            Without the query.
+            Path without the query.
 
         Returns
         -------
@@ -117,8 +117,8 @@
         if prefixes is None:
             return None
         end = path.rfind("/")
-        # Prefixes end with a slash, so only the path's own cuts can match: the work
-        # grows with the depth of the path and not with the number of routes.
+        # Prefixes end with a slash, so only the path's own prefixes can match. The cost
+        # depends on the depth of the path and not on the number of routes.
         while end >= 0:
             route = prefixes.get(path[: end + 1])
             if route is not None:
--- a/packages/entry/src/berylstage_entry/senders.py
+++ b/packages/entry/src/berylstage_entry/senders.py
@@ -1,4 +1,4 @@
-"""Connections to targets: one client for each life of a target's address."""
+"""HTTP clients of the targets: one for each incarnation of a target."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
     from berylstage_entry.targets import Target
     from berylstage_entry.wire import CallerRequest, TargetAnswer, TargetWire
 
-# Connections that one VM keeps to a target, at least. With two, 65 VMs could hold 130
-# to targets that accept 95 and reset the rest, requests and all.
+# Minimum number of connections from one VM to a target. With two, 65 VMs could open 130
+# connections to targets that accept 95 and reset the rest together with their requests.
 MIN_CONNECTIONS = 1
-# Share of a target's connections that all VMs together use; the rest is for VMs that
-# come and go before the others know, and for grants.
+# Share of a target's connections that all VMs use together. The rest is for grants, and
+# for VMs that start or stop before the others know.
 CONNECTION_SHARE = 0.7
-# Seconds after which an idle connection is not used again: below the shortest idle
-# time that a target has told (10 s), by the time that a connection may stand unnoticed.
+# Idle time after which a connection is not used again: below the shortest idle timeout
+# of a target (10 s) by the time for which a connection may stay idle unnoticed.
 MAX_IDLE_SECONDS = 7
 
 
 class Sender:
-    """Sends requests to one life of a target.
+    """Sends requests to one incarnation of a target.
 
     Parameters
     ----------
     target : Target
     wire : TargetWire
     connections : int
-        That this VM may hold there.
+        Maximum number of connections of this VM to the target.
     rest : Rest
-        Of the connections to all targets of its service.
+        State shared by the connections to all targets of the service.
     """
 
     __slots__ = ("_client", "_is_retired", "_in_flight", "_wire", "target")
@@ -50,13 +50,13 @@
     async def send(
         self, req: CallerRequest, seconds: float, fresh: bool = False
     ) -> TargetAnswer:
-        """Send a request and return the whole answer.
+        """Send a request and return the complete answer.
 
         Parameters
         ----------
         req : CallerRequest
         seconds : float
-            Until the answer must be there.
+            Seconds until the answer must have arrived.
         fresh : bool
             Whether to open a new connection.
 
@@ -85,39 +85,38 @@
             self._close_if_done()
         if not answer.genuine and not answer.not_run and not answer.misdirected:
             raise AnswerLost(
-                f"{self.target.name}: an answer of status {answer.status} without a "
-                "target's mark; look at the target's own logs"
+                f"{self.target.name} sent status {answer.status} without the headers "
+                "of a target; check the target's log"
             )
         return answer
 
     @property
     def is_busy(self) -> bool:
-        """Whether a request is under way."""
+        """Whether a request is in flight."""
         return self._in_flight > 0
 
     def retire(self) -> None:
-        """Send nothing more, and close all connections when what was sent has ended.
+        """Accept no further requests, and close the connections when all have ended.
 
-        A target may take its record back, or come to life again, before its last
-        answers are out. An order that was cut off then would have run with its outcome
-        unknown.
+        A target may remove its record, or restart, before it has sent its last answers.
+        If an order's connection were cut then, its outcome would be unknown.
         """
         self._is_retired = True
         self._client.refuse_waiting("the target is gone")
         self._close_if_done()
 
     def close(self) -> None:
-        """Close all connections and fail what is under way."""
+        """Close all connections and fail the requests in flight."""
         self._client.close()
 
     def _close_if_done(self) -> None:
         if self._is_retired and not self._in_flight:
-            # The client is still at work on the call that has ended.
+            # The client is still processing the call that has just ended.
             asyncio.get_running_loop().call_soon(self._client.close)
 
 
 class Senders:
-    """The senders of all targets.
+    """Clients of all targets.
 
     Parameters
     ----------
@@ -130,19 +129,19 @@
         self._wire = wire
         self._senders: dict[str, Sender] = {}
         self._rests: dict[str, Rest] = {}
-        # Of targets that are gone, with requests still under way.
+        # Clients of removed targets with requests in flight.
         self._retired: list[Sender] = []
-        # VMs that share the connections of a target, as far as they are known.
+        # Number of VMs that share a target's connections.
         self.vms = 10
 
     def get(self, target: Target, connections: int) -> Sender:
-        """Return the sender to a target.
+        """Return the client of a target.
 
         Parameters
         ----------
         target : Target
         connections : int
-            That the target accepts from all VMs.
+            Number of connections that the target accepts from all VMs.
         """
         sender = self._senders.get(target.name)
         if sender is not None:
@@ -156,23 +155,23 @@
         return sender
 
     def connection_share(self, connections: int) -> int:
-        """Return how many connections of a target this VM may hold.
+        """Return the maximum number of connections of this VM to a target.
 
         Parameters
         ----------
         connections : int
-            That the target accepts from all VMs.
+            Number of connections that the target accepts from all VMs.
         """
         connection_share = int(connections * CONNECTION_SHARE / self.vms)
         return max(MIN_CONNECTIONS, connection_share)
 
     def retain(self, names: set[str]) -> None:
-        """Send nothing more to any other target, and close what leads there."""
+        """Retire the clients of all targets except the given ones."""
         for name in [name for name in self._senders if name not in names]:
             self._retire(self._senders.pop(name))
 
     def close(self) -> None:
-        """Close all connections and fail what is under way."""
+        """Close all connections and fail the requests in flight."""
         for sender in [*self._senders.values(), *self._retired]:
             sender.close()
         self._senders.clear()
--- a/packages/entry/src/berylstage_entry/target_loads.py
+++ b/packages/entry/src/berylstage_entry/target_loads.py
@@ -1,4 +1,4 @@
-"""What a VM has seen, and been told, of the load of targets."""
+"""Loads of targets, from this VM's own requests and from reports."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
     from berylstage_entry.targets import Target
     from berylstage_entry.wire import TargetAnswer
 
-# Weight of a new answer in the mean size of its kind.
+# Gain of a new answer in the mean answer size of its kind.
 ANSWER_SIZE_GAIN = 0.05
-# Status of an answer that tells of the target's own failure.
+# Lowest HTTP status of a server error.
 SERVER_ERROR = 500
 
 
 class TargetLoads:
-    """Loads of the targets of all services, as far as this VM knows them.
+    """Loads of the targets of all services, as known to this VM.
 
     Parameters
     ----------
@@ -36,13 +36,13 @@
         self._rng = rng
         self._by_service: dict[str, ServiceLoads] = {}
         self._seen_revision = -1
-        # Mean bytes of the answers to each kind of request.
+        # Mean size in bytes of the answers to each request kind.
         self._answer_sizes: dict[str, float] = {}
-        # When a request for each service came last.
+        # Time of the last request for each service.
         self._last_requested_at: dict[str, float] = {}
 
     def for_service(self, service: str) -> ServiceLoads:
-        """Return the loads of the targets of a service."""
+        """Return the loads of a service's targets."""
         if self._seen_revision != self._directory.revision:
             self._seen_revision = self._directory.revision
             names = set(self._directory.known)
@@ -54,13 +54,13 @@
         return found
 
     def record_request(self, service: str) -> None:
-        """Note that a request for a service has come."""
+        """Record that a request for a service has arrived."""
         self._last_requested_at[service] = now()
 
     def report_and_request_ages(
         self, target: Target, moment: float
     ) -> tuple[float, float]:
-        """Return the seconds since a target told its load, and since it mattered.
+        """Return the age of a target's load report and of its service's last request.
 
         Parameters
         ----------
@@ -71,7 +71,8 @@
         Returns
         -------
         tuple of float
-            Since its last report, and since this VM had a request for its service.
+            Seconds since the last report, and since this VM's last request for the
+            target's service.
         """
         loads = self.for_service(target.service)
         load = loads.load(target.name, target.slots)
@@ -79,13 +80,13 @@
         return moment - load.reported, moment - record_request
 
     def apply_report(self, target: Target, active: int, report: LoadReport) -> None:
-        """Take in what a target has told this VM of its load.
+        """Apply a load report that this VM received from the target.
 
         Parameters
         ----------
         target : Target
         active : int
-            Requests that run or wait there, one that was just answered not counted.
+            Requests running or queued at the target, without an answered one.
         report : LoadReport
         """
         loads = self.for_service(target.service)
@@ -94,23 +95,23 @@
         loads.told(load)
 
     def record_probe_failure(self, target: Target) -> None:
-        """Note that a target did not answer when it was asked for its load."""
+        """Record that a target did not answer a load probe."""
         loads = self.for_service(target.service)
         loads.load(target.name, target.slots).failed(now())
 
     def apply_remote_report(
         self, name: str, active: int, pace: float, at: float
     ) -> None:
-        """Take in what another VM has heard of the load of a target.
+        """Apply a target's load that another VM received.
 
         Parameters
         ----------
         name : str
         active : int
-            Requests that run or wait there.
+            Requests running or queued at the target.
         pace : float
         at : float
-            When it was heard. What is older than what this VM knows is passed over.
+            Monotonic time of the report; ignored if older than the known report.
         """
         known = self._directory.known.get(name)
         loads = self._by_service.get(known.target.service) if known else None
@@ -123,7 +124,7 @@
         loads.told(load)
 
     def answer_size(self, kind: str) -> float:
-        """Return the mean bytes of the answers to a kind of request.
+        """Return the mean size in bytes of the answers to a request kind.
 
         Parameters
         ----------
@@ -133,7 +134,7 @@
         return self._answer_sizes.get(kind, 0.0)
 
     def record_outcome(self, name: str, failed: bool) -> None:
-        """Take in how a request of some VM went at a target.
+        """Record the outcome of a request of any VM at a target.
 
         Parameters
         ----------
@@ -151,13 +152,13 @@
             load.record_shared_success()
 
     def non_ejected(self, service: str, names: list[str]) -> list[str]:
-        """Return the targets that are not left out for having failed.
+        """Return the targets that are not ejected for failures.
 
         Parameters
         ----------
         service : str
         names : list of str
-            Targets of it.
+            Targets of the service.
         """
         loads, known = self.for_service(service), self._directory.known
         return [
@@ -167,16 +168,16 @@
         ]
 
     def seen(self, service: str) -> ServiceLoads | None:
-        """Return what this VM has seen of a service; None before its first request."""
+        """Return the loads of a service, or None before its first request."""
         return self._by_service.get(service)
 
     def service_seconds(self, service: str, name: str, kind: str) -> float:
-        """Return the seconds that a target takes for a request of a kind.
+        """Return a target's expected service time in seconds for a request kind.
 
         Parameters
         ----------
         service, name : str
-            Of the target.
+            Service and name of the target.
         kind : str
             Name of the request's route.
         """
@@ -190,7 +191,7 @@
         answer: TargetAnswer,
         seconds: float,
     ) -> None:
-        """Take in what an answer tells of the target that gave it.
+        """Record the outcome, service time and load report of an answer.
 
         Parameters
         ----------
@@ -200,7 +201,7 @@
         service : str
         answer : TargetAnswer
         seconds : float
-            From sending to the answer.
+            Seconds from sending the request to the answer.
         """
         loads = self.for_service(service)
         load = loads.load(target, 1)
@@ -220,15 +221,15 @@
 
 
 def is_failure(answer: TargetAnswer) -> bool:
-    """Tell whether an answer speaks against the target that gave it."""
+    """Tell whether an answer counts as a failure of its target."""
     return answer.not_run or answer.misdirected or answer.status >= SERVER_ERROR
 
 
 def build_load_report(answer: TargetAnswer) -> LoadReport | None:
-    """Return what a target has to do beside the request that it answered."""
+    """Return the load reported with an answer, without the answered request."""
     report = answer.load
     if report is None:
         return None
-    # Its target counts the answered request as still running.
+    # The target counts the answered request as still running.
     active = max(0, report.running + report.waiting - 1)
     return LoadReport(active, 0, report.slots, report.pace)
--- a/packages/entry/src/berylstage_entry/turn_messages.py
+++ b/packages/entry/src/berylstage_entry/turn_messages.py
@@ -1,4 +1,4 @@
-"""What VMs tell each other about requests that wait for a target's slots."""
+"""Datagrams of the permit protocol between VMs."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from berylstage_entry.errors import UnreadableRecord
 from berylstage_entry.targets import LoadReport
 
-# First bytes of the datagrams.
+# First byte of each kind of datagram.
 ASK_FORMAT = 20
 REPLY_FORMAT = 21
 RETURN_FORMAT = 22
@@ -16,17 +16,17 @@
 _SLOWDOWN_UNITS = 20
 _MAX_BYTE = 255
 _MAX_SHORT = 65535
-# Number, queue, kind, milliseconds until its answer is of less use, of its objective
-# and until it is of none, priority.
+# Number, queue, kind, milliseconds to the soft deadline, of the objective and to the
+# deadline, priority.
 _ASK = struct.Struct("<BIIIhHHB")
-# Number, what is said, milliseconds, target.
+# Number, status, milliseconds until a retry, target.
 _REPLY = struct.Struct("<BIBHI")
-# Number, queue, target, requests there, its pace in twentieths, and how it went.
+# Number, queue, target, active requests, machine slowdown in twentieths, failed.
 _RETURN = struct.Struct("<BIIIBBB")
 
 
 def checksum(name: str) -> int:
-    """Return what stands for a name in a datagram."""
+    """Return the checksum that represents a name in a datagram."""
     return crc32(name.encode())
 
 
@@ -34,24 +34,24 @@
     try:
         return layout.unpack(data)
     except struct.error as exc:
-        raise UnreadableRecord(f"no word about a queue: {exc}") from exc
+        raise UnreadableRecord(f"invalid permit datagram: {exc}") from exc
 
 
 class Ask:
-    """A request asks for its turn.
+    """Request for a permit.
 
     Parameters
     ----------
     number : int
-        Of the request, counted by the VM that asks.
+        Number of the request, counted by the requesting VM.
     queue, kind : int
-        Checksums of the queue's name and the route's.
+        Checksums of the names of the queue and the route.
     wanted : float
-        Seconds until its answer is of less use; below 0 when it is already.
+        Seconds until the soft deadline; negative if it has passed.
     objective : float
-        Seconds from its arrival until then.
+        Seconds from the request's arrival to the soft deadline.
     deadline : float
-        Seconds until its answer is of no use.
+        Seconds until the deadline.
     priority : int
     """
 
@@ -84,7 +84,7 @@
         self.priority = priority
 
     def encode(self) -> bytes:
-        """Return the datagram."""
+        """Return the request as a datagram."""
         wanted = max(-_MAX_SHORT // 2, min(_MAX_SHORT // 2, round(self.wanted * _MS)))
         return _ASK.pack(
             ASK_FORMAT,
@@ -99,12 +99,12 @@
 
     @classmethod
     def decode(cls, data: bytes) -> Ask:
-        """Read a datagram.
+        """Parse a datagram.
 
         Raises
         ------
         UnreadableRecord
-            It is none.
+            The datagram is malformed.
         """
         _, number, queue, kind, wanted, objective, deadline, priority = _unpack(
             _ASK, data
@@ -114,17 +114,17 @@
 
 
 class Reply:
-    """What the keeper of a queue says to a request.
+    """Reply of the permit server.
 
     Parameters
     ----------
     number : int
     status : int
-        Value of :class:`berylstage_policy.slot_queue.Say`.
+        Value of :class:`berylstage_policy.slot_queue.PermitStatus`.
     retry_after : float
-        After which a refused one may come back.
+        Seconds after which a refused request may be retried.
     target : int
-        Checksum of the target to which it is to go.
+        Checksum of the target to send the request to.
     """
 
     __slots__ = ("number", "status", "retry_after", "target")
@@ -136,25 +136,25 @@
         self.target = target
 
     def encode(self) -> bytes:
-        """Return the datagram."""
+        """Return the reply as a datagram."""
         ms = min(_MAX_SHORT, round(self.retry_after * _MS))
         return _REPLY.pack(REPLY_FORMAT, self.number, self.status, ms, self.target)
 
     @classmethod
     def decode(cls, data: bytes) -> Reply:
-        """Read a datagram.
+        """Parse a datagram.
 
         Raises
         ------
         UnreadableRecord
-            It is none.
+            The datagram is malformed.
         """
         _, number, status, ms, target = _unpack(_REPLY, data)
         return cls(number, status, ms / _MS, target)
 
 
 class Return:
-    """A request is done, or was given up.
+    """Release of a permit, or of a queued request.
 
     Parameters
     ----------
@@ -162,11 +162,11 @@
     queue : int
         Checksum of the queue's name.
     target : int
-        Checksum of the target to which it was sent; 0 when it was not.
+        Checksum of the target that received the request; 0 if none did.
     failed : bool
-        Whether the target failed it, or gave no answer.
+        Whether the target failed the request or did not answer.
     load : LoadReport, optional
-        What the target told; ``running`` has all requests beside the answered one.
+        Load reported by the target; ``running`` has all requests but the answered one.
     """
 
     __slots__ = ("failed", "load", "number", "queue", "target")
@@ -186,7 +186,7 @@
         self.load = load
 
     def encode(self) -> bytes:
-        """Return the datagram."""
+        """Return the release as a datagram."""
         active, pace = 0, 0
         if self.load is not None:
             active = min(_MAX_BYTE, self.load.running)
@@ -203,14 +203,14 @@
 
     @classmethod
     def decode(cls, data: bytes) -> Return:
-        """Read a datagram.
+        """Parse a datagram.
 
         Raises
         ------
         UnreadableRecord
-            It is none.
+            The datagram is malformed.
         """
         _, number, queue, target, active, pace, failed = _unpack(_RETURN, data)
-        # A pace of 0 stands for a target that told nothing.
+        # A slowdown of 0 means that the target reported no load.
         load = LoadReport(active, 0, 0, pace / _SLOWDOWN_UNITS) if pace else None
         return cls(number, queue, target, bool(failed), load)
--- a/packages/entry/src/berylstage_entry/turn_times.py
+++ b/packages/entry/src/berylstage_entry/turn_times.py
@@ -1,4 +1,4 @@
-"""How long targets take, as the queues before them reckon with it."""
+"""Service time estimates for the queues of a permit server."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class TurnTimes(ServiceTimes):
-    """Service times of one service, from what this VM has seen and been told.
+    """Service times of one service's targets, as known to this VM.
 
     Parameters
     ----------
--- a/packages/entry/src/berylstage_entry/turns.py
+++ b/packages/entry/src/berylstage_entry/turns.py
@@ -1,9 +1,9 @@
-"""Asks the keeper of a queue for the turn of a request, and waits for it.
+"""Client side of the permit protocol.
 
-The load it answers: a request that comes to a VM which knows little of what the
-others have sent to the same target. Asking takes a way to another VM and back, less
-than a millisecond. When the keeper is lost, the request goes on without a turn, by what
-this VM knows itself: it must never wait for a VM that is gone.
+A VM knows little about what other VMs send to the same target, so it asks the permit
+server of the target's queue for a permit, in a round trip of less than a millisecond.
+If the permit server is lost, the request is routed without a permit by this VM's own
+data: a request must never wait for a VM that is gone.
 """
 
 from __future__ import annotations
@@ -28,41 +28,41 @@
     from berylstage_entry.membership import Membership
     from berylstage_entry.targets import LoadReport
 
-# Seconds for the first reply of a keeper, at least and at most, and how often it is
-# asked before it counts as lost: a datagram may be, and a VM may be busy for some
-# milliseconds.
+# Bounds of the timeout for a permit server's first reply, and the number of requests
+# sent before the server counts as lost: a datagram may be lost, and a VM may be busy
+# for some milliseconds.
 MIN_REPLY_TIMEOUT_SECONDS = 0.03
 MAX_REPLY_TIMEOUT_SECONDS = 0.15
 MAX_ATTEMPTS = 3
-# Weights of a new reply in the mean time of replies and in its spread, and the spreads
-# beyond the mean that are waited: as TCP does it.
+# Gains of the mean reply time and its deviation, and the multiple of the deviation that
+# is added to the mean for the timeout, as in TCP's retransmission timeout.
 MEAN_GAIN = 0.125
 DEVIATION_GAIN = 0.25
 DEVIATION_FACTOR = 4.0
-# Seconds between two words to a keeper of a request that waits there.
+# Interval at which a queued request is renewed at its permit server.
 RENEWAL_SECONDS = 0.1
-# Stands for all data centres.
+# Key for the eligible hosts of all data centres.
 ALL_DATA_CENTRES = ""
-# Numbers of requests under way at once are unique within these.
+# Size of the number space in which concurrent requests have unique numbers.
 REQUEST_NUMBERS = 1 << 32
 
 log = Logger(__name__)
 
 
 class Turn:
-    """A request's turn at a target, to be given back.
+    """Permit of one request, to be released after its use.
 
     Parameters
     ----------
     number : int
     queue : str
     server : str
-        Host of the VM that keeps the queue.
+        Host of the permit server.
 
     Attributes
     ----------
     target : int
-        Checksum of the target to which it is to go; 0 until it has its turn.
+        Checksum of the target to send the request to; 0 until the permit is granted.
     """
 
     __slots__ = ("server", "number", "queue", "target")
@@ -74,15 +74,15 @@
         self.target = 0
 
     def describe(self) -> str:
-        """Return what finds it in the keeper's log."""
+        """Return the text that identifies the permit in the permit server's log."""
         return f"queue {self.queue} keeper {self.server} number {self.number}"
 
 
 class ReplyTimeout:
-    """How long replies take, and how long to wait for one.
+    """Adaptive timeout for replies of permit servers.
 
-    On a small link a datagram waits behind answers of 90 kB, for 70 ms each. Keepers
-    that answer in time by that measure would count as lost all the time.
+    On a slow link a datagram waits behind answers of 90 kB, for 70 ms each. With a
+    fixed timeout, permit servers behind such a link would constantly count as lost.
     """
 
     __slots__ = ("_mean_seconds", "_deviation")
@@ -92,11 +92,11 @@
         self._deviation = 0.0
 
     def record(self, seconds: float) -> None:
-        """Take in the time from the first asking of a question to a reply.
+        """Record the time from the first datagram of a request to its reply.
 
-        Where it was asked again, that is the most that the reply can have taken. Passed
-        over, replies that come later than the timeout would never be learned from: each
-        question would go on to be asked three times, and its keeper to count as lost.
+        If the datagram was repeated, this is an upper bound of the reply time. Without
+        such replies the timeout could never grow to the actual reply time: each request
+        would be sent three times, and its permit server would count as lost.
         """
         self._deviation += DEVIATION_GAIN * (
             abs(seconds - self._mean_seconds) - self._deviation
@@ -105,33 +105,33 @@
 
     @property
     def timeout(self) -> float:
-        """Seconds after which a reply is likely not to come any more."""
+        """Seconds after which a reply is unlikely to arrive."""
         wait = self._mean_seconds + DEVIATION_FACTOR * self._deviation
         return min(MAX_REPLY_TIMEOUT_SECONDS, max(MIN_REPLY_TIMEOUT_SECONDS, wait))
 
 
 class _ServerLost(Exception):
-    """The keeper does not answer, or keeps the queue no more."""
+    """The permit server does not respond, or no longer serves the queue."""
 
 
 class Turns:
-    """Gets turns for the requests of one VM.
+    """Acquires permits for the requests of one VM.
 
     Parameters
     ----------
     membership : Membership
     host : str
-        Of this VM.
+        Host of this VM.
     """
 
     def __init__(self, membership: Membership, host: str):
         self._membership = membership
         self._host = host
         self._numbers = count(1)
-        # Requests that wait for a word, by their number.
+        # Replies to the requests that wait for one, by number.
         self._replies: dict[int, asyncio.Queue[Reply]] = {}
         self._servers: dict[str, list[str]] = {}
-        # Hosts that may keep queues: of each data centre, and of all.
+        # Hosts eligible as permit servers, for each data centre and for all.
         self._eligible_hosts: dict[str, list[str]] = {}
         self._members_revision = -1
         self._revision = 0
@@ -144,7 +144,7 @@
     async def take(
         self, journey: Journey, queue: str, data_centre: str = ""
     ) -> Turn | None:
-        """Wait for the turn of a request.
+        """Wait for a permit for a request.
 
         Parameters
         ----------
@@ -152,17 +152,17 @@
         queue : str
             Name of a target that owns keys, or of a service without owned keys.
         data_centre : str
-            Where the targets are; empty for all over.
+            Data centre of the targets; empty for all.
 
         Returns
         -------
         Turn or None
-            None when nobody keeps the queue, so that it goes without a turn.
+            None if no VM serves the queue; the request is then sent without a permit.
 
         Raises
         ------
         TurnRefused
-            It would be answered too late.
+            The request would be answered too late.
         """
         for server in self._servers_for(queue, data_centre):
             if now() < self._lost_servers.get(server, 0.0):
@@ -172,7 +172,7 @@
             except _ServerLost:
                 self._lost_servers[server] = now() + SERVER_BACKOFF_SECONDS
                 log.info(
-                    "keeper of a queue lost",
+                    "permit server lost",
                     extra={"keeper": server, "queue": queue},
                 )
         return None
@@ -180,33 +180,33 @@
     def done(
         self, turn: Turn, failed: bool = False, load: LoadReport | None = None
     ) -> None:
-        """Give a turn back.
+        """Release a permit.
 
         Parameters
         ----------
         turn : Turn
         failed : bool
-            Whether the target failed the request, or gave no answer.
+            Whether the target failed the request or did not answer.
         load : LoadReport, optional
-            What it has to do beside the request that it answered.
+            Load of the target without the answered request.
         """
         queue = checksum(turn.queue)
         release = Return(turn.number, queue, turn.target, failed, load)
         self.give_back(turn.server, release)
 
     def take_reply(self, data: bytes, host: str) -> None:
-        """Take in a keeper's datagram."""
+        """Handle the datagram of a permit server's reply."""
         try:
             reply = Reply.decode(data)
         except UnreadableRecord as exc:
-            log.warning("reply passed over", extra={"cause": str(exc)})
+            log.warning("invalid permit reply ignored", extra={"cause": str(exc)})
             return
-        # It was late, not lost.
+        # The permit server was late, not lost.
         self._lost_servers.pop(host, None)
         self.replied(reply)
 
     def replied(self, reply: Reply) -> None:
-        """Take in a keeper's reply."""
+        """Handle a permit server's reply."""
         replies = self._replies.get(reply.number)
         if replies is not None:
             replies.put_nowait(reply)
@@ -221,13 +221,13 @@
         finally:
             del self._replies[number]
             if not turn.target:
-                # Refused, given up, or its caller has left: the place is another's.
+                # Refused or cancelled: the slot or queue position becomes free.
                 self.done(turn)
 
     async def _await_grant(
         self, journey: Journey, turn: Turn, replies: asyncio.Queue[Reply]
     ) -> int:
-        """Return the checksum of the target to which a request is told to go."""
+        """Return the checksum of the target for which the permit is granted."""
         unanswered, is_measured = 0, False
         first_sent_at = now()
         while True:
@@ -271,19 +271,19 @@
 
     @property
     def revision(self) -> int:
-        """Grows with each change of who may keep queues."""
+        """Revision that grows with each change of the eligible permit servers."""
         self._refresh_servers()
         return self._revision
 
     def serves(self, queue: str, data_centre: str = "") -> bool:
-        """Tell whether a queue falls to this VM.
+        """Tell whether this VM is the permit server of a queue.
 
         Parameters
         ----------
         queue, data_centre : str
             As for :meth:`take`.
         """
-        # Before any VM is known, each asks for itself.
+        # Until any VM is known, each VM serves its own requests.
         return self._servers_for(queue, data_centre)[:1] in ([], [self._host])
 
     def _servers_for(self, queue: str, data_centre: str) -> list[str]:
@@ -298,11 +298,11 @@
         return known
 
     def _refresh_servers(self) -> None:
-        """Take over who may keep queues, when the known VMs have changed.
+        """Update the eligible permit servers after a change of the known VMs.
 
-        Of hundreds of VMs most are too small for it. When some of these start or are
-        lost, queues stay where they are, and nothing has to be worked out anew for each
-        of hundreds of targets.
+        Of hundreds of VMs most are too small to be eligible. When some of these start
+        or are lost, no queue moves, and the assignments of hundreds of queues need not
+        be computed again.
         """
         if self._members_revision == self._membership.revision:
             return
--- a/packages/entry/tests/test_probes.py
+++ b/packages/entry/tests/test_probes.py
@@ -1,4 +1,4 @@
-"""Tests of asking targets for their load."""
+"""Tests of load probes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Members:
-    """VMs as a membership knows them."""
+    """Membership with fixed VMs."""
 
     def __init__(self, *members):
         self.revision = 1
@@ -29,7 +29,7 @@
         return self._members
 
 
-def installation(vm, members, records, wire, owns_keys=False):
+def new_probes(vm, members, records, wire, owns_keys=False):
     directory = Directory()
     cfg = configuration(owns_keys=owns_keys)
     directory.apply(Record(configuration=cfg), 0.0, False)
@@ -40,7 +40,7 @@
     return router, LoadProbes(router.loads, directory, turns, wire)
 
 
-def play(probes, seconds=0.2):
+def run_probes(probes, seconds=0.2):
     async def run():
         probes.start()
         await asyncio.sleep(seconds)
@@ -50,19 +50,19 @@
 
 
 def wire(**reports):
-    found = FencedTargets()
-    found.reports = reports or {n: LoadReport(1, 0, 2, 1.5) for n in NAMES}
-    return found
+    probed = FencedTargets()
+    probed.reports = reports or {n: LoadReport(1, 0, 2, 1.5) for n in NAMES}
+    return probed
 
 
 class TestLoadProbes:
-    def test_new_targets_are_asked_once_before_any_request(self):
-        # Keys are dealt out before the first request. Without a word of the targets the
-        # slowest machine gets as many as the fastest.
+    def test_new_targets_are_probed_once_before_any_request(self):
+        # Keys are distributed before the first request. Without any load report the
+        # slowest machine would get as many as the fastest.
         targets = wire()
         records = [target(n) for n in NAMES]
-        router, probes = installation("10.0.0.1", Members(), records, targets)
-        play(probes)
+        router, probes = new_probes("10.0.0.1", Members(), records, targets)
+        run_probes(probes)
         assert sorted(targets.probed) == list(NAMES)
         assert router.loads.for_service("s").slowness() == dict.fromkeys(NAMES, 1.5)
 
@@ -73,47 +73,47 @@
             Member("vm-3", "10.0.0.3:1", "dc-2", 1.0),
         )
 
-    def asked(self, owns_keys):
-        found = {}
+    def probed_by_vm(self, owns_keys):
+        probed = {}
         for vm in ("10.0.0.1", "10.0.0.2", "10.0.0.3"):
             targets = wire()
             records = [
                 target(n, data_centre="dc-1" if n < "d" else "dc-2") for n in NAMES
             ]
-            play(installation(vm, self.members(), records, targets, owns_keys)[1])
-            found[vm] = set(targets.probed)
-        return found
-
-    def test_each_owner_of_keys_is_asked_by_one_vm_of_its_data_centre(self):
-        # The VM that keeps the queue before it has to know how fast it is.
-        asked = self.asked(owns_keys=True)
-        assert asked["10.0.0.3"] == {"d", "e", "f"}
-        assert asked["10.0.0.1"] | asked["10.0.0.2"] == {"a", "b", "c"}
-        assert not asked["10.0.0.1"] & asked["10.0.0.2"]
-
-    def test_all_targets_of_a_service_are_asked_by_one_vm(self):
-        asked = self.asked(owns_keys=False)
-        assert sorted(len(names) for names in asked.values()) == [0, 0, 6]
-
-    def test_cold_and_leaving_targets_are_left_alone(self):
-        # A question counts as a request, and a cold target bears only a few a second.
+            run_probes(new_probes(vm, self.members(), records, targets, owns_keys)[1])
+            probed[vm] = set(targets.probed)
+        return probed
+
+    def test_each_owner_of_keys_is_probed_by_one_vm_of_its_data_centre(self):
+        # The permit server of its queue needs to know how fast it is.
+        probed_by_vm = self.probed_by_vm(owns_keys=True)
+        assert probed_by_vm["10.0.0.3"] == {"d", "e", "f"}
+        assert probed_by_vm["10.0.0.1"] | probed_by_vm["10.0.0.2"] == {"a", "b", "c"}
+        assert not probed_by_vm["10.0.0.1"] & probed_by_vm["10.0.0.2"]
+
+    def test_all_targets_of_a_service_are_probed_by_one_vm(self):
+        probed_by_vm = self.probed_by_vm(owns_keys=False)
+        assert sorted(len(names) for names in probed_by_vm.values()) == [0, 0, 6]
+
+    def test_cold_and_draining_targets_are_not_probed(self):
+        # A probe counts as a request, and a cold target handles only a few per second.
         targets = wire()
         records = [target("a", cold_left=1e9), target("b", leaving=True), target("c")]
-        _, probes = installation("10.0.0.1", Members(), records, targets)
-        play(probes)
+        _, probes = new_probes("10.0.0.1", Members(), records, targets)
+        run_probes(probes)
         assert targets.probed == ["c"]
 
-    def test_silent_target_is_not_pressed(self):
-        # A target hangs. Asked every few milliseconds, it would get a connection each
-        # time until it can open no more for requests.
+    def test_unresponsive_target_is_probed_rarely(self):
+        # A target hangs. Probed every few milliseconds, it would get a connection each
+        # time until none is left for requests.
         targets = wire()
         targets.silent.add("a")
-        _, probes = installation("10.0.0.1", Members(), [target("a")], targets)
-        play(probes, 0.8)
+        _, probes = new_probes("10.0.0.1", Members(), [target("a")], targets)
+        run_probes(probes, 0.8)
         assert targets.probed == ["a"]
 
-    def test_target_without_a_report_is_not_asked_all_the_time(self):
+    def test_target_without_load_reports_is_probed_rarely(self):
         targets = wire(a=None)
-        _, probes = installation("10.0.0.1", Members(), [target("a")], targets)
-        play(probes, 0.5)
+        _, probes = new_probes("10.0.0.1", Members(), [target("a")], targets)
+        run_probes(probes, 0.5)
         assert targets.probed == ["a"]
--- a/packages/entry/tests/test_router.py
+++ b/packages/entry/tests/test_router.py
@@ -1,4 +1,4 @@
-"""Tests of the way of one request."""
+"""Tests of routing and retrying requests."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 
 class Feed:
-    """Assignments as a feed keeps them."""
+    """Provides the assignments that a store watcher would have read."""
 
     def __init__(self, owner="a", former=""):
         self.revisions = {"s": 4}
-        self.hurried = 0
+        self.refresh_count = 0
         self.assignments = {
             "s": Assignment([KeyRange(0, 65535, owner, 1, 5, former)], 9)
         }
 
     def hurry(self):
-        self.hurried += 1
+        self.refresh_count += 1
 
     def move_to(self, owner):
         self.revisions = {"s": 5}
@@ -41,7 +41,7 @@
 
 
 class Sender:
-    """Answers as a script says, one entry for each attempt."""
+    """Returns scripted answers, one for each attempt."""
 
     def __init__(self, name, senders):
         self.name = name
@@ -49,12 +49,12 @@
 
     async def send(self, req, seconds, fresh=False):
         self._senders.sent.append(self.name)
-        step = self._senders.script.pop(0) if self._senders.script else "ok"
-        if callable(step):
-            step = step()
-        if isinstance(step, Exception):
-            raise step
-        return ANSWERS[step]
+        result = self._senders.script.pop(0) if self._senders.script else "ok"
+        if callable(result):
+            result = result()
+        if isinstance(result, Exception):
+            raise result
+        return ANSWERS[result]
 
 
 class Senders:
@@ -83,7 +83,7 @@
 UNSENT = NeverSent("refused")
 
 
-def play(
+def serve_request(
     script,
     idempotent=True,
     owns_keys=False,
@@ -91,11 +91,11 @@
     feed=None,
     turns=None,
     time_left=1.0,
-    beside=None,
+    concurrently=None,
     directory=None,
     **assignment,
 ):
-    """Serve one request; return how it ended and where it was sent."""
+    """Serve one request; return its result and the targets it was sent to."""
     route = Route("r", "h", "/a/", [Share("s", 1.0)], idempotent, 3, 1.0, 0.3, 1)
     service = Service("s", "/", 50, 3.0, 5.0, owns_keys)
     directory = directory or Directory()
@@ -111,7 +111,7 @@
     req = CallerRequest("id", "GET", "h", "/a/x?y", {}, time_left, key)
 
     async def serve():
-        task = asyncio.create_task(beside()) if beside is not None else None
+        task = asyncio.create_task(concurrently()) if concurrently is not None else None
         try:
             return await router.serve(req)
         finally:
@@ -126,116 +126,116 @@
 
 
 class TestRouter:
-    def test_full_target_gives_way_to_another(self):
-        status, sent = play(["full", "ok"], idempotent=False)
+    def test_request_rejected_by_a_full_target_is_sent_to_another(self):
+        status, sent = serve_request(["full", "ok"], idempotent=False)
         assert status == 200
         assert len(set(sent)) == 2
 
     def test_order_whose_answer_was_lost_is_not_sent_again(self):
         # An order was sent and the connection broke before its answer. It may have been
-        # carried out; sent again it would ship a second motor.
-        ended, sent = play([LOST, "ok"], idempotent=False)
-        assert isinstance(ended, Unanswered)
+        # executed; sent again, it would ship a second motor.
+        error, sent = serve_request([LOST, "ok"], idempotent=False)
+        assert isinstance(error, Unanswered)
         assert len(sent) == 1
 
-    def test_order_that_never_left_is_sent_elsewhere(self):
-        status, sent = play([UNSENT, "ok"], idempotent=False)
+    def test_order_that_was_not_sent_is_sent_to_another_target(self):
+        status, sent = serve_request([UNSENT, "ok"], idempotent=False)
         assert status == 200
         assert len(sent) == 2
 
     def test_lookup_whose_answer_was_lost_is_sent_again(self):
-        status, sent = play([LOST, "ok"])
+        status, sent = serve_request([LOST, "ok"])
         assert status == 200
         assert len(set(sent)) == 2
 
-    def test_refusal_is_never_given_for_what_may_have_run(self):
-        # The first target broke off and the others are full. A refusal would promise
-        # that the request has not run.
-        ended, _ = play([LOST, "full", "full", "full"])
-        assert isinstance(ended, Unanswered)
+    def test_request_that_may_have_run_is_never_refused(self):
+        # The first target broke the connection and the others are full. A refusal would
+        # promise that the request has not run.
+        error, _ = serve_request([LOST, "full", "full", "full"])
+        assert isinstance(error, Unanswered)
 
-    def test_target_failure_is_passed_on_when_nothing_better_comes(self):
-        status, sent = play(["failed", "full", "full"])
+    def test_server_error_is_returned_if_no_retry_succeeds(self):
+        status, sent = serve_request(["failed", "full", "full"])
         assert status == 500
         assert len(sent) == 3
 
-    def test_attempts_are_bounded(self):
-        ended, sent = play(["full"] * 9, names=("a", "b", "c", "d", "e", "f"))
-        assert isinstance(ended, Refused)
+    def test_number_of_attempts_is_limited(self):
+        error, sent = serve_request(["full"] * 9, names=("a", "b", "c", "d", "e", "f"))
+        assert isinstance(error, Refused)
         assert len(sent) == 3
 
-    def test_owner_of_the_key_gets_the_request(self):
-        assert play(["ok"], owns_keys=True, owner="b") == (200, ["b"])
+    def test_request_is_sent_to_the_owner_of_its_key(self):
+        assert serve_request(["ok"], owns_keys=True, owner="b") == (200, ["b"])
 
-    def test_key_on_the_move_is_refused_rather_than_held_to_the_end(self):
+    def test_request_for_a_moving_key_is_refused_before_its_deadline(self):
         began = now()
-        ended, sent = play([], owns_keys=True, owner="b", former="a")
-        assert isinstance(ended, Refused)
-        # Whoever reads the log sees which move the request waited for.
-        assert "owner b former a assignment 4" in ended.detail
+        error, sent = serve_request([], owns_keys=True, owner="b", former="a")
+        assert isinstance(error, Refused)
+        # The log shows which move the request waited for.
+        assert "owner b former a assignment 4" in error.detail
         assert not sent
         assert now() - began < 0.7
 
-    def test_owner_that_cannot_be_reached_is_not_asked_without_a_pause(self):
+    def test_unreachable_owner_is_retried_with_a_delay(self):
         # The owner of a key has crashed and its port resets each connection within a
-        # millisecond. Its keys move a moment later. Asked without a pause, it gets
-        # hundreds of connections for one request, and the VM has no time for others.
-        _, sent = play([UNSENT] * 500, owns_keys=True, owner="b")
+        # millisecond. Its keys move a moment later. Without a delay, one request opens
+        # hundreds of connections to it, and the VM has no time for other requests.
+        _, sent = serve_request([UNSENT] * 500, owns_keys=True, owner="b")
         assert len(sent) <= 6
 
-    def test_owner_that_does_not_hold_the_key_is_asked_again_after_a_pause(self):
-        # The grant of a key that has just moved is still on its way to its new owner,
-        # which turns two requests away within a few milliseconds. Asked again at once,
-        # the request has used up its attempts before the grant is there.
+    def test_owner_that_rejects_the_key_is_retried_with_a_delay(self):
+        # The grant of a moved key is still in transit to its new owner, which rejects
+        # two requests within a few milliseconds. Without a delay, the request has used
+        # all its attempts before the grant arrives.
         began = now()
-        assert play(["elsewhere", "ok"], owns_keys=True, owner="b")[0] == 200
+        assert serve_request(["elsewhere", "ok"], owns_keys=True, owner="b")[0] == 200
         assert now() - began >= 0.04
 
     @pytest.mark.parametrize("full", ["full", LOST])
-    def test_full_owner_is_asked_again_after_a_pause(self, full):
-        # The owner of busy keys is full, and says so or resets the connection. A lookup
-        # that is sent again within a millisecond is turned away again, and each time
-        # takes a repeat from all other requests of the service.
+    def test_full_owner_is_retried_with_a_delay(self, full):
+        # The owner of busy keys is full, and rejects requests or resets connections. A
+        # lookup that is sent again within a millisecond is rejected again, and each
+        # retry takes from the budget of all other requests of the service.
         began = now()
-        assert play([full, "ok"], owns_keys=True, owner="b")[0] == 200
+        assert serve_request([full, "ok"], owns_keys=True, owner="b")[0] == 200
         assert now() - began >= 0.04
 
-    def test_new_owner_is_asked_at_once(self):
-        # The owner turns a request away since the key has moved. The VM reads the new
-        # assignment a moment later; the request has nothing to wait for any more.
+    def test_new_owner_is_asked_without_a_delay(self):
+        # The owner rejects a request because the key has moved. The VM reads the new
+        # assignment a moment later, and the request need not wait any longer.
         feed = Feed("b")
 
-        def move(step):
+        def move(result):
             feed.move_to("c")
-            return step
+            return result
 
         began = now()
         script = [lambda: move("elsewhere"), "ok"]
-        status, sent = play(script, owns_keys=True, feed=feed)
+        status, sent = serve_request(script, owns_keys=True, feed=feed)
         assert (status, sent) == (200, ["b", "c"])
         assert now() - began < 0.04
 
-    def test_caller_that_comes_back_waits_for_a_move_that_is_nearly_done(self):
-        # A lookup was refused since its key was on the move. Its caller comes back with
-        # less than half of the usual time, and the move ends a moment later: turned
-        # away at once again, it would be lost.
+    def test_retried_request_waits_for_the_end_of_a_move(self):
+        # A lookup was refused because its key was moving. Its caller retries with less
+        # than half of the usual time, and the move ends a moment later. A second
+        # immediate refusal would fail it.
         feed = Feed("a", former="b")
 
         async def end_of_move():
             await asyncio.sleep(0.1)
             feed.move_to("a")
 
-        status, sent = play(
-            ["ok"], owns_keys=True, feed=feed, time_left=0.45, beside=end_of_move
+        status, sent = serve_request(
+            ["ok"], owns_keys=True, feed=feed, time_left=0.45, concurrently=end_of_move
         )
         assert (status, sent) == (200, ["a"])
 
-    def test_unknown_owner_has_the_store_read_sooner(self):
+    def test_unknown_owner_causes_a_refresh_from_the_store(self):
         feed = Feed("")
-        play([], owns_keys=True, feed=feed)
-        assert feed.hurried
+        serve_request([], owns_keys=True, feed=feed)
+        assert feed.refresh_count
 
-    def test_unknown_route_is_told_from_a_missing_configuration(self):
+    def test_unknown_route_and_missing_configuration_are_different_errors(self):
         directory = Directory()
         router = Router(directory, Feed(), Senders([]), BOUNDS, Random(1))
         req = CallerRequest("id", "GET", "h", "/none/", {}, 1.0, None)
@@ -246,8 +246,8 @@
         with pytest.raises(BadRequest):
             asyncio.run(router.serve(req))
 
-    def owned(self, objective):
-        """Return a router to one target with owned keys, and what it sends with."""
+    def new_owner_router(self, objective):
+        """Return a router to one target with owned keys, and its target clients."""
         route = Route("r", "h", "/a/", [Share("s", 1.0)], True, 3, 1.0, objective, 1)
         directory = Directory()
         cfg = Configuration(1, [route], [Service("s", "/", 50, 3.0, 5.0, True)], LIMITS)
@@ -256,10 +256,10 @@
         senders = Senders(["ok"] * 9)
         return Router(directory, Feed(), senders, BOUNDS, Random(1)), senders
 
-    def test_busy_owner_is_not_given_more_than_it_can_do_in_time(self):
-        # Many VMs send to the owner of one key that asks for more than it can do. Its
-        # reports tell of a long queue; one more request would wait there and be late.
-        router, senders = self.owned(objective=0.3)
+    def test_overloaded_owner_receives_no_request_that_would_be_late(self):
+        # Many VMs send to the owner of one key that needs more than its capacity. Its
+        # reports show a long queue, in which one more request would be late.
+        router, senders = self.new_owner_router(objective=0.3)
         req = CallerRequest("id", "GET", "h", "/a/", {}, 1.0, 7)
         asyncio.run(router.serve(req))
         router.loads.apply_remote_report("a", 12, 1.0, now())
@@ -267,10 +267,10 @@
             asyncio.run(router.serve(req))
         assert senders.sent == ["a"]
 
-    def test_busy_owner_gets_nothing_that_it_cannot_do_in_the_time_left(self):
-        # The same, with less of a queue, for a caller that was refused before: it would
-        # wait for its answer until its time is over.
-        router, senders = self.owned(objective=0.8)
+    def test_overloaded_owner_receives_no_request_with_too_little_time(self):
+        # The owner has a shorter queue, and the caller was refused before: the answer
+        # would come after its deadline.
+        router, senders = self.new_owner_router(objective=0.8)
         asyncio.run(router.serve(CallerRequest("1", "GET", "h", "/a/", {}, 1.0, 7)))
         loads = router.loads.for_service("s")
         router.loads.apply_remote_report("a", 4, 1.0, now())
@@ -283,124 +283,126 @@
 
 
 class TestLoadReport:
-    def test_holds_what_it_was_given(self):
+    def test_holds_its_arguments(self):
         report = LoadReport(1, 2, 3, 1.5)
         assert (report.running, report.waiting, report.slots) == (1, 2, 3)
 
 
-class GivenTurns:
-    """Gives turns as a script says: a target, a refusal, or nothing."""
+class ScriptedPermits:
+    """Grants permits by a script: a target, a refusal, or None for no permit."""
 
     def __init__(self, *script):
         self._script = list(script)
-        self.asked = []
-        self.given_back = []
+        self.queues = []
+        self.released = []
         self.targets = []
 
     async def take(self, journey, queue, data_centre=""):
-        self.asked.append(queue)
-        step = self._script.pop(0)
-        if isinstance(step, Exception):
-            raise step
-        if step is None:
+        self.queues.append(queue)
+        result = self._script.pop(0)
+        if isinstance(result, Exception):
+            raise result
+        if result is None:
             return None
-        turn = Turn(len(self.asked), queue, "10.0.0.1")
-        turn.target = checksum(step)
+        turn = Turn(len(self.queues), queue, "10.0.0.1")
+        turn.target = checksum(result)
         return turn
 
     def done(self, turn, failed=False, load=None):
-        self.given_back.append((turn.number, failed, load))
+        self.released.append((turn.number, failed, load))
         self.targets.append(turn.target)
 
 
 class TestTurns:
-    def test_request_without_a_key_goes_where_its_turn_is(self):
+    def test_request_without_a_key_is_sent_to_the_permitted_target(self):
         for name in ("a", "b", "c"):
-            turns = GivenTurns(name)
-            status, sent = play(["ok"], turns=turns)
+            turns = ScriptedPermits(name)
+            status, sent = serve_request(["ok"], turns=turns)
             assert (status, sent) == (200, [name])
-            assert turns.asked == ["s"]
-            assert turns.given_back == [(1, False, None)]
-
-    def test_request_without_a_turn_goes_by_what_its_vm_knows(self):
-        # Nobody keeps the queue: its keeper is lost, or VMs are just starting.
-        assert play(["ok"], turns=GivenTurns(None))[0] == 200
-        assert play(["ok"], owns_keys=True, turns=GivenTurns(None))[0] == 200
-
-    def test_turn_at_a_target_that_is_gone_is_given_back(self):
-        turns = GivenTurns("z")
-        assert play(["ok"], turns=turns)[0] == 200
-        assert turns.given_back == [(1, False, None)]
-
-    @pytest.mark.parametrize("given", ["a", None])
-    def test_target_that_leaves_while_a_request_waits_gets_it_no_more(self, given):
-        # Guards against requests at a target that left while they waited for their
-        # turn, which takes as long as their objective.
+            assert turns.queues == ["s"]
+            assert turns.released == [(1, False, None)]
+
+    def test_request_without_a_permit_is_routed_by_local_data(self):
+        # No VM serves the queue: its permit server is lost, or VMs are just starting.
+        assert serve_request(["ok"], turns=ScriptedPermits(None))[0] == 200
+        assert (
+            serve_request(["ok"], owns_keys=True, turns=ScriptedPermits(None))[0] == 200
+        )
+
+    def test_permit_for_a_removed_target_is_released(self):
+        turns = ScriptedPermits("z")
+        assert serve_request(["ok"], turns=turns)[0] == 200
+        assert turns.released == [(1, False, None)]
+
+    @pytest.mark.parametrize("granted", ["a", None])
+    def test_target_that_starts_draining_during_the_wait_is_avoided(self, granted):
+        # Guards against requests to a target that left while they waited for their
+        # permit, which takes as long as their objective.
         directory = Directory()
 
-        class Leaving(GivenTurns):
+        class Leaving(ScriptedPermits):
             async def take(self, journey, queue, data_centre=""):
                 for name in ("a", "b"):
                     record = Record(target=target(name, leaving=True))
                     directory.apply(record, now(), False)
                 return await super().take(journey, queue, data_centre)
 
-        _, sent = play([], turns=Leaving(given), directory=directory)
+        _, sent = serve_request([], turns=Leaving(granted), directory=directory)
         assert sent == ["c"]
 
-    def test_repeat_goes_around_what_failed_it(self):
-        # The keeper does not know which target lost this request.
-        turns = GivenTurns("a")
-        status, sent = play([LOST, "ok"], turns=turns)
+    def test_retry_avoids_the_target_that_failed(self):
+        # The permit server does not know which target lost this request.
+        turns = ScriptedPermits("a")
+        status, sent = serve_request([LOST, "ok"], turns=turns)
         assert status == 200
         assert sent[0] == "a" != sent[1]
-        assert turns.given_back == [(1, True, None)]
+        assert turns.released == [(1, True, None)]
 
-    def test_target_that_sheds_requests_with_a_turn_is_asked_again_at_once(self):
-        # Targets turn away half of the requests though they have slots free. A pause
-        # before each repeat, and before the caller comes back, makes the answer late.
-        turns = GivenTurns("a", "a")
+    def test_target_that_rejects_permitted_requests_is_retried_immediately(self):
+        # Targets reject half of the requests although they have free slots. A delay
+        # before each retry, and before the caller's retry, makes the answer late.
+        turns = ScriptedPermits("a", "a")
         began = now()
-        status, sent = play(["full", "ok"], owns_keys=True, turns=turns)
+        status, sent = serve_request(["full", "ok"], owns_keys=True, turns=turns)
         assert (status, sent) == (200, ["a", "a"])
         assert now() - began < 0.04
 
-    def test_caller_of_a_target_that_sheds_may_come_back_at_once(self):
-        turns = GivenTurns("a", "a", TurnRefused(0.0))
-        ended, _ = play(["full", "full"], owns_keys=True, turns=turns)
-        assert isinstance(ended, Refused)
-        assert ended.retry_after < 0.05
+    def test_caller_may_retry_immediately_if_the_target_had_free_slots(self):
+        turns = ScriptedPermits("a", "a", TurnRefused(0.0))
+        error, _ = serve_request(["full", "full"], owns_keys=True, turns=turns)
+        assert isinstance(error, Refused)
+        assert error.retry_after < 0.05
 
-    def test_caller_that_leaves_says_nothing_about_the_target(self):
-        # Callers leave while they wait. Told as failures of the target, they had it
-        # left out for all requests.
-        turns = GivenTurns("a")
+    def test_disconnected_caller_is_no_failure_of_the_target(self):
+        # Callers disconnect while they wait. Reported as failures of the target, these
+        # caused its ejection for all requests.
+        turns = ScriptedPermits("a")
 
         def leave():
             raise asyncio.CancelledError
 
         with pytest.raises(asyncio.CancelledError):
-            play([leave], turns=turns)
-        ((_, _, load),) = turns.given_back
+            serve_request([leave], turns=turns)
+        ((_, _, load),) = turns.released
         assert load is None
         assert turns.targets == [0]
 
-    def test_refused_turn_tells_when_to_come_back(self):
-        # The owner has enough to do. Its caller is told when there will be room, at
-        # once, and all those refused at a time don't come back at the same moment.
-        turns = GivenTurns(TurnRefused(0.2))
-        ended, sent = play(["ok"], owns_keys=True, turns=turns)
+    def test_refused_permit_determines_the_retry_delay(self):
+        # The owner is overloaded. Its callers are refused immediately with the expected
+        # wait, spread so that those refused together do not retry at the same moment.
+        turns = ScriptedPermits(TurnRefused(0.2))
+        error, sent = serve_request(["ok"], owns_keys=True, turns=turns)
         assert sent == []
-        assert ended.reason == "owner-busy"
-        assert 0.2 <= ended.retry_after <= 0.25
+        assert error.reason == "owner-busy"
+        assert 0.2 <= error.retry_after <= 0.25
 
-    def test_owner_that_left_while_nobody_gave_a_turn(self):
-        # Guards against a request at a target that has left, or a fault where nothing
-        # is known of it any more: the VM that keeps the queue is lost, and finding that
-        # out takes time.
+    def test_owner_removed_during_the_wait_for_no_permit(self):
+        # Guards against a request to a target that has left, or an error because it is
+        # no longer known: the permit server of the queue is lost, and detecting this
+        # takes time.
         feed, directory = Feed(), Directory()
 
-        class Lost(GivenTurns):
+        class Lost(ScriptedPermits):
             async def take(self, journey, queue, data_centre=""):
                 if queue == "a":
                     directory.apply(Record(gone="a"), now(), False)
@@ -408,39 +410,39 @@
                 return await super().take(journey, queue, data_centre)
 
         turns = Lost(None, None)
-        status, sent = play(
+        status, sent = serve_request(
             [], owns_keys=True, feed=feed, turns=turns, directory=directory
         )
         assert (status, sent) == (200, ["b"])
 
-    def test_key_that_moved_while_its_request_waited(self):
-        # The keys of a request go to another target while it waits for its turn at the
-        # former one, which would turn it away.
+    def test_key_that_moves_during_the_wait_for_a_permit(self):
+        # The key of a request moves to another target while it waits for a permit at
+        # the previous owner, which would reject it.
         feed = Feed("a")
 
-        class Moving(GivenTurns):
+        class Moving(ScriptedPermits):
             async def take(self, journey, queue, data_centre=""):
                 feed.move_to("b")
                 return await super().take(journey, queue, data_centre)
 
         turns = Moving("a", "b")
-        status, sent = play(["ok"], owns_keys=True, feed=feed, turns=turns)
+        status, sent = serve_request(["ok"], owns_keys=True, feed=feed, turns=turns)
         assert (status, sent) == (200, ["b"])
-        assert turns.asked == ["a", "b"]
-        assert [number for number, *_ in turns.given_back] == [1, 2]
+        assert turns.queues == ["a", "b"]
+        assert [number for number, *_ in turns.released] == [1, 2]
 
 
 class TestColdTargets:
-    def test_who_warms_targets_up_is_worked_out_once(self, monkeypatch):
-        # A data centre is added, and 36 of 120 targets are cold. Each request looked at
-        # all of 195 VMs for each cold target: answers took longer the more VMs there
-        # were.
-        asked = []
+    def test_senders_to_cold_targets_are_computed_once(self, monkeypatch):
+        # A data centre is added, and 36 of 120 targets are cold. When each request
+        # checked all of 195 VMs for each cold target, answers took longer the more VMs
+        # there were.
+        queues = []
         real = cold_targets.is_cold_sender
         monkeypatch.setattr(
             cold_targets,
             "is_cold_sender",
-            lambda name, *rest: asked.append(name) or real(name, *rest),
+            lambda name, *rest: queues.append(name) or real(name, *rest),
         )
         service = Service("s", "/", 50, 3.0, 5.0, False)
         directory = Directory()
@@ -452,11 +454,11 @@
         first = [
             router.cold.may_send(name, service) for name in "abc" for _ in range(50)
         ]
-        assert asked == ["a", "b", "c"]
-        # It is worked out anew when VMs have come or gone.
+        assert queues == ["a", "b", "c"]
+        # A change of the known VMs causes a new computation.
         router.cold.vm_names = [*router.cold.vm_names, "vm-200"]
-        again = [
+        second = [
             router.cold.may_send(name, service) for name in "abc" for _ in range(50)
         ]
-        assert asked == ["a", "b", "c"] * 2
-        assert len(first) == len(again)
+        assert queues == ["a", "b", "c"] * 2
+        assert len(first) == len(second)
--- a/packages/entry/tests/test_senders.py
+++ b/packages/entry/tests/test_senders.py
@@ -1,4 +1,4 @@
-"""Tests of the connections to targets."""
+"""Tests of the HTTP clients of targets."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
     @pytest.mark.parametrize(
         ("accepted", "vms"), [(50, 13), (120, 12), (95, 67), (520, 78)]
     )
-    def test_all_vms_together_stay_within_what_a_target_accepts(self, accepted, vms):
-        # A target resets connections beyond what it accepts from all VMs, and with them
-        # requests of which nobody knows whether they ran.
+    def test_all_vms_together_stay_below_the_accepted_connections(self, accepted, vms):
+        # A target resets connections beyond the number it accepts from all VMs, and
+        # then it is unknown whether their requests have run.
         senders = Senders(None)
         senders.vms = vms
         assert 1 <= senders.connection_share(accepted) * vms <= 0.75 * accepted
 
 
 class PlainTargets(TargetWire):
-    """Takes every answer as a target's own."""
+    """Accepts every answer as one of a target."""
 
     echo_header = b"id"
 
@@ -47,12 +47,12 @@
 
 
 class SlowTarget:
-    """A target on loopback that answers after a while, and counts who hangs up."""
+    """A slow target on loopback that counts requests and disconnected clients."""
 
     def __init__(self, seconds):
         self.seconds = seconds
-        self.begun = asyncio.Event()
-        self.cut = 0
+        self.request_received = asyncio.Event()
+        self.disconnected = 0
         self.open = 0
         self.requests = 0
 
@@ -64,13 +64,13 @@
         self.open += 1
         try:
             while head := await reader.readuntil(b"\r\n\r\n"):
-                self.begun.set()
+                self.request_received.set()
                 self.requests += 1
                 await asyncio.sleep(self.seconds)
                 name = head.partition(b"Id: ")[2].partition(b"\r\n")[0]
                 writer.write(b"HTTP/1.1 200 OK\r\nId: " + name)
                 writer.write(b"\r\nContent-Length: 5\r\n\r\nwhole")
-                self.cut += reader.at_eof()
+                self.disconnected += reader.at_eof()
         except (asyncio.IncompleteReadError, OSError):
             pass
         finally:
@@ -83,61 +83,61 @@
 
 
 class TestTargetThatGoes:
-    """A target's record goes while it is at work on a request."""
+    """A target's record is removed while it serves a request."""
 
     @pytest.mark.parametrize("successor", [False, True])
-    def test_request_under_way_is_answered(self, successor):
-        # Guards against cutting off an order when the record of its target goes.
-        async def play():
-            made = SlowTarget(0.3)
-            port = await made.start()
+    def test_request_in_flight_is_answered(self, successor):
+        # Guards against cutting off an order when its target's record is removed.
+        async def run():
+            server = SlowTarget(0.3)
+            port = await server.start()
             known = target("i-1", address=f"127.0.0.1:{port}")
             senders = Senders(PlainTargets())
             sent = asyncio.create_task(senders.get(known, 50).send(request("o-1"), 2.0))
-            await made.begun.wait()
+            await server.request_received.wait()
             if successor:
                 senders.get(target("i-1", life=2, address="127.0.0.1:1"), 50)
             else:
                 senders.retain(set())
             answer = await sent
             assert (answer.status, answer.body) == (200, b"whole")
-            assert made.cut == 0
-            # Nothing of the former life stays open.
+            assert server.disconnected == 0
+            # No connection to the previous incarnation stays open.
             await asyncio.sleep(0.05)
-            assert made.open == 0
+            assert server.open == 0
             senders.close()
 
-        asyncio.run(play())
+        asyncio.run(run())
 
     def test_request_that_waits_for_a_connection_is_not_sent(self):
         # Guards against requests that reach a target long after it has left.
-        async def play():
-            made = SlowTarget(0.2)
-            known = target("i-1", address=f"127.0.0.1:{await made.start()}")
+        async def run():
+            server = SlowTarget(0.2)
+            known = target("i-1", address=f"127.0.0.1:{await server.start()}")
             senders = Senders(PlainTargets())
             senders.vms = 50
             sender = senders.get(known, 50)
             first = asyncio.create_task(sender.send(request("o-1"), 2.0))
             second = asyncio.create_task(sender.send(request("o-2"), 2.0))
-            await made.begun.wait()
+            await server.request_received.wait()
             senders.retain(set())
             with pytest.raises(NeverSent):
                 await asyncio.wait_for(second, 0.1)
             assert (await first).body == b"whole"
-            assert made.requests == 1
+            assert server.requests == 1
             senders.close()
 
-        asyncio.run(play())
+        asyncio.run(run())
 
-    def test_program_that_ends_leaves_nothing_open(self):
-        async def play():
-            made = SlowTarget(0.0)
-            known = target("i-1", address=f"127.0.0.1:{await made.start()}")
+    def test_close_leaves_no_connection_open(self):
+        async def run():
+            server = SlowTarget(0.0)
+            known = target("i-1", address=f"127.0.0.1:{await server.start()}")
             senders = Senders(PlainTargets())
             await senders.get(known, 50).send(request("o-1"), 2.0)
-            assert made.open == 1
+            assert server.open == 1
             senders.close()
             await asyncio.sleep(0.05)
-            assert made.open == 0
+            assert server.open == 0
 
-        asyncio.run(play())
+        asyncio.run(run())
--- a/packages/entry/tests/test_turn_times.py
+++ b/packages/entry/tests/test_turn_times.py
@@ -1,4 +1,4 @@
-"""Tests of how queues reckon with targets."""
+"""Tests of the service time estimates for queues."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 
 
 class TestDistance:
-    def test_target_in_the_same_data_centre_is_near(self):
+    def test_target_in_the_same_data_centre_has_no_penalty(self):
         assert times(r=1e6).locality_penalty("a", "dc-1", "r") == 0
 
-    def test_small_answers_cross_for_little(self):
+    def test_small_answers_have_a_small_penalty(self):
         assert times(r=400).locality_penalty("a", "dc-2", "r") == OTHER_DATA_CENTRE
 
-    def test_large_answers_cross_only_where_much_is_won(self):
-        # Files of 90 kB, of which each data centre has some targets. Half of them
-        # crossed for some ten milliseconds.
+    def test_large_answers_have_a_large_penalty(self):
+        # Files of 90 kB, with targets in each data centre. Half of them crossed between
+        # data centres to save some ten milliseconds.
         assert times(r=90e3).locality_penalty("a", "dc-2", "r") > 0.25
 
-    def test_target_that_is_not_known_is_not_far(self):
+    def test_unknown_target_has_no_penalty(self):
         assert times().locality_penalty("z", "dc-2", "r") == 0
--- a/packages/entry/tests/test_turns.py
+++ b/packages/entry/tests/test_turns.py
@@ -1,4 +1,4 @@
-"""Tests of asking for turns at targets, and of keeping queues for that."""
+"""Tests of the client and the server of the permit protocol."""
 
 from __future__ import annotations
 
@@ -41,19 +41,19 @@
 
 
 class Network:
-    """Carries datagrams between VMs, and loses those that it is told to lose."""
+    """Delivers datagrams between VMs, and drops some on demand."""
 
     def __init__(self):
         self.vms = {}
         self.lost_hosts = set()
-        # Datagrams to lose of those that come next.
-        self.losing = 0
-        # Seconds that a datagram takes.
+        # Number of following datagrams to drop.
+        self.drop_next = 0
+        # Delivery time in seconds.
         self.delay = 0.0005
 
-    def carry(self, own, host, data):
-        if self.losing:
-            self.losing -= 1
+    def deliver(self, own, host, data):
+        if self.drop_next:
+            self.drop_next -= 1
             return
         if host in self.lost_hosts:
             return
@@ -62,7 +62,7 @@
 
 
 class Vm:
-    """What asks for turns and keeps queues on one VM."""
+    """Permit client and permit server of one VM."""
 
     def __init__(self, host, network):
         self.host = host
@@ -73,17 +73,17 @@
         self.server = QueueKeeper(router.loads, directory, Members())
         self.turns = Turns(Members(), host)
         self.turns.ask = self.turns.give_back = self.server.send = lambda to, word: (
-            network.carry(host, to, word.encode())
+            network.deliver(host, to, word.encode())
         )
         network.vms[host] = self
 
     def receive(self, host, data):
-        reads = {
+        handlers = {
             20: self.server.take_ask,
             21: self.turns.take_reply,
             22: self.server.take_return,
         }
-        reads[data[0]](data, host)
+        handlers[data[0]](data, host)
 
     async def take(self, time_left=1.0):
         req = CallerRequest("1", "GET", "h", "/a/", {}, time_left, 5)
@@ -97,37 +97,37 @@
 
 
 @pytest.fixture
-def played():
-    """Return what plays a coroutine over three VMs in virtual time."""
+def run_vms():
+    """Return a function that runs a coroutine over three VMs in virtual time."""
 
-    def play(step):
+    def run(scenario):
         with virtual_loop() as loop:
 
-            async def all_of_it():
+            async def run_scenario():
                 network = Network()
                 vms = [Vm(host, network) for host in HOSTS]
                 for vm in vms:
                     vm.server.start()
                 try:
-                    return await step(network, vms)
+                    return await scenario(network, vms)
                 finally:
                     for vm in vms:
                         vm.server.stop()
 
-            return loop.run_until_complete(all_of_it())
+            return loop.run_until_complete(run_scenario())
 
-    return play
+    return run
 
 
-def keeper_of(vms):
+def permit_servers(vms):
     return vms[0].turns._servers_for("a", "dc-1")
 
 
 class TestTurns:
-    def test_all_vms_together_send_no_more_than_there_are_slots(self, played):
-        # Three VMs get two requests each for a target with two slots at the same
+    def test_all_vms_together_send_at_most_as_many_as_there_are_slots(self, run_vms):
+        # Three VMs receive two requests each for a target with two slots at the same
         # moment. Each of them would see two free slots.
-        async def step(network, vms):
+        async def scenario(network, vms):
             tasks = [asyncio.create_task(vm.take()) for vm in vms for _ in range(2)]
             await asyncio.sleep(0.01)
             assert sum(task.done() for task in tasks) == 2
@@ -135,10 +135,10 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-        played(step)
+        run_vms(scenario)
 
-    def test_request_goes_when_another_is_done(self, played):
-        async def step(network, vms):
+    def test_request_is_sent_when_another_completes(self, run_vms):
+        async def scenario(network, vms):
             first, second = [await vms[0].take() for _ in range(2)]
             waiting = asyncio.create_task(vms[1].take())
             await asyncio.sleep(0.05)
@@ -147,12 +147,12 @@
             await asyncio.sleep(0.005)
             assert waiting.result().server == second.server
 
-        played(step)
+        run_vms(scenario)
 
-    def test_request_without_a_chance_is_refused_at_once(self, played):
-        # A hundred requests for two slots within a moment. The caller of the last one
-        # is told when there will be room; it does not wait out its time.
-        async def step(network, vms):
+    def test_request_that_cannot_be_in_time_is_refused_immediately(self, run_vms):
+        # Many requests arrive for two slots at once. The last one's caller is told when
+        # a slot will be free instead of waiting until its deadline.
+        async def scenario(network, vms):
             tasks = [asyncio.create_task(vms[1].take()) for _ in range(40)]
             await asyncio.sleep(0.01)
             began = now()
@@ -160,90 +160,90 @@
                 await vms[2].take()
             assert now() - began < 0.03
             assert caught.value.retry_after > 0
-            # What finds the decision in the keeper's log.
-            server = keeper_of(vms)[0]
+            # The text identifies the decision in the permit server's log.
+            server = permit_servers(vms)[0]
             assert caught.value.turn.startswith(f"queue a keeper {server} number ")
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-        played(step)
+        run_vms(scenario)
 
-    def test_lost_keeper_does_not_hold_requests_up(self, played):
-        # The VM that keeps the queue is killed. The next one takes its place, and when
-        # that is lost too the request goes by what its own VM knows.
-        async def step(network, vms):
-            first, second = keeper_of(vms)
-            asks = next(vm for vm in vms if vm.host not in (first, second))
+    def test_lost_permit_server_does_not_delay_requests(self, run_vms):
+        # The permit server is killed. The next one takes over, and if that is lost too,
+        # the request is routed by its own VM's data.
+        async def scenario(network, vms):
+            first, second = permit_servers(vms)
+            client = next(vm for vm in vms if vm.host not in (first, second))
             network.lost_hosts.add(first)
             began = now()
-            assert (await asks.take()).server == second
+            assert (await client.take()).server == second
             assert now() - began < (MAX_ATTEMPTS + 1) * MIN_REPLY_TIMEOUT_SECONDS
             began = now()
-            assert (await asks.take()).server == second
+            assert (await client.take()).server == second
             assert now() - began < MIN_REPLY_TIMEOUT_SECONDS
             network.lost_hosts.add(second)
-            assert await asks.take() is None
+            assert await client.take() is None
             began = now()
-            assert await asks.take() is None
+            assert await client.take() is None
             assert now() == began
 
-        played(step)
+        run_vms(scenario)
 
-    def test_keeper_that_is_back_is_asked_again(self, played):
-        async def step(network, vms):
-            first, second = keeper_of(vms)
-            asks = next(vm for vm in vms if vm.host not in (first, second))
+    def test_recovered_permit_server_is_asked_again(self, run_vms):
+        async def scenario(network, vms):
+            first, second = permit_servers(vms)
+            client = next(vm for vm in vms if vm.host not in (first, second))
             network.lost_hosts.add(first)
-            await asks.take()
+            await client.take()
             network.lost_hosts.clear()
             await asyncio.sleep(SERVER_BACKOFF_SECONDS + 0.1)
-            assert (await asks.take()).server == first
+            assert (await client.take()).server == first
 
-        played(step)
+        run_vms(scenario)
 
     @pytest.mark.parametrize("lost", [1, 2])
-    def test_lost_datagram_costs_milliseconds(self, played, lost):
-        async def step(network, vms):
-            first, second = keeper_of(vms)
-            asks = next(vm for vm in vms if vm.host not in (first, second))
-            network.losing = lost
+    def test_lost_datagram_costs_milliseconds(self, run_vms, lost):
+        async def scenario(network, vms):
+            first, second = permit_servers(vms)
+            client = next(vm for vm in vms if vm.host not in (first, second))
+            network.drop_next = lost
             began = now()
-            assert (await asks.take()).server == first
+            assert (await client.take()).server == first
             assert now() - began < (lost + 1) * MIN_REPLY_TIMEOUT_SECONDS
 
-        played(step)
+        run_vms(scenario)
 
-    def test_turn_of_a_caller_that_left_is_given_back(self, played):
-        # A caller closes its connection while its request waits. Its place must not
+    def test_permit_of_a_disconnected_caller_is_released(self, run_vms):
+        # A caller disconnects while its request is queued. The queued request must not
         # keep a slot from others.
-        async def step(network, vms):
+        async def scenario(network, vms):
             turns = [await vms[0].take() for _ in range(2)]
-            left = asyncio.create_task(vms[1].take())
+            cancelled = asyncio.create_task(vms[1].take())
             await asyncio.sleep(0.01)
-            stays = asyncio.create_task(vms[2].take())
+            remaining = asyncio.create_task(vms[2].take())
             await asyncio.sleep(0.01)
-            left.cancel()
+            cancelled.cancel()
             await asyncio.sleep(0.01)
             vms[0].turns.done(turns[0])
             await asyncio.sleep(0.01)
-            assert stays.done()
+            assert remaining.done()
 
-        played(step)
+        run_vms(scenario)
 
 
 class TestKeeperThatStops:
-    """A VM that keeps a queue stops, with requests of others in the queue."""
-
-    def test_request_that_waits_goes_to_the_next_keeper_at_once(self, played):
-        # Guards against requests that run into their deadlines, or are refused, while
-        # they ask a VM that has ended.
-        async def step(network, vms):
-            first, second = keeper_of(vms)
-            asking = next(vm for vm in vms if vm.host not in (first, second))
+    """A permit server stops while requests of other VMs are queued."""
+
+    def test_queued_request_goes_to_the_next_server_immediately(self, run_vms):
+        # Guards against requests that reach their deadlines, or are refused, while they
+        # ask a VM that has stopped.
+        async def scenario(network, vms):
+            first, second = permit_servers(vms)
+            client = next(vm for vm in vms if vm.host not in (first, second))
             for _ in range(2):
-                await asking.take()
-            waiting = asyncio.create_task(asking.take(0.3))
+                await client.take()
+            waiting = asyncio.create_task(client.take(0.3))
             await asyncio.sleep(0.15)
             assert not waiting.done()
             next(vm for vm in vms if vm.host == first).server.stop()
@@ -252,76 +252,77 @@
             assert (await waiting).server == second
             assert now() - began < MIN_REPLY_TIMEOUT_SECONDS
 
-        played(step)
+        run_vms(scenario)
 
-    def test_queue_is_empty_afterwards(self, played):
-        # Guards against a keeper that gives out turns after it has sent all away.
-        async def step(network, vms):
-            first, second = keeper_of(vms)
-            keeping = next(vm for vm in vms if vm.host == first)
-            asking = next(vm for vm in vms if vm.host not in (first, second))
-            turns = [await asking.take() for _ in range(2)]
-            waiting = asyncio.create_task(asking.take())
+    def test_queue_is_empty_after_the_stop(self, run_vms):
+        # Guards against a permit server that grants permits after its queues closed.
+        async def scenario(network, vms):
+            first, second = permit_servers(vms)
+            serving = next(vm for vm in vms if vm.host == first)
+            client = next(vm for vm in vms if vm.host not in (first, second))
+            turns = [await client.take() for _ in range(2)]
+            waiting = asyncio.create_task(client.take())
             await asyncio.sleep(0.05)
-            keeping.server.stop()
+            serving.server.stop()
             await asyncio.sleep(0.01)
             for turn in turns:
-                asking.turns.done(turn)
+                client.turns.done(turn)
             await asyncio.sleep(0.01)
             assert waiting.result().server == second
 
-        played(step)
+        run_vms(scenario)
 
 
 class TestSlowLink:
-    def test_keeper_behind_a_slow_link_is_waited_for(self, played):
-        # Replies wait behind downloads on a small link, for longer than any reply was
-        # waited for. Since none came in time, none was learned from, and each request
-        # went without a turn after asking three times.
-        async def step(network, vms):
+    def test_permit_server_behind_a_slow_link_is_waited_for(self, run_vms):
+        # Replies wait behind downloads on a slow link, for longer than the timeout.
+        # When late replies were not recorded, the timeout never grew, and each request
+        # was sent without a permit after three attempts.
+        async def scenario(network, vms):
             network.delay = 0.05
-            first = keeper_of(vms)[0]
-            asking = next(vm for vm in vms if vm.host not in keeper_of(vms))
+            first = permit_servers(vms)[0]
+            client = next(vm for vm in vms if vm.host not in permit_servers(vms))
             for _ in range(3):
-                turn = await asking.take()
+                turn = await client.take()
                 if turn is not None:
-                    asking.turns.done(turn)
+                    client.turns.done(turn)
                 await asyncio.sleep(2 * SERVER_BACKOFF_SECONDS)
-            turn = await asking.take()
+            turn = await client.take()
             assert turn is not None
             assert turn.server == first
 
-        played(step)
+        run_vms(scenario)
 
-    def test_late_reply_of_a_keeper_shows_that_it_lives(self, played):
-        async def step(network, vms):
-            asking = next(vm for vm in vms if vm.host not in keeper_of(vms))
+    def test_late_reply_shows_that_the_permit_server_is_alive(self, run_vms):
+        async def scenario(network, vms):
+            client = next(vm for vm in vms if vm.host not in permit_servers(vms))
             network.delay = 0.3
-            assert await asking.take(3.0) is None
+            assert await client.take(3.0) is None
             await asyncio.sleep(0.6)
             network.delay = 0.0005
-            turn = await asking.take()
-            assert turn.server == keeper_of(vms)[0]
+            turn = await client.take()
+            assert turn.server == permit_servers(vms)[0]
 
-        played(step)
+        run_vms(scenario)
 
 
 class TestReplyTimes:
-    def test_quick_keepers_are_given_up_soon(self):
+    def test_timeout_is_minimal_for_fast_replies(self):
         times = ReplyTimeout()
         for _ in range(50):
             times.record(0.001)
         assert times.timeout == MIN_REPLY_TIMEOUT_SECONDS
 
-    def test_replies_that_wait_behind_large_answers_are_waited_for(self):
-        # A VM with a link of 10 Mbit/s that passes answers of 90 kB on. Each of its 100
-        # keepers counted as lost some times a minute, and requests went without turns.
+    def test_timeout_covers_replies_that_wait_behind_large_answers(self):
+        # A VM with a link of 10 Mbit/s forwards answers of 90 kB. Each of its 100
+        # permit servers counted as lost some times a minute, and requests were sent
+        # without permits.
         times = ReplyTimeout()
         for n in range(50):
             times.record(0.002 if n % 3 else 0.07)
         assert times.timeout > 0.07
 
-    def test_lost_keeper_is_given_up_all_the_same(self):
+    def test_timeout_is_bounded_for_a_lost_permit_server(self):
         times = ReplyTimeout()
         for _ in range(50):
             times.record(3.0)
@@ -329,7 +330,7 @@
 
 
 class TestMessages:
-    def test_say_what_they_said(self):
+    def test_messages_survive_encoding(self):
         ask = Ask.decode(Ask(7, 1, 2, -0.25, 0.3, 0.8, 1).encode())
         assert (ask.number, ask.queue, ask.kind, ask.priority) == (7, 1, 2, 1)
         assert (ask.wanted, ask.objective, ask.deadline) == (-0.25, 0.3, 0.8)
@@ -343,7 +344,7 @@
         assert (back.load.running, back.load.pace) == (3, 1.6)
         assert Return.decode(Return(7, 1).encode()).load is None
 
-    def test_far_off_times_are_kept_within_what_fits(self):
+    def test_times_out_of_range_are_clamped(self):
         ask = Ask.decode(Ask(1, 1, 2, 900.0, 900.0, 900.0, 999).encode())
         assert 30 < ask.wanted < 40
         assert ask.deadline == 65.535
@@ -354,16 +355,16 @@
         with pytest.raises(UnreadableRecord):
             message.decode(data)
 
-    def test_damaged_datagram_is_passed_over(self, played):
-        async def step(network, vms):
+    def test_damaged_datagram_is_ignored(self, run_vms):
+        async def scenario(network, vms):
             for kind in (20, 21, 22):
                 vms[0].receive("10.0.0.9", bytes([kind]) + b"abc")
 
-        played(step)
+        run_vms(scenario)
 
 
 class Fleet:
-    """Large VMs that keep queues, and many small ones that come and go."""
+    """Large VMs that are eligible as permit servers, and small ones that are not."""
 
     def __init__(self):
         self.revision = 1
@@ -374,46 +375,46 @@
     def members(self):
         return self.known
 
-    def come(self, name, power):
+    def add(self, name, power):
         self.revision += 1
         self.known = [*self.known, Member(name, "10.0.1.1:1", "dc-1", power)]
 
-    def lose(self, name):
+    def remove(self, name):
         self.revision += 1
         self.known = [member for member in self.known if member.name != name]
 
 
 class TestWhoKeepsQueues:
-    def test_small_vms_that_come_and_go_change_nothing(self):
-        # Half of 195 VMs are killed and start again. Who keeps the queue before each of
-        # 360 targets was worked out anew at each of 200 changes, on all VMs, and
-        # requests waited for it.
+    def test_changes_of_small_vms_move_no_queue(self):
+        # Half of 195 VMs are killed and restarted. The permit servers of 360 targets
+        # were computed again at each of 200 changes, on all VMs, and requests waited
+        # for that.
         fleet = Fleet()
         turns = Turns(fleet, "10.0.0.1")
         before, first = turns.revision, turns._servers_for("a", "dc-1")
-        fleet.come("small", 0.2)
+        fleet.add("small", 0.2)
         assert turns.revision == before
         assert turns._servers_for("a", "dc-1") is first
-        fleet.lose("small")
+        fleet.remove("small")
         assert turns.revision == before
 
-    def test_queues_of_a_lost_keeper_go_to_another(self):
+    def test_queues_of_a_lost_permit_server_move_to_another(self):
         fleet = Fleet()
         turns = Turns(fleet, "10.0.0.1")
         before, first = turns.revision, turns._servers_for("a", "dc-1")[0]
-        fleet.lose(next(m.name for m in fleet.known if m.host == first))
+        fleet.remove(next(m.name for m in fleet.known if m.host == first))
         assert turns.revision > before
         assert turns._servers_for("a", "dc-1")[0] != first
 
-    def test_larger_vm_takes_queues_over(self):
+    def test_additional_large_vm_receives_queues(self):
         fleet = Fleet()
         turns = Turns(fleet, "10.0.0.1")
         before = turns.revision
-        fleet.come("larger", 1.0)
+        fleet.add("larger", 1.0)
         assert turns.revision > before
         kept = {turns._servers_for(f"t{n}", "dc-1")[0] for n in range(50)}
         assert "10.0.1.1" in kept
 
-    def test_data_centre_without_a_vm_has_its_queues_kept_elsewhere(self):
+    def test_queues_of_a_data_centre_without_vms_are_served_elsewhere(self):
         turns = Turns(Fleet(), "10.0.0.1")
         assert len(turns._servers_for("a", "dc-9")) == 2
