--- a/packages/entry/src/berylstage_entry/cold_targets.py
+++ b/packages/entry/src/berylstage_entry/cold_targets.py
@@ -48,7 +48,7 @@
         """Remove all targets except the given ones."""
         for name in [name for name in self._cold_senders if name not in names]:
             del self._cold_senders[name]
-        for identity in [each for each in self._limiters if each[0] not in names]:
+        for identity in [key for key in self._limiters if key[0] not in names]:
             del self._limiters[identity]
 
     def limiter(self, name: str, service: Service) -> ColdRateLimiter | None:
--- a/packages/entry/src/berylstage_entry/owners.py
+++ b/packages/entry/src/berylstage_entry/owners.py
@@ -68,9 +68,9 @@
         NoOwner
             No usable owner was found in time.
         """
-        began = now()
-        retry_at = began + journey.pause
-        min_left = WAIT_SHARE * min(journey.route.timeout, journey.left(began))
+        started_at = now()
+        retry_at = started_at + journey.pause
+        min_left = WAIT_SHARE * min(journey.route.timeout, journey.left(started_at))
         while True:
             key_range = self._find_range(journey)
             if key_range is not None and self._is_usable_owner(key_range):
@@ -82,7 +82,7 @@
                     return key_range.owner
             if journey.left(now()) < min_left:
                 raise NoOwner(self._describe(journey, key_range))
-            if now() - began >= REFRESH_AFTER_SECONDS:
+            if now() - started_at >= REFRESH_AFTER_SECONDS:
                 self._feed.hurry()
             await asyncio.sleep(MOVE_POLL_SECONDS)
 
@@ -118,9 +118,11 @@
         )
 
     def _describe(self, journey: Journey, key_range: KeyRange | None) -> str:
-        held = (
+        range_text = (
             f"owner {key_range.owner} former {key_range.former}"
             if key_range is not None
             else ""
         )
-        return f"key {journey.req.key} {held} assignment {self._revision(journey)}"
+        return (
+            f"key {journey.req.key} {range_text} assignment {self._revision(journey)}"
+        )
--- a/packages/entry/src/berylstage_entry/router.py
+++ b/packages/entry/src/berylstage_entry/router.py
@@ -198,8 +198,8 @@
                 raise self._build_error(journey, "no-owner", str(exc)) from exc
             if not self.cold.may_send(name, journey.service):
                 raise self._build_error(journey, "cold")
-            centre = self._directory.known[name].target.data_centre
-            await self._acquire_permit(journey, name, centre)
+            data_centre = self._directory.known[name].target.data_centre
+            await self._acquire_permit(journey, name, data_centre)
             if not self._owner_resolver.is_owner(journey, name):
                 # The key moved, or its owner became unusable, during the wait.
                 self._release_permit(journey)
@@ -214,14 +214,14 @@
         """Wait for a permit from a queue; set none if no VM serves the queue."""
         if self.turns is None:
             return
-        began = now()
+        started_at = now()
         try:
             journey.turn = await self.turns.take(journey, queue, data_centre)
         except TurnRefused as exc:
-            journey.waited += now() - began
+            journey.waited += now() - started_at
             reason = "owner-busy" if data_centre else "no-room"
             raise self._build_error(journey, reason, exc.turn, exc.retry_after) from exc
-        journey.waited += now() - began
+        journey.waited += now() - started_at
         if journey.left(now()) < LEAST_TIME:
             self._release_permit(journey)
             raise self._build_error(journey, "no-time")
@@ -305,10 +305,10 @@
         load = loads.load(name, target.slots)
         self.cold.record_request(name, journey.service)
         load.inflight += 1
-        began = now()
+        started_at = now()
         failed, report, had_permit = True, None, journey.turn is not None
         try:
-            answer = await sender.send(journey.req, journey.left(began))
+            answer = await sender.send(journey.req, journey.left(started_at))
             failed, report = is_failure(answer), build_load_report(answer)
         except asyncio.CancelledError:
             # The caller has disconnected, which is no failure of the target.
@@ -329,7 +329,7 @@
             load.inflight -= 1
             self._release_permit(journey, failed, report)
         kind, service = journey.route.name, journey.service.name
-        self.loads.record_answer(name, kind, service, answer, now() - began)
+        self.loads.record_answer(name, kind, service, answer, now() - started_at)
         if answer.not_run and not answer.misdirected and had_permit:
             journey.shed += 1
         return self._handle_answer(journey, name, answer)
@@ -372,11 +372,15 @@
         return answer
 
     def _can_retry(self, journey: Journey) -> bool:
-        enough = journey.left(now()) > journey.route.objective / 2
-        return enough and journey.attempts < journey.route.attempts
+        has_time = journey.left(now()) > journey.route.objective / 2
+        return has_time and journey.attempts < journey.route.attempts
 
     def _build_error(
-        self, journey: Journey, reason: str, detail: str = "", after: float = 0.0
+        self,
+        journey: Journey,
+        reason: str,
+        detail: str = "",
+        expected_wait: float = 0.0,
     ) -> Refused | Unanswered:
         detail = f"{detail} attempts {journey.attempts} {journey.trace()}".strip()
         if journey.lost:
@@ -387,10 +391,10 @@
         if journey.shed:
             # Slots are free, so a delay would not improve the next attempt.
             retry_after = RETURN_AT_ONCE
-        if after:
-            retry_after = max(MIN_RETRY_AFTER_SECONDS, after) * self._rng.uniform(
-                1, RETRY_AFTER_SPREAD
-            )
+        if expected_wait:
+            retry_after = max(
+                MIN_RETRY_AFTER_SECONDS, expected_wait
+            ) * self._rng.uniform(1, RETRY_AFTER_SPREAD)
         return Refused(reason, retry_after, detail)
 
     def _choose_service(self, route: Route) -> str:
--- a/packages/entry/src/berylstage_entry/turns.py
+++ b/packages/entry/src/berylstage_entry/turns.py
@@ -127,7 +127,7 @@
     def __init__(self, membership: Membership, host: str):
         self._membership = membership
         self._host = host
-        self._numbers = count(1)
+        self._request_numbers = count(1)
         # Replies to the requests that wait for one, by number.
         self._replies: dict[int, asyncio.Queue[Reply]] = {}
         self._servers: dict[str, list[str]] = {}
@@ -212,7 +212,7 @@
             replies.put_nowait(reply)
 
     async def _acquire_from(self, journey: Journey, queue: str, server: str) -> Turn:
-        number = next(self._numbers) % REQUEST_NUMBERS
+        number = next(self._request_numbers) % REQUEST_NUMBERS
         turn = Turn(number, queue, server)
         replies = self._replies[number] = asyncio.Queue()
         try:
@@ -307,12 +307,12 @@
         if self._members_revision == self._membership.revision:
             return
         self._members_revision = self._membership.revision
-        by_centre: dict[str, list[Candidate]] = {ALL_DATA_CENTRES: []}
+        by_data_centre: dict[str, list[Candidate]] = {ALL_DATA_CENTRES: []}
         for member in self._membership.members():
             candidate = Candidate(member.host, member.power)
-            by_centre[ALL_DATA_CENTRES].append(candidate)
-            by_centre.setdefault(member.data_centre, []).append(candidate)
-        hosts = {centre: eligible_vms(found) for centre, found in by_centre.items()}
+            by_data_centre[ALL_DATA_CENTRES].append(candidate)
+            by_data_centre.setdefault(member.data_centre, []).append(candidate)
+        hosts = {centre: eligible_vms(vms) for centre, vms in by_data_centre.items()}
         if hosts != self._eligible_hosts:
             self._eligible_hosts = hosts
             self._servers.clear()
--- a/packages/entry/tests/test_router.py
+++ b/packages/entry/tests/test_router.py
@@ -168,13 +168,13 @@
         assert serve_request(["ok"], owns_keys=True, owner="b") == (200, ["b"])
 
     def test_request_for_a_moving_key_is_refused_before_its_deadline(self):
-        began = now()
+        started_at = now()
         error, sent = serve_request([], owns_keys=True, owner="b", former="a")
         assert isinstance(error, Refused)
         # The log shows which move the request waited for.
         assert "owner b former a assignment 4" in error.detail
         assert not sent
-        assert now() - began < 0.7
+        assert now() - started_at < 0.7
 
     def test_unreachable_owner_is_retried_with_a_delay(self):
         # The owner of a key has crashed and its port resets each connection within a
@@ -187,18 +187,18 @@
         # The grant of a moved key is still in transit to its new owner, which rejects
         # two requests within a few milliseconds. Without a delay, the request has used
         # all its attempts before the grant arrives.
-        began = now()
+        started_at = now()
         assert serve_request(["elsewhere", "ok"], owns_keys=True, owner="b")[0] == 200
-        assert now() - began >= 0.04
+        assert now() - started_at >= 0.04
 
     @pytest.mark.parametrize("full", ["full", LOST])
     def test_full_owner_is_retried_with_a_delay(self, full):
         # The owner of busy keys is full, and rejects requests or resets connections. A
         # lookup that is sent again within a millisecond is rejected again, and each
         # retry takes from the budget of all other requests of the service.
-        began = now()
+        started_at = now()
         assert serve_request([full, "ok"], owns_keys=True, owner="b")[0] == 200
-        assert now() - began >= 0.04
+        assert now() - started_at >= 0.04
 
     def test_new_owner_is_asked_without_a_delay(self):
         # The owner rejects a request because the key has moved. The VM reads the new
@@ -209,11 +209,11 @@
             feed.move_to("c")
             return result
 
-        began = now()
+        started_at = now()
         script = [lambda: move("elsewhere"), "ok"]
         status, sent = serve_request(script, owns_keys=True, feed=feed)
         assert (status, sent) == (200, ["b", "c"])
-        assert now() - began < 0.04
+        assert now() - started_at < 0.04
 
     def test_retried_request_waits_for_the_end_of_a_move(self):
         # A lookup was refused because its key was moving. Its caller retries with less
@@ -362,10 +362,10 @@
         # Targets reject half of the requests although they have free slots. A delay
         # before each retry, and before the caller's retry, makes the answer late.
         turns = ScriptedPermits("a", "a")
-        began = now()
+        started_at = now()
         status, sent = serve_request(["full", "ok"], owns_keys=True, turns=turns)
         assert (status, sent) == (200, ["a", "a"])
-        assert now() - began < 0.04
+        assert now() - started_at < 0.04
 
     def test_caller_may_retry_immediately_if_the_target_had_free_slots(self):
         turns = ScriptedPermits("a", "a", TurnRefused(0.0))
--- a/packages/entry/tests/test_turns.py
+++ b/packages/entry/tests/test_turns.py
@@ -155,10 +155,10 @@
         async def scenario(network, vms):
             tasks = [asyncio.create_task(vms[1].take()) for _ in range(40)]
             await asyncio.sleep(0.01)
-            began = now()
+            started_at = now()
             with pytest.raises(TurnRefused) as caught:
                 await vms[2].take()
-            assert now() - began < 0.03
+            assert now() - started_at < 0.03
             assert caught.value.retry_after > 0
             # The text identifies the decision in the permit server's log.
             server = permit_servers(vms)[0]
@@ -176,17 +176,17 @@
             first, second = permit_servers(vms)
             client = next(vm for vm in vms if vm.host not in (first, second))
             network.lost_hosts.add(first)
-            began = now()
+            started_at = now()
             assert (await client.take()).server == second
-            assert now() - began < (MAX_ATTEMPTS + 1) * MIN_REPLY_TIMEOUT_SECONDS
-            began = now()
+            assert now() - started_at < (MAX_ATTEMPTS + 1) * MIN_REPLY_TIMEOUT_SECONDS
+            started_at = now()
             assert (await client.take()).server == second
-            assert now() - began < MIN_REPLY_TIMEOUT_SECONDS
+            assert now() - started_at < MIN_REPLY_TIMEOUT_SECONDS
             network.lost_hosts.add(second)
             assert await client.take() is None
-            began = now()
+            started_at = now()
             assert await client.take() is None
-            assert now() == began
+            assert now() == started_at
 
         run_vms(scenario)
 
@@ -208,9 +208,9 @@
             first, second = permit_servers(vms)
             client = next(vm for vm in vms if vm.host not in (first, second))
             network.drop_next = lost
-            began = now()
+            started_at = now()
             assert (await client.take()).server == first
-            assert now() - began < (lost + 1) * MIN_REPLY_TIMEOUT_SECONDS
+            assert now() - started_at < (lost + 1) * MIN_REPLY_TIMEOUT_SECONDS
 
         run_vms(scenario)
 
@@ -248,9 +248,9 @@
             assert not waiting.done()
             next(vm for vm in vms if vm.host == first).server.stop()
             network.lost_hosts.add(first)
-            began = now()
+            started_at = now()
             assert (await waiting).server == second
-            assert now() - began < MIN_REPLY_TIMEOUT_SECONDS
+            assert now() - started_at < MIN_REPLY_TIMEOUT_SECONDS
 
         run_vms(scenario)
 
--- a/packages/policy/src/berylstage_policy/completion.py
+++ b/packages/policy/src/berylstage_policy/completion.py
@@ -213,10 +213,10 @@
             or now < self.ejected_until
         ):
             return
-        span = INITIAL_BACKOFF_SECONDS * 2 ** (
+        duration = INITIAL_BACKOFF_SECONDS * 2 ** (
             self.consecutive_failures - MAX_CONSECUTIVE_FAILURES
         )
-        self.ejected_until = now + min(span, MAX_BACKOFF_SECONDS)
+        self.ejected_until = now + min(duration, MAX_BACKOFF_SECONDS)
 
     def record_shared_success(self) -> None:
         """Record that the target answered a request of some VM."""
@@ -263,9 +263,9 @@
         # were considered busy, its report was never renewed, and all VMs overloaded the
         # rest (0.78 of the credit instead of 0.93 in a model of 12 targets at three
         # quarters of their slots).
-        speed = self.slowness * (weight * self.pace + (1 - weight))
+        slowdown = self.slowness * (weight * self.pace + (1 - weight))
         ahead = self.active(now, mean_other_active) + 1 - self.slots
-        service_seconds = speed * (
+        service_seconds = slowdown * (
             typical_seconds + max(0.0, ahead) * mean / self.slots
         )
         return service_seconds + self.distance
--- a/packages/policy/src/berylstage_policy/slot_queue.py
+++ b/packages/policy/src/berylstage_policy/slot_queue.py
@@ -406,20 +406,20 @@
             free = [name for name, t in self._targets.items() if t.free(now) > 0]
             if not free:
                 break
-            req, target, late = self._next(free, now)
+            req, target, late = self._select_next(free, now)
             decisions += [self._refuse(late_req, now) for late_req in late]
             self._queued.remove(req)
             self._grant(req, target, now)
             decisions.append(Decision(req.request_id, PermitStatus.GRANTED, target))
         return decisions
 
-    def _next(
+    def _select_next(
         self, free: Sequence[str], now: float
     ) -> tuple[QueuedRequest, str, list[QueuedRequest]]:
         """Return the next request, its target, and late requests ahead of it."""
         late: list[QueuedRequest] = []
         for req in self._queued:
-            target = self._best(req, free, now)
+            target = self._choose_target(req, free, now)
             if now + self._times.seconds(target, req.kind) <= req.soft_deadline:
                 return req, target, late
             late.append(req)
@@ -428,15 +428,17 @@
         req = next(
             (each for each in late if self._meets_deadline(each, free, now)), late[0]
         )
-        return req, self._best(req, free, now), []
+        return req, self._choose_target(req, free, now), []
 
     def _meets_deadline(
         self, req: QueuedRequest, free: Sequence[str], now: float
     ) -> bool:
-        target = self._best(req, free, now)
+        target = self._choose_target(req, free, now)
         return now + self._times.seconds(target, req.kind) <= req.deadline
 
-    def _best(self, req: QueuedRequest, free: Sequence[str], now: float) -> str:
+    def _choose_target(
+        self, req: QueuedRequest, free: Sequence[str], now: float
+    ) -> str:
         if len(free) == 1:
             return free[0]
         times = self._times
