--- a/packages/bench/src/berylstage_bench/owned.py
+++ b/packages/bench/src/berylstage_bench/owned.py
@@ -4,7 +4,7 @@
 
 import argparse
 
-from berylstage_entry import balance, key_loads, router, speeds
+from berylstage_entry import key_loads, rebalancing, router, service_times
 
 from berylstage_bench import owned_model
 from berylstage_bench.owned_model import OwnedPlay
@@ -48,16 +48,16 @@
     ),
     Variation("half-life 0.35 s", [(key_loads, "HALF_LIFE", 0.35)]),
     Variation("half-life 1.5 s", [(key_loads, "HALF_LIFE", 1.5)]),
-    Variation("a round at any time", [(balance, "CALM_PERIOD", 0.0)]),
-    Variation("calm rounds only", [(balance, "URGENT_ABOVE", 1e9)]),
-    Variation("urgent above 0.4", [(balance, "URGENT_ABOVE", 0.4)]),
-    Variation("urgent above 1.6", [(balance, "URGENT_ABOVE", 1.6)]),
-    Variation("least gain 0.06", [(balance, "LEAST_GAIN", 0.06)]),
-    Variation("least gain 0.24", [(balance, "LEAST_GAIN", 0.24)]),
-    Variation("no moves", [(balance, "RELIEVED_ABOVE", 1e9)]),
+    Variation("a round at any time", [(rebalancing, "CALM_PERIOD", 0.0)]),
+    Variation("calm rounds only", [(rebalancing, "URGENT_ABOVE", 1e9)]),
+    Variation("urgent above 0.4", [(rebalancing, "URGENT_ABOVE", 0.4)]),
+    Variation("urgent above 1.6", [(rebalancing, "URGENT_ABOVE", 1.6)]),
+    Variation("least gain 0.06", [(rebalancing, "LEAST_GAIN", 0.06)]),
+    Variation("least gain 0.24", [(rebalancing, "LEAST_GAIN", 0.24)]),
+    Variation("no moves", [(rebalancing, "RELIEVED_ABOVE", 1e9)]),
     Variation("wait for an owner 0.7", [(router, "OWNER_WAIT", 0.7)]),
     Variation("wait for an owner 2.8", [(router, "OWNER_WAIT", 2.8)]),
-    Variation("no speeds of targets", [(speeds, "SPEED_GAIN", 0.0)]),
+    Variation("no speeds of targets", [(service_times, "SPEED_GAIN", 0.0)]),
 )
 
 
--- a/packages/bench/src/berylstage_bench/owned_model.py
+++ b/packages/bench/src/berylstage_bench/owned_model.py
@@ -14,14 +14,14 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from berylstage_entry import dealing, router
+from berylstage_entry import range_placement, router
 from berylstage_entry.assignment import KEYS, Assignment, KeyRange
-from berylstage_entry.balance import Rounds
-from berylstage_entry.granting import BALANCE_PERIOD
+from berylstage_entry.grant_controller import BALANCE_PERIOD
 from berylstage_entry.key_loads import KeyLoads
+from berylstage_entry.load_reporter import PERIOD as REPORT_PERIOD
 from berylstage_entry.owners import WAIT_SHARE
-from berylstage_entry.reports import PERIOD as REPORT_PERIOD
-from berylstage_entry.speeds import TargetSpeeds
+from berylstage_entry.rebalancing import Rebalancer
+from berylstage_entry.service_times import TargetServiceTimes
 from berylstage_policy.completion import ServiceLoads
 
 if TYPE_CHECKING:
@@ -141,7 +141,7 @@
         self._owners = {
             f"t{i}": _Owner(speed, Random(seed + i)) for i, speed in enumerate(speeds)
         }
-        self._speeds = TargetSpeeds()
+        self._speeds = TargetServiceTimes()
         self._vms = [ServiceLoads(Random(seed * 99 + i)) for i in range(setup.vms)]
         for loads in self._vms:
             for name in self._owners:
@@ -149,7 +149,7 @@
         self._counts: list[dict[int, int]] = [{} for _ in self._vms]
         self._news: list[dict[str, tuple[int, float]]] = [{} for _ in self._vms]
         self._loads = KeyLoads(0.0)
-        self._rounds = Rounds(0.0)
+        self._rounds = Rebalancer(0.0)
         self._first = self._rng.randrange(KEYS)
         weights = [(i + 1) ** -setup.skew for i in range(setup.things)]
         self._cumulative = list(accumulate(weights))
@@ -166,7 +166,9 @@
     def _dealt(self) -> Assignment:
         nobody = Assignment([KeyRange(0, KEYS - 1, "", 0, 0)], 1)
         capacities = self._capacities()
-        moves = dealing.deal(nobody.ranges, nobody, [], capacities, len(capacities))
+        moves = range_placement.deal(
+            nobody.ranges, nobody, [], capacities, len(capacities)
+        )
         return self._with(nobody, moves)
 
     def _with(self, assignment: Assignment, moves: list) -> Assignment:
--- a/packages/bench/src/berylstage_bench/policy_free.py
+++ b/packages/bench/src/berylstage_bench/policy_free.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from berylstage_policy.choice import TargetChoice
-from berylstage_policy.health import Verdict
+from berylstage_policy.health import HealthState
 from berylstage_policy.retries import HedgePolicy
-from berylstage_policy.tickets import Outcome
+from berylstage_policy.target_choice import TargetChoice
+from berylstage_policy.tickets import AttemptOutcome
 
 from berylstage_bench.policy_player import Request
 from berylstage_bench.policy_router import Attempt, LedTarget, PolicyRouter
@@ -87,23 +87,23 @@
         else:
             self.attempt(req, is_hedge=True, tries=attempt.hedge_tries)
 
-    def attempt_ended(self, attempt: Attempt, outcome: Outcome) -> None:
+    def attempt_ended(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """Tell the choice and the hedge what was seen."""
         req, now = attempt.req, self.player.now
-        if outcome is Outcome.CANCELLED:
+        if outcome is AttemptOutcome.CANCELLED:
             self.choices[req.vm].withdrawn(attempt.target, attempt.id)
             return
-        is_answer = outcome is Outcome.ANSWERED
+        is_answer = outcome is AttemptOutcome.ANSWERED
         self.choices[req.vm].ended(attempt.target, attempt.id, now, is_answer)
         if is_answer and not req.status:
             self.hedges[req.vm].answered(now - req.arrived)
 
     def judged(self) -> None:
         """Spread digests of queue lengths and leave out what is down."""
-        down = {n for n in self.willing if self.verdict(n) is Verdict.DOWN}
+        down = {n for n in self.willing if self.verdict(n) is HealthState.DOWN}
         self.usable = [name for name in self.willing if name not in down]
         for name, led in self.led.items():
-            if self.verdict(name) in (Verdict.STALLED, Verdict.DOWN):
+            if self.verdict(name) in (HealthState.STALLED, HealthState.DOWN):
                 self._hand_back(led)
         for name, led in self.led.items():
             queue = 0 if name in self.lies else led.queue.waiting + led.queue.running
--- a/packages/bench/src/berylstage_bench/policy_owned.py
+++ b/packages/bench/src/berylstage_bench/policy_owned.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from berylstage_policy.health import Verdict
-from berylstage_policy.hotkeys import HotKeys
-from berylstage_policy.placement import Holding, Move, Place, plan
-from berylstage_policy.tickets import Outcome
+from berylstage_policy.health import HealthState
+from berylstage_policy.hot_keys import HotKeyDetector
+from berylstage_policy.placement import PlacementTarget, ShardMove, ShardPlacement, plan
+from berylstage_policy.tickets import AttemptOutcome
 from xxhash import xxh64_intdigest
 
 from berylstage_bench.policy_baselines import MOVE_GAP
@@ -36,13 +36,13 @@
         self.budget = budget
         self.shards = shards
         self.has_hot_keys = has_hot_keys
-        self.hot = HotKeys(self.thresholds)
+        self.hot = HotKeyDetector(self.thresholds)
         self.holdings = {
-            f"shard/{i}": Holding(f"shard/{i}", None) for i in range(shards)
+            f"shard/{i}": ShardPlacement(f"shard/{i}", None) for i in range(shards)
         }
         self.work: dict[str, float] = {}
         self.blocked: dict[str, float] = {}
-        self.moves: list[tuple[float, Move]] = []
+        self.moves: list[tuple[float, ShardMove]] = []
         self.lost: set[str] = set()
         self.verdicts_down = 0
         self.plans = 0
@@ -81,9 +81,9 @@
         """Hold it until another VM leads the only target that may answer."""
         self.player.at(led.gone_until, self.attempt, attempt.req, attempt)
 
-    def may_retry(self, outcome: Outcome) -> bool:
+    def may_retry(self, outcome: AttemptOutcome) -> bool:
         """Tell whether to ask the only owner again: not when its queue is full."""
-        return outcome is not Outcome.SHED
+        return outcome is not AttemptOutcome.SHED
 
     def worked(self, req: Request, seconds: float) -> None:
         """Count slot time by shard and by key."""
@@ -92,10 +92,10 @@
         if self.has_hot_keys:
             self.hot.observe(req.key, seconds, self.player.now)
 
-    def places(self) -> list[Place]:
+    def places(self) -> list[PlacementTarget]:
         """Return the targets as placement sees them."""
         return [
-            Place(
+            PlacementTarget(
                 name,
                 led.target.data_centre,
                 led.health.capacity(led.target.slots),
@@ -133,12 +133,12 @@
             rate = self.hot.sketch.rate(key, now)
             home = self.holdings[self.shard(key)]
             home.load = max(0.0, home.load - rate)
-            self.holdings[f"key/{key}"] = Holding(f"key/{key}", home.owner, rate)
+            self.holdings[f"key/{key}"] = ShardPlacement(f"key/{key}", home.owner, rate)
         for key in changes.give_back:
             apart = self.holdings.pop(f"key/{key}")
             home = self.holdings[self.shard(key)]
             if home.owner != apart.owner:
-                move = Move(apart.shard, apart.owner, home.owner or "")
+                move = ShardMove(apart.shard, apart.owner, home.owner or "")
                 self.moves.append((now, move))
         apart_keys = {n.removeprefix("key/") for n in self.holdings if n[0] == "k"}
         self.hot.set_apart(apart_keys)
@@ -181,7 +181,7 @@
 
     def judged(self) -> None:
         """Move the keys of targets that are down, and take back those that return."""
-        down = {name for name in self.led if self.verdict(name) is Verdict.DOWN}
+        down = {name for name in self.led if self.verdict(name) is HealthState.DOWN}
         if down != self.lost:
             self.lost = down
             self.verdicts_down += bool(down)
--- a/packages/bench/src/berylstage_bench/policy_router.py
+++ b/packages/bench/src/berylstage_bench/policy_router.py
@@ -5,11 +5,11 @@
 from random import Random
 
 from berylstage_policy.costs import CostModel
-from berylstage_policy.health import TargetHealth, Verdict
-from berylstage_policy.queue import TargetQueue
+from berylstage_policy.health import HealthState, TargetHealth
 from berylstage_policy.retries import RetryPolicy, RetryVerdict
+from berylstage_policy.target_queue import TargetQueue
 from berylstage_policy.thresholds import DEFAULTS, Thresholds
-from berylstage_policy.tickets import Decline, Outcome, Refuse, Start, Ticket
+from berylstage_policy.tickets import AttemptOutcome, Decline, Refuse, Start, Ticket
 
 from berylstage_bench.policy_baselines import Router
 from berylstage_bench.policy_player import ANSWERED, LOST, REFUSED, Request
@@ -177,11 +177,13 @@
         if led.attempts.pop(attempt.id, None) is None:
             return
         is_answer = status == ANSWERED
-        outcome = Outcome.ANSWERED if is_answer else Outcome.UNKNOWN
+        outcome = AttemptOutcome.ANSWERED if is_answer else AttemptOutcome.UNKNOWN
         if status == LOST and led.target.is_down:
             led.health.refused_connection(now)
             self._pause(led)
-            outcome = Outcome.NOT_RUN if seconds == 0.0 else Outcome.UNKNOWN
+            outcome = (
+                AttemptOutcome.NOT_RUN if seconds == 0.0 else AttemptOutcome.UNKNOWN
+            )
         incarnation = str(led.target.incarnation) if is_answer else ""
         started = led.queue.finished(attempt.id, now, seconds, outcome, incarnation)
         self._start_all(led, started)
@@ -210,7 +212,7 @@
             self.player.now + delay,
             self._returned,
             attempt,
-            Outcome.SHED,
+            AttemptOutcome.SHED,
             retry_after,
         )
 
@@ -229,14 +231,14 @@
         self._arm(led)
 
     def _returned(
-        self, attempt: Attempt, outcome: Outcome, retry_after: float = 0.0
+        self, attempt: Attempt, outcome: AttemptOutcome, retry_after: float = 0.0
     ) -> None:
         """Take in the end of an attempt at the VM of the caller."""
         req, now = attempt.req, self.player.now
         self.attempt_ended(attempt, outcome)
         if req.status:
             return
-        if outcome is Outcome.ANSWERED:
+        if outcome is AttemptOutcome.ANSWERED:
             self.retries.succeeded()
             req.end(now, ANSWERED)
             self._cancel_others(attempt)
@@ -247,7 +249,7 @@
         if decision.verdict is RetryVerdict.RETRY and self.may_retry(outcome):
             self.player.at(now + decision.delay, self.attempt, req, attempt)
             return
-        req.end(now, REFUSED if outcome is Outcome.SHED else LOST, retry_after)
+        req.end(now, REFUSED if outcome is AttemptOutcome.SHED else LOST, retry_after)
 
     def _cancel_others(self, winner: Attempt) -> None:
         """Take the request's other attempts out of the queues they wait in."""
@@ -257,7 +259,9 @@
             led, ticket_id = self.led[name], f"{winner.req.id}#{number}"
             is_known = ticket_id in led.attempts
             if is_known and not led.queue.cancelled(ticket_id, self.player.now):
-                self.attempt_ended(led.attempts.pop(ticket_id), Outcome.CANCELLED)
+                self.attempt_ended(
+                    led.attempts.pop(ticket_id), AttemptOutcome.CANCELLED
+                )
 
     def _heartbeat(self) -> None:
         """Renew grants, which doubles as a probe, and judge health."""
@@ -297,13 +301,13 @@
             led.queue = self._queue(led.target.slots, True)
             led.armed = float("inf")
             for attempt in attempts:
-                self._returned(attempt, Outcome.UNKNOWN)
+                self._returned(attempt, AttemptOutcome.UNKNOWN)
 
     def unreachable(self, attempt: Attempt, led: LedTarget) -> None:
         """Deal with an attempt whose target nobody leads at the moment."""
-        self._returned(attempt, Outcome.NOT_RUN)
+        self._returned(attempt, AttemptOutcome.NOT_RUN)
 
-    def verdict(self, name: str) -> Verdict:
+    def verdict(self, name: str) -> HealthState:
         """Return the verdict on a target."""
         return self.led[name].health.verdict(self.player.now)
 
@@ -311,11 +315,11 @@
         """Send a request once more."""
         raise NotImplementedError
 
-    def may_retry(self, outcome: Outcome) -> bool:
+    def may_retry(self, outcome: AttemptOutcome) -> bool:
         """Tell whether another attempt could fare better."""
         return True
 
-    def attempt_ended(self, attempt: Attempt, outcome: Outcome) -> None:
+    def attempt_ended(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """Note the end of an attempt."""
 
     def worked(self, req: Request, seconds: float) -> None:
--- a/packages/bench/src/berylstage_bench/policy_slopes.py
+++ b/packages/bench/src/berylstage_bench/policy_slopes.py
@@ -7,12 +7,12 @@
 from time import process_time
 from typing import TYPE_CHECKING
 
-from berylstage_policy.choice import TargetChoice
-from berylstage_policy.hotkeys import KeySketch
-from berylstage_policy.placement import Holding, Place, plan
-from berylstage_policy.queue import TargetQueue
+from berylstage_policy.hot_keys import KeySketch
+from berylstage_policy.placement import PlacementTarget, ShardPlacement, plan
+from berylstage_policy.target_choice import TargetChoice
+from berylstage_policy.target_queue import TargetQueue
 from berylstage_policy.thresholds import DEFAULTS
-from berylstage_policy.tickets import Outcome, Ticket
+from berylstage_policy.tickets import AttemptOutcome, Ticket
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -81,7 +81,7 @@
         for ticket in tickets:
             queue.offer(ticket, 0.0)
             done = slots.pop(0)
-            started = queue.finished(done, 0.0, 0.02, Outcome.ANSWERED, "a")
+            started = queue.finished(done, 0.0, 0.02, AttemptOutcome.ANSWERED, "a")
             slots.extend(found.id for found in started)
             queue.next_expiry()
         spent.append(process_time() - begun)
@@ -110,8 +110,10 @@
 
 def plan_seconds(targets: int) -> float:
     """Return the time of a plan that finds nothing to move, 20 shards a target."""
-    places = [Place(f"t-{i}", "almaty-a", 2.0) for i in range(targets)]
-    holdings = [Holding(f"s-{i}", f"t-{i % targets}", 1.0) for i in range(20 * targets)]
+    places = [PlacementTarget(f"t-{i}", "almaty-a", 2.0) for i in range(targets)]
+    holdings = [
+        ShardPlacement(f"s-{i}", f"t-{i % targets}", 1.0) for i in range(20 * targets)
+    ]
     return least_seconds(lambda: plan(holdings, places, 8))
 
 
--- a/packages/daemon/src/berylstage_daemon/free.py
+++ b/packages/daemon/src/berylstage_daemon/free.py
@@ -6,8 +6,8 @@
 import itertools
 from typing import TYPE_CHECKING
 
-from berylstage_policy.choice import TargetChoice
 from berylstage_policy.retries import HedgePolicy
+from berylstage_policy.target_choice import TargetChoice
 
 from berylstage_daemon.answers import BUSY, Answer, Outcome, not_run, settled
 from berylstage_daemon.clock import now
--- a/packages/daemon/src/berylstage_daemon/leader.py
+++ b/packages/daemon/src/berylstage_daemon/leader.py
@@ -7,9 +7,15 @@
 from typing import TYPE_CHECKING
 from uuid import uuid4
 
-from berylstage_policy.queue import TargetQueue
-from berylstage_policy.tickets import Decline, Refuse, RefuseReason, Start, Ticket
-from berylstage_policy.tickets import Outcome as Ended
+from berylstage_policy.target_queue import TargetQueue
+from berylstage_policy.tickets import (
+    AttemptOutcome,
+    Decline,
+    Refuse,
+    RefuseReason,
+    Start,
+    Ticket,
+)
 from berylstage_targets.errors import NotRun, OutcomeUnknown
 from logbook import Logger
 
@@ -41,7 +47,11 @@
 # Refusals that say that the target takes nothing at all, so that its shards must move.
 UNWILLING = frozenset({"draining", "unwilling"})
 # Outcome of a target's refusal, for the queue and the ramp.
-REFUSALS = {"cold": Ended.COLD, "shed": Ended.SHED, "slots": Ended.SHED}
+REFUSALS = {
+    "cold": AttemptOutcome.COLD,
+    "shed": AttemptOutcome.SHED,
+    "slots": AttemptOutcome.SHED,
+}
 # Refusals that may be over before a waiting request has its slot.
 PASSING = frozenset({"moving", "no-lease", "target-down"})
 
@@ -135,14 +145,14 @@
         try:
             allowed = permit()
         except BaseException:
-            self._finish(ticket, 0.0, Ended.NOT_RUN)
+            self._finish(ticket, 0.0, AttemptOutcome.NOT_RUN)
             raise
         if not isinstance(allowed, Answer) and allowed.target != self.name:
             # Its shard went to another target that this VM leads, too. Sent here it
             # would run at a target that owns the key no more.
             allowed = not_run("moved")
         if isinstance(allowed, Answer):
-            self._finish(ticket, 0.0, Ended.NOT_RUN)
+            self._finish(ticket, 0.0, AttemptOutcome.NOT_RUN)
             return allowed
         return await self._send(ticket, req, shard, allowed)
 
@@ -246,7 +256,7 @@
             return await waiter.fut
         except asyncio.CancelledError:
             if self.queue.cancelled(ticket.id, now()):
-                self._finish(ticket, 0.0, Ended.CANCELLED)
+                self._finish(ticket, 0.0, AttemptOutcome.CANCELLED)
             raise
         finally:
             self._waiting.pop(ticket.id, None)
@@ -272,7 +282,7 @@
             self._control.work_ended(self.name, shard)
             if exc.reason in UNWILLING:
                 self._control.target_unwilling(self.name, exc.reason)
-            ended = REFUSALS.get(exc.reason, Ended.NOT_RUN)
+            ended = REFUSALS.get(exc.reason, AttemptOutcome.NOT_RUN)
             self._finish(ticket, now() - started, ended)
             return for_target(not_run(exc.reason), permit)
         except OutcomeUnknown as exc:
@@ -288,7 +298,7 @@
             raise
         self._control.work_ended(self.name, shard)
         seconds = now() - started
-        self._finish(ticket, seconds, Ended.ANSWERED, reply.incarnation)
+        self._finish(ticket, seconds, AttemptOutcome.ANSWERED, reply.incarnation)
         if shard:
             self._load.observe(req.service.name, shard, req.key, seconds)
         return answered(reply, permit)
@@ -319,13 +329,13 @@
             # free the slot too early, or keep it for as long as the clock was wrong.
             await asyncio.sleep(max(deadline - now(), 0.0))
         self._control.work_ended(self.name, work.shard)
-        self._finish(ticket, now() - started, Ended.UNKNOWN)
+        self._finish(ticket, now() - started, AttemptOutcome.UNKNOWN)
 
     def _finish(
         self,
         ticket: Ticket,
         seconds: float,
-        ended: Ended,
+        ended: AttemptOutcome,
         incarnation: str = "",
     ) -> None:
         """Free a slot and start what waits for it."""
@@ -347,7 +357,9 @@
                 waiter.fut.set_result(None)
                 continue
             # Its caller has just gone: the slot would stay taken for good.
-            started += self.queue.finished(ticket.id, now(), 0.0, Ended.CANCELLED)
+            started += self.queue.finished(
+                ticket.id, now(), 0.0, AttemptOutcome.CANCELLED
+            )
 
     def _turn_away(self, refusal: Refuse) -> None:
         """Give a waiting request its final answer at once."""
--- a/packages/daemon/src/berylstage_daemon/load.py
+++ b/packages/daemon/src/berylstage_daemon/load.py
@@ -7,7 +7,7 @@
 
 from berylstage_messages.load_pb2 import HotKeys as HotKeyChange
 from berylstage_messages.load_pb2 import LoadDigest, ShardLoad
-from berylstage_policy.hotkeys import HotKeys, KeySketch
+from berylstage_policy.hot_keys import HotKeyDetector, KeySketch
 from berylstage_sheet.configuration import Ownership
 from logbook import Logger
 
@@ -45,7 +45,7 @@
     def __init__(self, app: Application):
         self._app = app
         self._shards = KeySketch(SHARD_COUNTERS, SHARD_HALF_LIFE)
-        self._keys: dict[str, HotKeys] = {}
+        self._keys: dict[str, HotKeyDetector] = {}
         self._slots: dict[str, float] = {}
         self._loop: asyncio.Task | None = None
         app.events.connect("configuration-adopted", self._configured)
@@ -116,7 +116,7 @@
             if service.ownership is Ownership.OWNED and slots:
                 self._slots[service.name] = min(slots)
                 if service.name not in self._keys:
-                    self._keys[service.name] = HotKeys(thresholds)
+                    self._keys[service.name] = HotKeyDetector(thresholds)
                 self._keys[service.name].set_thresholds(thresholds)
         for name in self._keys.keys() - cfg.services.keys():
             del self._keys[name]
--- a/packages/daemon/src/berylstage_daemon/planner.py
+++ b/packages/daemon/src/berylstage_daemon/planner.py
@@ -12,7 +12,7 @@
 from berylstage_daemon.thresholds import thresholds_of
 
 if TYPE_CHECKING:
-    from berylstage_policy.placement import Holding, Move, Place
+    from berylstage_policy.placement import PlacementTarget, ShardMove, ShardPlacement
     from berylstage_sheet.configuration import Configuration
 
 
@@ -34,11 +34,11 @@
     def plan(
         self,
         service: str,
-        holdings: list[Holding],
-        places: list[Place],
+        holdings: list[ShardPlacement],
+        places: list[PlacementTarget],
         budget: int,
         loads: dict[str, bytes],
-    ) -> list[Move]:
+    ) -> list[ShardMove]:
         """Return the moves to make now; see the base class."""
         by_shard = _shard_loads(loads)
         for holding in holdings:
--- a/packages/daemon/src/berylstage_daemon/router.py
+++ b/packages/daemon/src/berylstage_daemon/router.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from berylstage_policy.retries import RetryPolicy, RetryVerdict
-from berylstage_policy.tickets import Outcome as Ended
+from berylstage_policy.tickets import AttemptOutcome
 from berylstage_sheet.configuration import Ownership
 from logbook import Logger
 
@@ -56,10 +56,10 @@
 ROUTE_PAUSE_LIMIT = 0.12
 
 ENDED = {
-    Outcome.ANSWERED: Ended.ANSWERED,
-    Outcome.NOT_RUN: Ended.NOT_RUN,
-    Outcome.UNKNOWN: Ended.UNKNOWN,
-    Outcome.IN_PROGRESS: Ended.ANSWERED,
+    Outcome.ANSWERED: AttemptOutcome.ANSWERED,
+    Outcome.NOT_RUN: AttemptOutcome.NOT_RUN,
+    Outcome.UNKNOWN: AttemptOutcome.UNKNOWN,
+    Outcome.IN_PROGRESS: AttemptOutcome.ANSWERED,
 }
 
 
--- a/packages/daemon/tests/test_planner.py
+++ b/packages/daemon/tests/test_planner.py
@@ -4,9 +4,12 @@
 
 from berylstage_daemon.planner import LoadPlanner
 from berylstage_messages.load_pb2 import HotKeys, LoadDigest, ShardLoad
-from berylstage_policy.placement import Holding, Place
+from berylstage_policy.placement import PlacementTarget, ShardPlacement
 
-PLACES = [Place("t1", "almaty-a", 2.0, True), Place("t2", "almaty-b", 2.0, True)]
+PLACES = [
+    PlacementTarget("t1", "almaty-a", 2.0, True),
+    PlacementTarget("t2", "almaty-b", 2.0, True),
+]
 
 
 def digest(shards=None, hot_keys=()):
@@ -18,14 +21,14 @@
     def test_loaded_target_gives_shards_away(self):
         # Half of the shards take nearly all of the traffic, and all of these happen to
         # be on one target. Placed by number alone they would stay there.
-        holdings = [Holding(f"s/{n}", "t1" if n < 4 else "t2") for n in range(8)]
+        holdings = [ShardPlacement(f"s/{n}", "t1" if n < 4 else "t2") for n in range(8)]
         loads = {"vm-1": digest({f"s/{n}": 0.4 for n in range(4)})}
         moves = LoadPlanner().plan("s", holdings, PLACES, 8, loads)
         assert {move.destination for move in moves} == {"t2"}
         assert 1 <= len(moves) <= 2
 
     def test_without_reports_nothing_moves_needlessly(self):
-        holdings = [Holding(f"s/{n}", "t1" if n < 4 else "t2") for n in range(8)]
+        holdings = [ShardPlacement(f"s/{n}", "t1" if n < 4 else "t2") for n in range(8)]
         assert LoadPlanner().plan("s", holdings, PLACES, 8, {}) == []
 
 
--- a/packages/entry/src/berylstage_entry/application.py
+++ b/packages/entry/src/berylstage_entry/application.py
@@ -9,30 +9,39 @@
 
 from logbook import Logger
 
-from berylstage_entry.announcements import TOLD_PATH, Announcements
-from berylstage_entry.changes import FORMAT as CHANGE_FORMAT
+from berylstage_entry.assignment_delta import FORMAT as CHANGE_FORMAT
 from berylstage_entry.clock import now
-from berylstage_entry.datagrams import Datagrams
-from berylstage_entry.directory import Directory
-from berylstage_entry.errors import UnreadableRecord
-from berylstage_entry.feed import Feed
-from berylstage_entry.granting import Granting
-from berylstage_entry.journal import RequestJournal
-from berylstage_entry.loop_watch import LoopWatch
+from berylstage_entry.cluster_view import ClusterView
+from berylstage_entry.coordinator_election import (
+    CONTACT_PATH,
+    HAND_ON_PATH,
+    CoordinatorElection,
+)
+from berylstage_entry.errors import InvalidRecord
+from berylstage_entry.grant_controller import GrantController
+from berylstage_entry.load_reporter import FORMAT as COUNTS_FORMAT
+from berylstage_entry.load_reporter import SPEEDS_PATH, LoadReporter
+from berylstage_entry.loop_lag import LoopLagMonitor
 from berylstage_entry.membership import UNKNOWN, Membership
 from berylstage_entry.metrics import Metrics, stop_text
-from berylstage_entry.news import FORMAT as NEWS_FORMAT
-from berylstage_entry.news import News
-from berylstage_entry.office import CONTACT_PATH, HAND_ON_PATH, Office
 from berylstage_entry.pages import PageServer
-from berylstage_entry.peers import Peers
+from berylstage_entry.peer_datagrams import PeerDatagrams
+from berylstage_entry.peer_updates import TOLD_PATH, PeerUpdates
+from berylstage_entry.peers import PeerClient
+from berylstage_entry.permit_client import PermitClient
+from berylstage_entry.permit_messages import (
+    ASK_FORMAT,
+    REPLY_FORMAT,
+    RETURN_FORMAT,
+    PermitRelease,
+    PermitReply,
+    PermitRequest,
+)
+from berylstage_entry.permit_server import PermitServer
 from berylstage_entry.probes import LoadProbes
-from berylstage_entry.queue_keeper import QueueKeeper
 from berylstage_entry.replies import Reply as PageReply
-from berylstage_entry.reports import FORMAT as COUNTS_FORMAT
-from berylstage_entry.reports import SPEEDS_PATH, Reports
+from berylstage_entry.request_log import RequestLog
 from berylstage_entry.router import Router
-from berylstage_entry.senders import Senders
 from berylstage_entry.server import CallerServer, split_address
 from berylstage_entry.stopping import (
     BALANCER_LAG,
@@ -41,23 +50,18 @@
     PhaseTimes,
     StopPlan,
 )
-from berylstage_entry.turn_messages import (
-    ASK_FORMAT,
-    REPLY_FORMAT,
-    RETURN_FORMAT,
-    Ask,
-    Reply,
-    Return,
-)
-from berylstage_entry.turns import Turns
+from berylstage_entry.store_delta import FORMAT as NEWS_FORMAT
+from berylstage_entry.store_delta import StoreDelta
+from berylstage_entry.store_watcher import StoreWatcher
+from berylstage_entry.target_clients import TargetClients
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from berylstage_entry.protocols import CallerProtocol, RecordReader, TargetProtocol
     from berylstage_entry.services import Limits
     from berylstage_entry.settings import EntrySettings
     from berylstage_entry.store import Store
-    from berylstage_entry.wire import CallerWire, RecordReader, TargetWire
 
 # Seconds for which other VMs still ask this one for turns after its record is gone.
 RECORD_LAG = 0.5
@@ -87,19 +91,19 @@
         self,
         cfg: EntrySettings,
         store: Store,
-        callers: CallerWire,
-        targets: TargetWire,
+        callers: CallerProtocol,
+        targets: TargetProtocol,
         records: RecordReader,
         log_writing: Callable[[], float] = lambda: 0.0,
     ):
         self.cfg = cfg
         self.rng = Random()
         self.store = store
-        self.directory = Directory()
-        self.feed = Feed(store, records, self.directory)
+        self.directory = ClusterView()
+        self.feed = StoreWatcher(store, records, self.directory)
         self.metrics = Metrics()
-        self.loop_watch = LoopWatch(self.metrics, log_writing)
-        self.senders = Senders(targets)
+        self.loop_watch = LoopLagMonitor(self.metrics, log_writing)
+        self.senders = TargetClients(targets)
         self.router = Router(
             self.directory,
             self.feed,
@@ -110,16 +114,18 @@
             cfg.vm,
         )
         self.membership = Membership(cfg, store, self.feed)
-        self.peers = Peers(self.membership, cfg.control)
-        self.office = Office(cfg, store, self.feed, self.peers, self.rng)
-        self.granting = Granting(store, self.feed, self.directory, self.office, targets)
-        self.announcements = Announcements(self.feed, self.membership, cfg.control)
+        self.peers = PeerClient(self.membership, cfg.control)
+        self.office = CoordinatorElection(cfg, store, self.feed, self.peers, self.rng)
+        self.granting = GrantController(
+            store, self.feed, self.directory, self.office, targets
+        )
+        self.announcements = PeerUpdates(self.feed, self.membership, cfg.control)
         self.office.inherit = self.granting.inherit
         self.granting.writer.listeners.append(self.announcements.tell)
         self._host, _ = split_address(cfg.callers)
         host = self._host
-        self.datagrams = Datagrams(self.membership, host, cfg.metrics_port)
-        self.reports = Reports(
+        self.datagrams = PeerDatagrams(self.membership, host, cfg.metrics_port)
+        self.reports = LoadReporter(
             self.router,
             self.granting,
             self.office,
@@ -127,8 +133,8 @@
             self.datagrams,
             self.rng,
         )
-        self.keeper = QueueKeeper(self.router.loads, self.directory, self.membership)
-        self.turns = Turns(self.membership, host)
+        self.keeper = PermitServer(self.router.loads, self.directory, self.membership)
+        self.turns = PermitClient(self.membership, host)
         self.keeper.send = self._send_reply
         self.turns.ask = self._send_ask
         self.turns.give_back = self._send_return
@@ -147,7 +153,7 @@
         self.feed.leaves_duty = lambda: bool(self.membership.better())
         self.office.better = self.membership.better
         self.probes = LoadProbes(self.router.loads, self.directory, self.turns, targets)
-        journal = RequestJournal(self.metrics)
+        journal = RequestLog(self.metrics)
         self.server = CallerServer(callers, self.router, journal, self._limits)
         self.ready_page = PageServer({callers.ready_path: self._ready})
         self.control_page = PageServer(
@@ -287,19 +293,19 @@
         # midst of it comes through the store.
         log.info("settings are read at the start only; restart to change them")
 
-    def _send_ask(self, host: str, ask: Ask) -> None:
+    def _send_ask(self, host: str, ask: PermitRequest) -> None:
         if host == self._host:
             self.keeper.asked(ask, host)
         else:
             self.datagrams.send_to(host, ask.encode())
 
-    def _send_return(self, host: str, back: Return) -> None:
+    def _send_return(self, host: str, back: PermitRelease) -> None:
         if host == self._host:
             self.keeper.returned(back, host)
         else:
             self.datagrams.send_to(host, back.encode())
 
-    def _send_reply(self, host: str, reply: Reply) -> None:
+    def _send_reply(self, host: str, reply: PermitReply) -> None:
         if host == self._host:
             self.turns.replied(reply)
         else:
@@ -329,13 +335,13 @@
             self.router.vms = self.router.cold.vms = vms
             self.senders.vms = self.feed.vms = vms
 
-    def _tell_news(self, told: News) -> None:
+    def _tell_news(self, told: StoreDelta) -> None:
         if told.large:
             self._telling = asyncio.create_task(self._tell_large(told))
         else:
             self._send_news(told)
 
-    async def _tell_large(self, told: News) -> None:
+    async def _tell_large(self, told: StoreDelta) -> None:
         """Tell large values before the news that names them."""
         began = now()
         if self.office.holds():
@@ -343,7 +349,7 @@
         told.age += now() - began
         self._send_news(told)
 
-    def _send_news(self, told: News) -> None:
+    def _send_news(self, told: StoreDelta) -> None:
         for part in told.parts():
             data = part.encode()
             # What is too much for a datagram the others read for themselves.
@@ -352,8 +358,8 @@
 
     def _take_news(self, data: bytes, host: str) -> None:
         try:
-            told = News.decode(data)
-        except UnreadableRecord as exc:
+            told = StoreDelta.decode(data)
+        except InvalidRecord as exc:
             log.warning("news passed over", extra={"cause": str(exc)})
             return
         self.feed.take_news(told)
--- a/packages/entry/src/berylstage_entry/assignment.py
+++ b/packages/entry/src/berylstage_entry/assignment.py
@@ -7,7 +7,7 @@
 from bisect import bisect_right
 from typing import TYPE_CHECKING
 
-from berylstage_entry.errors import UnreadableRecord
+from berylstage_entry.errors import InvalidRecord
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
@@ -200,7 +200,7 @@
             ]
             return cls(ranges, doc["next_fence"])
         except (zlib.error, ValueError, KeyError, TypeError, IndexError) as exc:
-            raise UnreadableRecord(f"no assignment of keys: {exc}") from exc
+            raise InvalidRecord(f"no assignment of keys: {exc}") from exc
 
 
 def nobody() -> Assignment:
--- a/packages/entry/src/berylstage_entry/changes.py
+++ b/packages/entry/src/berylstage_entry/assignment_delta.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from berylstage_entry.assignment import KeyRange
-from berylstage_entry.errors import UnreadableRecord
+from berylstage_entry.errors import InvalidRecord
 
 if TYPE_CHECKING:
     from berylstage_entry.assignment import Assignment
@@ -27,7 +27,7 @@
 MOST_PARTS = 16
 
 
-class AssignmentChange:
+class AssignmentDelta:
     """A step from one assignment of a service to the next.
 
     Parameters
@@ -78,7 +78,7 @@
     @classmethod
     def between(
         cls, service: str, before: int, old: Assignment, revision: int, new: Assignment
-    ) -> AssignmentChange:
+    ) -> AssignmentDelta:
         """Return the step from an old assignment to a new one."""
         ranges = new.differing(old)
         return cls(service, before, revision, new.next_fence, ranges, new.digest())
@@ -109,7 +109,7 @@
         text = json.dumps(doc, separators=(",", ":")).encode()
         return bytes([FORMAT]) + zlib.compress(text)
 
-    def join(self, other: AssignmentChange) -> None:
+    def join(self, other: AssignmentDelta) -> None:
         """Add the ranges of another part of the same change."""
         known = {r.first for r in self.ranges}
         new = [r for r in other.ranges if r.first not in known]
@@ -118,7 +118,7 @@
             self.parts_left -= 1
 
     @classmethod
-    def decode(cls, data: bytes) -> AssignmentChange:
+    def decode(cls, data: bytes) -> AssignmentDelta:
         """Read a datagram, which may be one of several parts.
 
         Raises
@@ -142,4 +142,4 @@
             change.parts_left = int(parts) - 1
             return change
         except (zlib.error, ValueError, TypeError) as exc:
-            raise UnreadableRecord(f"no change of an assignment: {exc}") from exc
+            raise InvalidRecord(f"no change of an assignment: {exc}") from exc
--- a/packages/entry/src/berylstage_entry/assignment_writer.py
+++ b/packages/entry/src/berylstage_entry/assignment_writer.py
@@ -8,18 +8,18 @@
 from logbook import Logger
 
 from berylstage_entry.assignment import nobody
-from berylstage_entry.changes import AssignmentChange
-from berylstage_entry.errors import Conflict, StoreRefused, StoreSilent
-from berylstage_entry.keys import KEYS_PREFIX
+from berylstage_entry.assignment_delta import AssignmentDelta
+from berylstage_entry.errors import Conflict, StoreRefused, StoreUnavailable
 from berylstage_entry.store import Condition, Write
+from berylstage_entry.store_keys import KEYS_PREFIX
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from berylstage_entry.assignment import Assignment
-    from berylstage_entry.feed import Feed
-    from berylstage_entry.office import Office
+    from berylstage_entry.coordinator_election import CoordinatorElection
     from berylstage_entry.store import Store
+    from berylstage_entry.store_watcher import StoreWatcher
 
 # Seconds between two looks for the end of a write, and between two tries: nothing else
 # can be written meanwhile, and each try is a call.
@@ -39,12 +39,12 @@
     office : Office
     """
 
-    def __init__(self, store: Store, feed: Feed, office: Office):
+    def __init__(self, store: Store, feed: StoreWatcher, office: CoordinatorElection):
         self._store = store
         self._feed = feed
         self._office = office
         # Called with each change that has been written.
-        self.listeners: list[Callable[[AssignmentChange], None]] = []
+        self.listeners: list[Callable[[AssignmentDelta], None]] = []
 
     async def write(self, service: str, assignment: Assignment) -> None:
         """Write an assignment, and return once it is known to be in force.
@@ -73,7 +73,7 @@
                 if doubtful:
                     await self._catch_up(service, revision)
                 raise
-            except StoreSilent as exc:
+            except StoreUnavailable as exc:
                 # It may be in force, or come into force seconds later. Until that is
                 # known nothing may be granted by the one before: the two could give the
                 # same keys to two targets.
@@ -83,7 +83,7 @@
                 raise Conflict(f"{key}: the duty was lost while a write was in doubt")
             await asyncio.sleep(TRY_AGAIN)
         self._feed.take_assignment(service, assignment, new)
-        change = AssignmentChange.between(service, revision, old, new, assignment)
+        change = AssignmentDelta.between(service, revision, old, new, assignment)
         for listener in self.listeners:
             listener(change)
         log.info(
--- a/packages/entry/src/berylstage_entry/directory.py
+++ b/packages/entry/src/berylstage_entry/cluster_view.py
@@ -6,9 +6,9 @@
 from zlib import crc32
 
 if TYPE_CHECKING:
+    from berylstage_entry.protocols import Record
     from berylstage_entry.services import Configuration
     from berylstage_entry.targets import Target
-    from berylstage_entry.wire import Record
 
 # Seconds after the store's return within which records that lapsed in an outage come
 # back if their targets live. A VM that was cut off alone waits as long, since it cannot
@@ -65,7 +65,7 @@
         return any(getattr(target, f) != getattr(self.target, f) for f in fields)
 
 
-class Directory:
+class ClusterView:
     """Configuration, targets and closed data centres, as far as this VM knows them.
 
     Nothing in it goes back: an older configuration than the one in force is passed
--- a/packages/entry/src/berylstage_entry/cold_targets.py
+++ b/packages/entry/src/berylstage_entry/cold_targets.py
@@ -9,7 +9,7 @@
 from berylstage_entry.clock import now
 
 if TYPE_CHECKING:
-    from berylstage_entry.directory import Directory
+    from berylstage_entry.cluster_view import ClusterView
     from berylstage_entry.services import Service
     from berylstage_entry.settings import Bounds
 
@@ -32,7 +32,7 @@
         Names of the known VMs; the list is replaced and never modified.
     """
 
-    def __init__(self, directory: Directory, bounds: Bounds, vm: str):
+    def __init__(self, directory: ClusterView, bounds: Bounds, vm: str):
         self._directory = directory
         self._bounds = bounds
         self._vm = vm
--- a/packages/entry/src/berylstage_entry/connection.py
+++ b/packages/entry/src/berylstage_entry/connection.py
@@ -25,11 +25,11 @@
     TOO_LARGE,
     reply_bytes,
 )
-from berylstage_entry.sockets import Unread, has_ended, unread, unsent
+from berylstage_entry.sockets import ReceiveState, has_ended, unread, unsent
 
 if TYPE_CHECKING:
+    from berylstage_entry.protocols import CallerRequest
     from berylstage_entry.server import CallerServer
-    from berylstage_entry.wire import CallerRequest
 
 # Requests of one connection that are under way or wait for their answers to go out:
 # more than a browser sends at once, and few enough that no caller takes a VM for
@@ -222,7 +222,10 @@
 
     def has_unread(self) -> bool:
         """Tell whether bytes wait in the socket that nobody has read."""
-        return self._transport is not None and unread(self._transport) is Unread.BYTES
+        return (
+            self._transport is not None
+            and unread(self._transport) is ReceiveState.BYTES
+        )
 
     @property
     def last_id(self) -> str:
--- a/packages/entry/src/berylstage_entry/office.py
+++ b/packages/entry/src/berylstage_entry/coordinator_election.py
@@ -19,18 +19,18 @@
 from logbook import Logger
 
 from berylstage_entry.clock import now
-from berylstage_entry.errors import Conflict, LeaseEnded, StoreError, StoreSilent
-from berylstage_entry.holds import HOLD, lapse_of, longest_hold
-from berylstage_entry.keys import DUTY_KEY, OWN_PREFIX
+from berylstage_entry.errors import Conflict, LeaseExpired, StoreError, StoreUnavailable
+from berylstage_entry.grant_expiry import HOLD, lapse_of, longest_hold
 from berylstage_entry.store import Condition, Item, Write
+from berylstage_entry.store_keys import DUTY_KEY, OWN_PREFIX
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from berylstage_entry.feed import Feed
-    from berylstage_entry.peers import Peers
+    from berylstage_entry.peers import PeerClient
     from berylstage_entry.settings import EntrySettings
     from berylstage_entry.store import Store
+    from berylstage_entry.store_watcher import StoreWatcher
 
 # Key that counts the terms and names the last VM that had the duty. It stays.
 TERM_KEY = OWN_PREFIX + "term"
@@ -109,7 +109,7 @@
         return cls(doc["term"], doc["vm"], doc["control"], doc["settled"])
 
 
-class Office:
+class CoordinatorElection:
     """Takes, keeps and gives up the duty of granting.
 
     Parameters
@@ -125,8 +125,8 @@
         self,
         cfg: EntrySettings,
         store: Store,
-        feed: Feed,
-        peers: Peers,
+        feed: StoreWatcher,
+        peers: PeerClient,
         rng: Random,
     ):
         self._cfg = cfg
@@ -225,7 +225,7 @@
                 conditions = [Condition(DUTY_KEY, revision)]
                 await self._store.write(conditions, [], [DUTY_KEY])
             await self._store.end_lease(self._taken_lease)
-        except LeaseEnded:
+        except LeaseExpired:
             log.debug("the lease of the duty has ended already")
         except StoreError as exc:
             log.warning(
@@ -286,12 +286,12 @@
             self._confirmed = sent
             self.prolongs = False
             await self._leave_to_better()
-        except LeaseEnded:
+        except LeaseExpired:
             self._step_down("lease ended")
         except (StoreError, TimeoutError) as exc:
             if self._prolonging is None or self._prolonging.done():
                 self._prolonging = asyncio.create_task(self._prolong())
-            raise StoreSilent(f"lease not renewed: {exc}") from exc
+            raise StoreUnavailable(f"lease not renewed: {exc}") from exc
 
     async def _leave_to_better(self) -> None:
         """Give the duty up when a VM with much more room for it lives.
@@ -348,7 +348,7 @@
         writes = [Write(DUTY_KEY, value, lease), Write(TERM_KEY, value)]
         try:
             revision = await self._store.write(conditions, writes)
-        except (Conflict, LeaseEnded):
+        except (Conflict, LeaseExpired):
             await asyncio.sleep(0.1)
             return
         self.follows_itself = self.term == before.number and self.term > 0
--- a/packages/entry/src/berylstage_entry/duty_watch.py
+++ b/packages/entry/src/berylstage_entry/coordinator_watch.py
@@ -7,13 +7,13 @@
 
 from logbook import Logger
 
-from berylstage_entry.errors import HistoryLost, StoreError
-from berylstage_entry.keys import DUTY_KEY
+from berylstage_entry.errors import RevisionCompacted, StoreError
 from berylstage_entry.store import Item
+from berylstage_entry.store_keys import DUTY_KEY
 
 if TYPE_CHECKING:
-    from berylstage_entry.feed import Feed
     from berylstage_entry.store import Store
+    from berylstage_entry.store_watcher import StoreWatcher
 
 # Seconds that the watch of the duty's key waits for a change. One that has gone silent
 # is noticed after as long; meanwhile the reading of all keys brings the same news.
@@ -28,7 +28,7 @@
 log = Logger(__name__)
 
 
-class DutyWatch:
+class CoordinatorWatch:
     """A watch of one key, beside the paced reading of all keys.
 
     Parameters
@@ -37,7 +37,7 @@
     feed : Feed
     """
 
-    def __init__(self, store: Store, feed: Feed):
+    def __init__(self, store: Store, feed: StoreWatcher):
         self._store = store
         self._feed = feed
         # Up to which the key is known, where that is more than of all keys.
@@ -58,7 +58,7 @@
                     for item in changes.items:
                         self._feed.take_own(item)
                     revision = max(revision, changes.revision)
-            except HistoryLost:
+            except RevisionCompacted:
                 await self._read()
             except StoreError as exc:
                 log.info("watch of the duty failed", extra={"cause": str(exc)})
--- a/packages/entry/src/berylstage_entry/errors.py
+++ b/packages/entry/src/berylstage_entry/errors.py
@@ -11,7 +11,7 @@
     """A call to the store that did not do what was asked."""
 
 
-class StoreSilent(StoreError):
+class StoreUnavailable(StoreError):
     """No usable answer came; a write may or may not take effect."""
 
 
@@ -23,19 +23,19 @@
     """A condition of a write did not hold; read again and decide anew."""
 
 
-class LeaseEnded(StoreError):
+class LeaseExpired(StoreError):
     """The lease has ended, and its keys are gone; take a new one."""
 
 
-class HistoryLost(StoreError):
+class RevisionCompacted(StoreError):
     """The changes that were asked for are no longer kept; read everything again."""
 
 
-class UnreadableRecord(EntryError):
+class InvalidRecord(EntryError):
     """A record of the store that names nothing that could be used."""
 
 
-class TargetEnded(EntryError):
+class TargetReplaced(EntryError):
     """Another target answers at the address: this life of the target is over."""
 
 
@@ -43,7 +43,7 @@
     """No target could be asked for a key in time; it can once its move has ended."""
 
 
-class TurnRefused(EntryError):
+class PermitRefused(EntryError):
     """A request would be answered too late by its target; it may come back.
 
     Parameters
--- a/packages/entry/src/berylstage_entry/exchange.py
+++ b/packages/entry/src/berylstage_entry/exchange.py
@@ -10,8 +10,8 @@
     from asyncio import Task
 
     from berylstage_entry.errors import BadRequest, Refused
+    from berylstage_entry.protocols import CallerRequest
     from berylstage_entry.replies import Reply
-    from berylstage_entry.wire import CallerRequest
 
 
 class Exchange:
--- a/packages/entry/src/berylstage_entry/granting.py
+++ b/packages/entry/src/berylstage_entry/grant_controller.py
@@ -9,24 +9,24 @@
 
 from berylstage_entry.assignment import KeyRange, nobody
 from berylstage_entry.assignment_writer import AssignmentWriter
-from berylstage_entry.balance import CALM_PERIOD, Rounds
 from berylstage_entry.clock import now
-from berylstage_entry.dealing import deal, mend
+from berylstage_entry.coordinator_election import LOOK
 from berylstage_entry.errors import Conflict, StoreError
-from berylstage_entry.holds import RENEWAL
+from berylstage_entry.grant_expiry import RENEWAL
+from berylstage_entry.grant_renewer import GrantRenewer, note_fault
 from berylstage_entry.key_loads import KeyLoads
-from berylstage_entry.moves import FENCES, Moves
-from berylstage_entry.office import LOOK
-from berylstage_entry.renewals import Renewals, note_fault
-from berylstage_entry.speeds import TargetSpeeds
+from berylstage_entry.key_moves import FENCES, KeyMoves
+from berylstage_entry.range_placement import deal, mend
+from berylstage_entry.rebalancing import CALM_PERIOD, Rebalancer
+from berylstage_entry.service_times import TargetServiceTimes
 
 if TYPE_CHECKING:
     from berylstage_entry.assignment import Assignment
-    from berylstage_entry.directory import Directory
-    from berylstage_entry.feed import Feed
-    from berylstage_entry.office import Office
+    from berylstage_entry.cluster_view import ClusterView
+    from berylstage_entry.coordinator_election import CoordinatorElection
+    from berylstage_entry.protocols import TargetProtocol
     from berylstage_entry.store import Store
-    from berylstage_entry.wire import TargetWire
+    from berylstage_entry.store_watcher import StoreWatcher
 
 # Seconds between two looks at what has to be done.
 TICK = 0.05
@@ -69,8 +69,8 @@
 
     def __init__(self, moment: float):
         self.loads = KeyLoads(moment)
-        self.speeds = TargetSpeeds()
-        self.rounds = Rounds(moment)
+        self.speeds = TargetServiceTimes()
+        self.rounds = Rebalancer(moment)
         self.balanced_at = self.mended_at = moment
         self.moving: dict[tuple[int, int, int], asyncio.Task] = {}
         # Moves that have ended and are yet to be written, and who writes them.
@@ -82,7 +82,7 @@
         self.pending: Assignment | None = None
 
 
-class Granting:
+class GrantController:
     """Carries out the duty of granting, while this VM has it.
 
     Parameters
@@ -97,17 +97,17 @@
     def __init__(
         self,
         store: Store,
-        feed: Feed,
-        directory: Directory,
-        office: Office,
-        wire: TargetWire,
+        feed: StoreWatcher,
+        directory: ClusterView,
+        office: CoordinatorElection,
+        wire: TargetProtocol,
     ):
         self._feed = feed
         self._directory = directory
         self._office = office
         self.writer = AssignmentWriter(store, feed, office)
-        self._renewals = Renewals(feed, directory, office, wire)
-        self._moves = Moves(directory, office, wire, self._renewals)
+        self._renewals = GrantRenewer(feed, directory, office, wire)
+        self._moves = KeyMoves(directory, office, wire, self._renewals)
         self._services: dict[str, _Service] = {}
         self._task: asyncio.Task | None = None
         self._term = 0
@@ -137,7 +137,7 @@
         ----------
         service : str
         mean, slowness
-            As for :meth:`TargetSpeeds.told`.
+            As for :meth:`TargetServiceTimes.told`.
         """
         self._state(service).speeds.told(mean, slowness)
 
@@ -180,7 +180,7 @@
         return self._moves.handed_on()
 
     def inherit(self, body: bytes) -> float | None:
-        """Take over what a former holder of the duty knew, as of :class:`Moves`."""
+        """Take over what a former holder of the duty knew, as of :class:`KeyMoves`."""
         if self._term != self._office.term:
             self._begin_term()
         return self._moves.inherit(body)
--- a/packages/entry/src/berylstage_entry/holds.py
+++ b/packages/entry/src/berylstage_entry/grant_expiry.py
@@ -69,7 +69,7 @@
         self.lapse = lapse
 
 
-class TargetHold:
+class TargetGrants:
     """What this VM knows of the holds of one life of a target."""
 
     __slots__ = ("_orders", "_refused_at", "has_ended", "probed_at", "silent_since")
--- a/packages/entry/src/berylstage_entry/renewals.py
+++ b/packages/entry/src/berylstage_entry/grant_renewer.py
@@ -9,17 +9,17 @@
 from logbook import Logger
 
 from berylstage_entry.clock import now
-from berylstage_entry.errors import TargetEnded
-from berylstage_entry.holds import ORDER_TIMEOUT, RENEWAL, TargetHold
-from berylstage_entry.wire import GrantOrder
+from berylstage_entry.errors import TargetReplaced
+from berylstage_entry.grant_expiry import ORDER_TIMEOUT, RENEWAL, TargetGrants
+from berylstage_entry.protocols import GrantRequest
 
 if TYPE_CHECKING:
     from berylstage_entry.assignment import Assignment, KeyRange
-    from berylstage_entry.directory import Directory
-    from berylstage_entry.feed import Feed
-    from berylstage_entry.office import Office
+    from berylstage_entry.cluster_view import ClusterView
+    from berylstage_entry.coordinator_election import CoordinatorElection
+    from berylstage_entry.protocols import TargetProtocol
+    from berylstage_entry.store_watcher import StoreWatcher
     from berylstage_entry.targets import Target
-    from berylstage_entry.wire import TargetWire
 
 # Seconds between two looks whether an owner has new keys to be granted.
 TICK = 0.05
@@ -43,7 +43,7 @@
     return r.first, r.last, r.fence
 
 
-class Renewals:
+class GrantRenewer:
     """Keeps the grants of all owners alive while this VM has the duty.
 
     Parameters
@@ -55,13 +55,17 @@
     """
 
     def __init__(
-        self, feed: Feed, directory: Directory, office: Office, wire: TargetWire
+        self,
+        feed: StoreWatcher,
+        directory: ClusterView,
+        office: CoordinatorElection,
+        wire: TargetProtocol,
     ):
         self._feed = feed
         self._directory = directory
         self._office = office
         self._wire = wire
-        self._holds: dict[tuple[str, int], TargetHold] = {}
+        self._holds: dict[tuple[str, int], TargetGrants] = {}
         self._keepers: dict[tuple[str, int], asyncio.Task] = {}
         # Ranges that are not on the move by owner, of each service's last assignment.
         self._settled: dict[
@@ -103,7 +107,7 @@
     async def grant(self, target: Target, r: KeyRange, handover: str = "") -> bool:
         """Grant one range; tell whether the target has it now."""
         hold = self.hold(target.identity)
-        order = GrantOrder(r.first, r.last, r.fence, self._office.hold(), handover)
+        order = GrantRequest(r.first, r.last, r.fence, self._office.hold(), handover)
         if not self._office.holds():
             return False
         noted = hold.ordered(now(), order.hold, r.first, r.last)
@@ -121,7 +125,7 @@
                 )
             hold.failed(now())
             return False
-        except TargetEnded as exc:
+        except TargetReplaced as exc:
             hold.ended(now())
             log.info(
                 "target has ended", extra={"target": target.name, "cause": str(exc)}
@@ -170,7 +174,7 @@
                 self._ask_whether_back(known.target, hold)
             )
 
-    async def _ask_whether_back(self, target: Target, hold: TargetHold) -> None:
+    async def _ask_whether_back(self, target: Target, hold: TargetGrants) -> None:
         if await self._answers(target):
             hold.came_back()
             log.info("target is back under its life", extra={"target": target.name})
@@ -236,7 +240,7 @@
             return True
         try:
             await self._wire.probe(target, service.health_path, ORDER_TIMEOUT)
-        except (CallFailed, TargetEnded) as exc:
+        except (CallFailed, TargetReplaced) as exc:
             if isinstance(exc, NothingListens):
                 self._refused(target)
             log.debug("target still silent", extra={"cause": str(exc)})
@@ -264,11 +268,11 @@
             known = self._settled[target.service] = (assignment, settled)
         return known[1].get(target.identity, [])
 
-    def hold(self, identity: tuple[str, int]) -> TargetHold:
+    def hold(self, identity: tuple[str, int]) -> TargetGrants:
         """Return what is known of the holds of one life of a target."""
         hold = self._holds.get(identity)
         if hold is None:
-            hold = self._holds[identity] = TargetHold()
+            hold = self._holds[identity] = TargetGrants()
         return hold
 
     def past(self, identity: tuple[str, int]) -> Target | None:
--- a/packages/entry/src/berylstage_entry/moves.py
+++ b/packages/entry/src/berylstage_entry/key_moves.py
@@ -11,17 +11,17 @@
 
 from berylstage_entry.assignment import KeyRange
 from berylstage_entry.clock import now
-from berylstage_entry.errors import TargetEnded
-from berylstage_entry.holds import ORDER_TIMEOUT
-from berylstage_entry.wire import GrantOrder
+from berylstage_entry.errors import TargetReplaced
+from berylstage_entry.grant_expiry import ORDER_TIMEOUT
+from berylstage_entry.protocols import GrantRequest
 
 if TYPE_CHECKING:
-    from berylstage_entry.directory import Directory
-    from berylstage_entry.holds import TargetHold
-    from berylstage_entry.office import Office
-    from berylstage_entry.renewals import Renewals
+    from berylstage_entry.cluster_view import ClusterView
+    from berylstage_entry.coordinator_election import CoordinatorElection
+    from berylstage_entry.grant_expiry import TargetGrants
+    from berylstage_entry.grant_renewer import GrantRenewer
+    from berylstage_entry.protocols import TargetProtocol
     from berylstage_entry.targets import Target
-    from berylstage_entry.wire import TargetWire
 
 # Seconds between two tries to take keys back.
 TICK = 0.05
@@ -35,7 +35,7 @@
 log = Logger(__name__)
 
 
-class Moves:
+class KeyMoves:
     """Takes keys back from their former owners while this VM has the duty.
 
     Parameters
@@ -48,10 +48,10 @@
 
     def __init__(
         self,
-        directory: Directory,
-        office: Office,
-        wire: TargetWire,
-        renewals: Renewals,
+        directory: ClusterView,
+        office: CoordinatorElection,
+        wire: TargetProtocol,
+        renewals: GrantRenewer,
     ):
         self._directory = directory
         self._office = office
@@ -185,7 +185,7 @@
         return None
 
     async def _release(
-        self, target: Target, hold: TargetHold, r: KeyRange
+        self, target: Target, hold: TargetGrants, r: KeyRange
     ) -> str | None:
         """Take keys back from a target that may answer; None when it does not."""
         fence = self._next_try(r)
@@ -196,7 +196,7 @@
             # duty, and be carried out after the release: two targets would then hold
             # the keys (seen for 2.5 s). A release leaves no fence behind, a grant does,
             # and a target that has seen it refuses the renewal.
-            order = GrantOrder(r.first, r.last, fence, self._office.hold())
+            order = GrantRequest(r.first, r.last, fence, self._office.hold())
             noted = hold.ordered(now(), order.hold, r.first, r.last)
             try:
                 await self._wire.grant(target, order, ORDER_TIMEOUT)
@@ -216,7 +216,7 @@
                 hold.refused(now())
             hold.failed(now())
             return None
-        except TargetEnded:
+        except TargetReplaced:
             # Another target has the address, so this one has ended with all its holds.
             # Its keys need not wait for them: 3.3 s for a data centre's targets that
             # came back under other names.
--- a/packages/entry/src/berylstage_entry/reports.py
+++ b/packages/entry/src/berylstage_entry/load_reporter.py
@@ -25,10 +25,10 @@
 if TYPE_CHECKING:
     from random import Random
 
-    from berylstage_entry.datagrams import Datagrams
-    from berylstage_entry.directory import Directory
-    from berylstage_entry.granting import Granting
-    from berylstage_entry.office import Office
+    from berylstage_entry.cluster_view import ClusterView
+    from berylstage_entry.coordinator_election import CoordinatorElection
+    from berylstage_entry.grant_controller import GrantController
+    from berylstage_entry.peer_datagrams import PeerDatagrams
     from berylstage_entry.router import Router
 
 # Path at which the VM with the duty takes the speeds of targets.
@@ -36,8 +36,8 @@
 # Seconds between two tellings of counts: as often as the balance of keys is looked at.
 PERIOD = 0.1
 # Tellings of speeds in a second, of all VMs together. They take seconds to change, and
-# ten words a second are told apart from chance (`berylstage_entry.speeds`); more VMs
-# tell less often each.
+# ten words a second are told apart from chance (`berylstage_entry.service_times`); more
+# VMs tell less often each.
 SPEEDS_RATE = 10.0
 # Seconds that a telling of speeds may take; it is not sent again.
 TIMEOUT = 0.5
@@ -53,7 +53,7 @@
 log = Logger(__name__)
 
 
-class Reports:
+class LoadReporter:
     """Sends this VM's counts to the VM with the duty.
 
     Parameters
@@ -69,10 +69,10 @@
     def __init__(
         self,
         router: Router,
-        granting: Granting,
-        office: Office,
-        directory: Directory,
-        datagrams: Datagrams,
+        granting: GrantController,
+        office: CoordinatorElection,
+        directory: ClusterView,
+        datagrams: PeerDatagrams,
         rng: Random,
     ):
         self._router = router
--- a/packages/entry/src/berylstage_entry/logs.py
+++ b/packages/entry/src/berylstage_entry/logs.py
@@ -15,7 +15,7 @@
     from logbook import LogRecord
 
 
-class JsonLines(Handler):
+class JsonLogHandler(Handler):
     """Writes each record as a line of JSON without waiting for its reader.
 
     Parameters
--- a/packages/entry/src/berylstage_entry/loop_watch.py
+++ b/packages/entry/src/berylstage_entry/loop_lag.py
@@ -115,7 +115,7 @@
             self._fd = -1
 
 
-class LoopWatch:
+class LoopLagMonitor:
     """Looks at the clock again and again.
 
     Parameters
--- a/packages/entry/src/berylstage_entry/membership.py
+++ b/packages/entry/src/berylstage_entry/membership.py
@@ -10,23 +10,23 @@
 from berylstage_policy.standby import should_give_up, stands_by
 from logbook import Logger
 
-from berylstage_entry.errors import LeaseEnded, StoreError
-from berylstage_entry.keys import OWN_PREFIX
+from berylstage_entry.errors import LeaseExpired, StoreError
 from berylstage_entry.server import split_address
 from berylstage_entry.store import Write
+from berylstage_entry.store_keys import OWN_PREFIX
 
 if TYPE_CHECKING:
-    from berylstage_entry.feed import Feed
     from berylstage_entry.settings import EntrySettings
     from berylstage_entry.store import Store
+    from berylstage_entry.store_watcher import StoreWatcher
 
 VMS_PREFIX = OWN_PREFIX + "vm/"
 # Seconds of a VM's lease. The count of VMs divides bounds, and nothing depends on its
 # being exact.
 LEASE = 20.0
 # Seconds between two renewals: three fit into the lease before it ends. Whether this VM
-# reaches the store is found out by a call when somebody asks for it (`Feed.contact`),
-# and by its own reading when nothing is told.
+# reaches the store is found out by a call when somebody asks for it
+# (`StoreWatcher.contact`), and by its own reading when nothing is told.
 KEEP = 5.0
 # Seconds before a failed call is made again.
 RETRY = 1.0
@@ -74,7 +74,7 @@
     feed : Feed
     """
 
-    def __init__(self, cfg: EntrySettings, store: Store, feed: Feed):
+    def __init__(self, cfg: EntrySettings, store: Store, feed: StoreWatcher):
         self._cfg = cfg
         self._store = store
         self._feed = feed
@@ -180,7 +180,7 @@
                     await self._enter()
                 self._feed.note_answer()
                 await asyncio.sleep(KEEP)
-            except LeaseEnded:
+            except LeaseExpired:
                 self._lease = 0
             except StoreError as exc:
                 self._feed.note_failure(exc)
--- a/packages/entry/src/berylstage_entry/owners.py
+++ b/packages/entry/src/berylstage_entry/owners.py
@@ -16,9 +16,9 @@
 
 if TYPE_CHECKING:
     from berylstage_entry.assignment import KeyRange
-    from berylstage_entry.directory import Directory
-    from berylstage_entry.feed import Feed
-    from berylstage_entry.journey import Journey
+    from berylstage_entry.cluster_view import ClusterView
+    from berylstage_entry.request_context import RequestContext
+    from berylstage_entry.store_watcher import StoreWatcher
 
 # Interval at which the new owner of a moving key is looked up. A move takes as long as
 # the requests in progress on the keys, a few hundred milliseconds.
@@ -48,11 +48,11 @@
     directory : Directory
     """
 
-    def __init__(self, feed: Feed, directory: Directory):
+    def __init__(self, feed: StoreWatcher, directory: ClusterView):
         self._feed = feed
         self._directory = directory
 
-    async def find(self, journey: Journey) -> str:
+    async def find(self, journey: RequestContext) -> str:
         """Return the target that should receive a request with a key.
 
         Parameters
@@ -86,7 +86,7 @@
                 self._feed.hurry()
             await asyncio.sleep(MOVE_POLL_SECONDS)
 
-    def is_owner(self, journey: Journey, name: str) -> bool:
+    def is_owner(self, journey: RequestContext, name: str) -> bool:
         """Tell whether a target is still the owner of a request's key."""
         key_range = self._find_range(journey)
         return (
@@ -95,19 +95,19 @@
             and self._is_usable_owner(key_range)
         )
 
-    def turned_away(self, journey: Journey, name: str) -> None:
+    def turned_away(self, journey: RequestContext, name: str) -> None:
         """Record that an owner rejected a request, and increase its retry delay."""
         journey.turned_away = (name, self._revision(journey))
         journey.pause = min(
             max(INITIAL_RETRY_DELAY_SECONDS, 2 * journey.pause), MAX_RETRY_DELAY_SECONDS
         )
 
-    def _find_range(self, journey: Journey) -> KeyRange | None:
+    def _find_range(self, journey: RequestContext) -> KeyRange | None:
         assignment = self._feed.assignments.get(journey.service.name)
         assert journey.req.key is not None
         return assignment.find(journey.req.key) if assignment else None
 
-    def _revision(self, journey: Journey) -> int:
+    def _revision(self, journey: RequestContext) -> int:
         return self._feed.revisions.get(journey.service.name, 0)
 
     def _is_usable_owner(self, key_range: KeyRange) -> bool:
@@ -117,7 +117,7 @@
             and self._directory.may_use(key_range.owner)
         )
 
-    def _describe(self, journey: Journey, key_range: KeyRange | None) -> str:
+    def _describe(self, journey: RequestContext, key_range: KeyRange | None) -> str:
         range_text = (
             f"owner {key_range.owner} former {key_range.former}"
             if key_range is not None
--- a/packages/entry/src/berylstage_entry/pages.py
+++ b/packages/entry/src/berylstage_entry/pages.py
@@ -18,7 +18,7 @@
 from berylstage_entry.clock import now
 from berylstage_entry.replies import Reply
 from berylstage_entry.server import FIRST_BODY_LIMIT, split_address
-from berylstage_entry.sockets import Unread, unread_in, unsent_in
+from berylstage_entry.sockets import ReceiveState, unread_in, unsent_in
 
 if TYPE_CHECKING:
     from asyncio import Future
@@ -71,7 +71,7 @@
         if self.is_serving or self.stream.writing():
             return True
         sock = self.stream.socket
-        if unsent_in(sock) > 0 or unread_in(sock) is Unread.BYTES:
+        if unsent_in(sock) > 0 or unread_in(sock) is ReceiveState.BYTES:
             return True
         # Between two reads the stream has bytes of a question that nobody has seen yet.
         return not self.stream.reading()
--- a/packages/entry/src/berylstage_entry/datagrams.py
+++ b/packages/entry/src/berylstage_entry/peer_datagrams.py
@@ -15,7 +15,7 @@
 log = Logger(__name__)
 
 
-class Datagrams(asyncio.DatagramProtocol):
+class PeerDatagrams(asyncio.DatagramProtocol):
     """Sends datagrams, and hands those that come to who reads them.
 
     Parameters
--- a/packages/entry/src/berylstage_entry/announcements.py
+++ b/packages/entry/src/berylstage_entry/peer_updates.py
@@ -19,15 +19,15 @@
 from logbook import Logger
 
 from berylstage_entry.assignment import nobody
-from berylstage_entry.changes import AssignmentChange
-from berylstage_entry.errors import UnreadableRecord
+from berylstage_entry.assignment_delta import AssignmentDelta
+from berylstage_entry.errors import InvalidRecord
 from berylstage_entry.store import Item
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-    from berylstage_entry.feed import Feed
     from berylstage_entry.membership import Membership
+    from berylstage_entry.store_watcher import StoreWatcher
 
 # Path at which a VM is told.
 TOLD_PATH = "/told"
@@ -74,7 +74,7 @@
         self.client.close()
 
 
-class Announcements:
+class PeerUpdates:
     """Tells and takes in what VMs have written.
 
     Parameters
@@ -85,7 +85,7 @@
         Where this VM listens for others.
     """
 
-    def __init__(self, feed: Feed, membership: Membership, own_address: str):
+    def __init__(self, feed: StoreWatcher, membership: Membership, own_address: str):
         self._feed = feed
         self._membership = membership
         self._own_address = own_address
@@ -93,9 +93,9 @@
         # Sends a datagram to all other VMs.
         self.send: Callable[[bytes], None] = lambda data: None
         # The change of each service of which parts have come.
-        self._partial: dict[str, AssignmentChange] = {}
+        self._partial: dict[str, AssignmentDelta] = {}
 
-    def tell(self, change: AssignmentChange) -> None:
+    def tell(self, change: AssignmentDelta) -> None:
         """Tell all other VMs of a change of an assignment that is in the store now."""
         for data in change.encode():
             self.send(data)
@@ -107,8 +107,8 @@
         reading of the store.
         """
         try:
-            change = AssignmentChange.decode(data)
-        except UnreadableRecord as exc:
+            change = AssignmentDelta.decode(data)
+        except InvalidRecord as exc:
             log.warning("change passed over", extra={"cause": str(exc)})
             return
         known = self._feed.revisions.get(change.service, 0)
@@ -124,7 +124,7 @@
             return
         self._feed.take_assignment(change.service, new, change.revision)
 
-    def _joined(self, change: AssignmentChange) -> AssignmentChange:
+    def _joined(self, change: AssignmentDelta) -> AssignmentDelta:
         """Return a change with all parts of it that have come."""
         if not change.parts_left:
             return change
--- a/packages/entry/src/berylstage_entry/peers.py
+++ b/packages/entry/src/berylstage_entry/peers.py
@@ -24,7 +24,7 @@
 log = Logger(__name__)
 
 
-class Peers:
+class PeerClient:
     """Asks other VMs.
 
     Parameters
--- a/packages/entry/src/berylstage_entry/turns.py
+++ b/packages/entry/src/berylstage_entry/permit_client.py
@@ -13,19 +13,28 @@
 from typing import TYPE_CHECKING
 
 from berylstage_policy.candidates import Candidate
-from berylstage_policy.keepers import SERVER_BACKOFF_SECONDS, eligible_vms, rank_servers
+from berylstage_policy.queue_assignment import (
+    SERVER_BACKOFF_SECONDS,
+    eligible_vms,
+    rank_servers,
+)
 from berylstage_policy.slot_queue import PermitStatus
 from logbook import Logger
 
 from berylstage_entry.clock import now
-from berylstage_entry.errors import TurnRefused, UnreadableRecord
-from berylstage_entry.turn_messages import Ask, Reply, Return, checksum
+from berylstage_entry.errors import InvalidRecord, PermitRefused
+from berylstage_entry.permit_messages import (
+    PermitRelease,
+    PermitReply,
+    PermitRequest,
+    checksum,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from berylstage_entry.journey import Journey
     from berylstage_entry.membership import Membership
+    from berylstage_entry.request_context import RequestContext
     from berylstage_entry.targets import LoadReport
 
 # Bounds of the timeout for a permit server's first reply, and the number of requests
@@ -49,7 +58,7 @@
 log = Logger(__name__)
 
 
-class Turn:
+class Permit:
     """Permit of one request, to be released after its use.
 
     Parameters
@@ -114,7 +123,7 @@
     """The permit server does not respond, or no longer serves the queue."""
 
 
-class Turns:
+class PermitClient:
     """Acquires permits for the requests of one VM.
 
     Parameters
@@ -129,7 +138,7 @@
         self._host = host
         self._request_numbers = count(1)
         # Replies to the requests that wait for one, by number.
-        self._replies: dict[int, asyncio.Queue[Reply]] = {}
+        self._replies: dict[int, asyncio.Queue[PermitReply]] = {}
         self._servers: dict[str, list[str]] = {}
         # Hosts eligible as permit servers, for each data centre and for all.
         self._eligible_hosts: dict[str, list[str]] = {}
@@ -138,12 +147,14 @@
         self._lost_servers: dict[str, float] = {}
         self._reply_timeout = ReplyTimeout()
         # Send a message to the VM of a host, which may be this one.
-        self.ask: Callable[[str, Ask], None] = lambda host, ask: None
-        self.give_back: Callable[[str, Return], None] = lambda host, release: None
+        self.ask: Callable[[str, PermitRequest], None] = lambda host, ask: None
+        self.give_back: Callable[[str, PermitRelease], None] = lambda host, release: (
+            None
+        )
 
     async def take(
-        self, journey: Journey, queue: str, data_centre: str = ""
-    ) -> Turn | None:
+        self, journey: RequestContext, queue: str, data_centre: str = ""
+    ) -> Permit | None:
         """Wait for a permit for a request.
 
         Parameters
@@ -178,7 +189,7 @@
         return None
 
     def done(
-        self, turn: Turn, failed: bool = False, load: LoadReport | None = None
+        self, turn: Permit, failed: bool = False, load: LoadReport | None = None
     ) -> None:
         """Release a permit.
 
@@ -191,29 +202,31 @@
             Load of the target without the answered request.
         """
         queue = checksum(turn.queue)
-        release = Return(turn.number, queue, turn.target, failed, load)
+        release = PermitRelease(turn.number, queue, turn.target, failed, load)
         self.give_back(turn.server, release)
 
     def take_reply(self, data: bytes, host: str) -> None:
         """Handle the datagram of a permit server's reply."""
         try:
-            reply = Reply.decode(data)
-        except UnreadableRecord as exc:
+            reply = PermitReply.decode(data)
+        except InvalidRecord as exc:
             log.warning("invalid permit reply ignored", extra={"cause": str(exc)})
             return
         # The permit server was late, not lost.
         self._lost_servers.pop(host, None)
         self.replied(reply)
 
-    def replied(self, reply: Reply) -> None:
+    def replied(self, reply: PermitReply) -> None:
         """Handle a permit server's reply."""
         replies = self._replies.get(reply.number)
         if replies is not None:
             replies.put_nowait(reply)
 
-    async def _acquire_from(self, journey: Journey, queue: str, server: str) -> Turn:
+    async def _acquire_from(
+        self, journey: RequestContext, queue: str, server: str
+    ) -> Permit:
         number = next(self._request_numbers) % REQUEST_NUMBERS
-        turn = Turn(number, queue, server)
+        turn = Permit(number, queue, server)
         replies = self._replies[number] = asyncio.Queue()
         try:
             turn.target = await self._await_grant(journey, turn, replies)
@@ -225,7 +238,7 @@
                 self.done(turn)
 
     async def _await_grant(
-        self, journey: Journey, turn: Turn, replies: asyncio.Queue[Reply]
+        self, journey: RequestContext, turn: Permit, replies: asyncio.Queue[PermitReply]
     ) -> int:
         """Return the checksum of the target for which the permit is granted."""
         unanswered, is_measured = 0, False
@@ -244,11 +257,11 @@
                 if reply.status == PermitStatus.GRANTED.value:
                     return reply.target
                 if reply.status == PermitStatus.REFUSED.value:
-                    raise TurnRefused(reply.retry_after, turn.describe())
+                    raise PermitRefused(reply.retry_after, turn.describe())
                 if reply.status == PermitStatus.QUEUE_CLOSED.value:
                     raise _ServerLost
             if journey.left(now()) <= 0:
-                raise TurnRefused(0.0, turn.describe())
+                raise PermitRefused(0.0, turn.describe())
             if not is_answered:
                 unanswered += 1
             if unanswered >= MAX_ATTEMPTS:
@@ -256,10 +269,10 @@
                     self._reply_timeout.record(now() - first_sent_at)
                 raise _ServerLost
 
-    def _build_request(self, journey: Journey, turn: Turn) -> Ask:
+    def _build_request(self, journey: RequestContext, turn: Permit) -> PermitRequest:
         moment = now()
         route = journey.route
-        return Ask(
+        return PermitRequest(
             turn.number,
             checksum(turn.queue),
             checksum(route.name),
@@ -319,7 +332,9 @@
             self._revision += 1
 
 
-async def _next_reply(replies: asyncio.Queue[Reply], timeout: float) -> Reply | None:
+async def _next_reply(
+    replies: asyncio.Queue[PermitReply], timeout: float
+) -> PermitReply | None:
     try:
         async with asyncio.timeout(timeout):
             return await replies.get()
--- a/packages/entry/src/berylstage_entry/turn_messages.py
+++ b/packages/entry/src/berylstage_entry/permit_messages.py
@@ -5,7 +5,7 @@
 import struct
 from zlib import crc32
 
-from berylstage_entry.errors import UnreadableRecord
+from berylstage_entry.errors import InvalidRecord
 from berylstage_entry.targets import LoadReport
 
 # First byte of each kind of datagram.
@@ -34,10 +34,10 @@
     try:
         return layout.unpack(data)
     except struct.error as exc:
-        raise UnreadableRecord(f"invalid permit datagram: {exc}") from exc
+        raise InvalidRecord(f"invalid permit datagram: {exc}") from exc
 
 
-class Ask:
+class PermitRequest:
     """Request for a permit.
 
     Parameters
@@ -98,7 +98,7 @@
         )
 
     @classmethod
-    def decode(cls, data: bytes) -> Ask:
+    def decode(cls, data: bytes) -> PermitRequest:
         """Parse a datagram.
 
         Raises
@@ -113,7 +113,7 @@
         return cls(number, queue, kind, *times, priority)
 
 
-class Reply:
+class PermitReply:
     """Reply of the permit server.
 
     Parameters
@@ -141,7 +141,7 @@
         return _REPLY.pack(REPLY_FORMAT, self.number, self.status, ms, self.target)
 
     @classmethod
-    def decode(cls, data: bytes) -> Reply:
+    def decode(cls, data: bytes) -> PermitReply:
         """Parse a datagram.
 
         Raises
@@ -153,7 +153,7 @@
         return cls(number, status, ms / _MS, target)
 
 
-class Return:
+class PermitRelease:
     """Release of a permit, or of a queued request.
 
     Parameters
@@ -202,7 +202,7 @@
         )
 
     @classmethod
-    def decode(cls, data: bytes) -> Return:
+    def decode(cls, data: bytes) -> PermitRelease:
         """Parse a datagram.
 
         Raises
--- a/packages/entry/src/berylstage_entry/queue_keeper.py
+++ b/packages/entry/src/berylstage_entry/permit_server.py
@@ -15,17 +15,22 @@
 from logbook import Logger
 
 from berylstage_entry.clock import now
-from berylstage_entry.errors import UnreadableRecord
-from berylstage_entry.journal import LineBudget
-from berylstage_entry.turn_messages import Ask, Reply, Return, checksum
-from berylstage_entry.turn_times import TurnTimes
+from berylstage_entry.errors import InvalidRecord
+from berylstage_entry.permit_messages import (
+    PermitRelease,
+    PermitReply,
+    PermitRequest,
+    checksum,
+)
+from berylstage_entry.queue_service_times import QueueServiceTimes
+from berylstage_entry.request_log import LogRateLimiter
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from berylstage_policy.slot_queue import Decision
 
-    from berylstage_entry.directory import Directory
+    from berylstage_entry.cluster_view import ClusterView
     from berylstage_entry.membership import Membership
     from berylstage_entry.services import Service
     from berylstage_entry.target_loads import TargetLoads
@@ -41,7 +46,7 @@
 log = Logger(__name__)
 
 
-class QueueKeeper:
+class PermitServer:
     """Serves permit requests of all VMs from the queues assigned to this VM.
 
     Parameters
@@ -53,7 +58,7 @@
     """
 
     def __init__(
-        self, loads: TargetLoads, directory: Directory, membership: Membership
+        self, loads: TargetLoads, directory: ClusterView, membership: Membership
     ):
         self._loads = loads
         self._directory = directory
@@ -68,11 +73,11 @@
         # Names of queues, targets and request kinds, by checksum.
         self._names: dict[int, str] = {}
         self._task: asyncio.Task | None = None
-        self._log_limiter = LineBudget(REFUSAL_LINES_PER_SECOND)
+        self._log_limiter = LogRateLimiter(REFUSAL_LINES_PER_SECOND)
         # Set while a queue contains requests.
         self._has_queued = asyncio.Event()
         # Sends a reply to a VM, which may be this one.
-        self.send: Callable[[str, Reply], None] = lambda host, reply: None
+        self.send: Callable[[str, PermitReply], None] = lambda host, reply: None
 
     def start(self) -> None:
         """Start checking for expired requests and permits."""
@@ -92,18 +97,18 @@
     def take_ask(self, data: bytes, host: str) -> None:
         """Handle the datagram of a permit request."""
         try:
-            self.asked(Ask.decode(data), host)
-        except UnreadableRecord as exc:
+            self.asked(PermitRequest.decode(data), host)
+        except InvalidRecord as exc:
             log.warning("invalid permit request ignored", extra={"cause": str(exc)})
 
     def take_return(self, data: bytes, host: str) -> None:
         """Handle the datagram of a permit release."""
         try:
-            self.returned(Return.decode(data), host)
-        except UnreadableRecord as exc:
+            self.returned(PermitRelease.decode(data), host)
+        except InvalidRecord as exc:
             log.warning("invalid permit release ignored", extra={"cause": str(exc)})
 
-    def asked(self, ask: Ask, host: str) -> None:
+    def asked(self, ask: PermitRequest, host: str) -> None:
         """Handle a permit request."""
         queue = self._find_queue(ask.queue)
         if queue is None:
@@ -127,7 +132,7 @@
         if len(queue):
             self._has_queued.set()
 
-    def returned(self, release: Return, host: str) -> None:
+    def returned(self, release: PermitRelease, host: str) -> None:
         """Handle a permit release."""
         queue = self._find_queue(release.queue)
         if queue is None:
@@ -154,7 +159,7 @@
             return None
         queue = self._queues.get(name)
         if queue is None:
-            times = TurnTimes(self._loads, self._directory, service.name)
+            times = QueueServiceTimes(self._loads, self._directory, service.name)
             queue = self._queues[name] = SlotQueue(times)
         if (
             now() - self._targets_updated_at.get(name, float("-inf"))
@@ -215,7 +220,9 @@
                 if decision.status is PermitStatus.GRANTED
                 else 0
             )
-            reply = Reply(number, decision.status.value, decision.retry_after, target)
+            reply = PermitReply(
+                number, decision.status.value, decision.retry_after, target
+            )
             self.send(host, reply)
 
     def _log_refusals(
--- a/packages/entry/src/berylstage_entry/probes.py
+++ b/packages/entry/src/berylstage_entry/probes.py
@@ -10,15 +10,15 @@
 from logbook import Logger
 
 from berylstage_entry.clock import now
-from berylstage_entry.errors import TargetEnded
+from berylstage_entry.errors import TargetReplaced
 
 if TYPE_CHECKING:
-    from berylstage_entry.directory import Directory
+    from berylstage_entry.cluster_view import ClusterView
+    from berylstage_entry.permit_client import PermitClient
+    from berylstage_entry.protocols import TargetProtocol
     from berylstage_entry.services import Service
     from berylstage_entry.target_loads import TargetLoads
     from berylstage_entry.targets import Target
-    from berylstage_entry.turns import Turns
-    from berylstage_entry.wire import TargetWire
 
 # Interval of checks for targets to probe: a third of the age at which one is probed.
 CHECK_INTERVAL_SECONDS = 0.1
@@ -48,9 +48,9 @@
     def __init__(
         self,
         loads: TargetLoads,
-        directory: Directory,
-        turns: Turns,
-        wire: TargetWire,
+        directory: ClusterView,
+        turns: PermitClient,
+        wire: TargetProtocol,
     ):
         self._loads = loads
         self._directory = directory
@@ -143,7 +143,7 @@
             report = await self._wire.probe(
                 target, service.health_path, PROBE_TIMEOUT_SECONDS
             )
-        except (CallFailed, TargetEnded) as exc:
+        except (CallFailed, TargetReplaced) as exc:
             self._not_before[target.name] = now() + RETRY_DELAY_SECONDS
             self._loads.record_probe_failure(target)
             if target.name not in self._unresponsive:
--- a/packages/entry/src/berylstage_entry/wire.py
+++ b/packages/entry/src/berylstage_entry/protocols.py
@@ -123,7 +123,7 @@
         self.closing = closing
 
 
-class CallerWire(ABC):
+class CallerProtocol(ABC):
     """How callers word their requests."""
 
     ready_path = "/ready"
@@ -145,7 +145,7 @@
         """Return the headers that tell when to come back."""
 
 
-class GrantOrder:
+class GrantRequest:
     """Keys that a target is to hold.
 
     Parameters
@@ -171,7 +171,7 @@
         self.handover = handover
 
 
-class TargetWire(ABC):
+class TargetProtocol(ABC):
     """How targets are spoken to."""
 
     echo_header = b"request-id"
@@ -195,7 +195,7 @@
         """Read a target's answer."""
 
     @abstractmethod
-    async def grant(self, target: Target, order: GrantOrder, timeout: float) -> bool:
+    async def grant(self, target: Target, order: GrantRequest, timeout: float) -> bool:
         """Grant keys; False when the target has seen a higher fence.
 
         Raises
--- a/packages/entry/src/berylstage_entry/turn_times.py
+++ b/packages/entry/src/berylstage_entry/queue_service_times.py
@@ -8,11 +8,11 @@
 from berylstage_policy.slot_queue import ServiceTimes
 
 if TYPE_CHECKING:
-    from berylstage_entry.directory import Directory
+    from berylstage_entry.cluster_view import ClusterView
     from berylstage_entry.target_loads import TargetLoads
 
 
-class TurnTimes(ServiceTimes):
+class QueueServiceTimes(ServiceTimes):
     """Service times of one service's targets, as known to this VM.
 
     Parameters
@@ -24,7 +24,7 @@
 
     __slots__ = ("_directory", "_loads", "_service")
 
-    def __init__(self, loads: TargetLoads, directory: Directory, service: str):
+    def __init__(self, loads: TargetLoads, directory: ClusterView, service: str):
         self._loads = loads
         self._directory = directory
         self._service = service
--- a/packages/entry/src/berylstage_entry/balance.py
+++ b/packages/entry/src/berylstage_entry/rebalancing.py
@@ -71,7 +71,7 @@
         return self.rate / self.capacity
 
 
-class Rounds:
+class Rebalancer:
     """Decides when keys are moved for balance.
 
     Parameters
--- a/packages/entry/src/berylstage_entry/journey.py
+++ b/packages/entry/src/berylstage_entry/request_context.py
@@ -5,13 +5,13 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
+    from berylstage_entry.permit_client import Permit
+    from berylstage_entry.protocols import CallerRequest, TargetAnswer
     from berylstage_entry.routes import Route
     from berylstage_entry.services import Service
-    from berylstage_entry.turns import Turn
-    from berylstage_entry.wire import CallerRequest, TargetAnswer
 
 
-class Answered:
+class RoutedAnswer:
     """A request that a target has answered, and how it went.
 
     Parameters
@@ -34,7 +34,7 @@
         self.waited = waited
 
 
-class Journey:
+class RequestContext:
     """One request on its way.
 
     Parameters
@@ -79,7 +79,7 @@
         self.deadline = deadline
         self.wanted = wanted
         # Its turn at the target, to be given back; None while it has none.
-        self.turn: Turn | None = None
+        self.turn: Permit | None = None
         self.waited = 0.0
         # Times that a target turned it away although it had its turn there.
         self.shed = 0
@@ -92,7 +92,7 @@
         self.turned_away: tuple[str, int] = ("", -1)
         self.pause = 0.0
         # A target's own failure, which the caller gets when nothing better comes.
-        self.failure: Answered | None = None
+        self.failure: RoutedAnswer | None = None
 
     def trace(self) -> str:
         """Return where the request has been, for the log."""
--- a/packages/entry/src/berylstage_entry/journal.py
+++ b/packages/entry/src/berylstage_entry/request_log.py
@@ -9,9 +9,9 @@
 from berylstage_entry.clock import now
 
 if TYPE_CHECKING:
-    from berylstage_entry.journey import Answered
     from berylstage_entry.metrics import Metrics
-    from berylstage_entry.wire import CallerRequest
+    from berylstage_entry.protocols import CallerRequest
+    from berylstage_entry.request_context import RoutedAnswer
 
 # Lines a second about requests that failed or were refused, and about those that went
 # well. One line costs about 60 us of processor time, so both together stay below 0.3%
@@ -25,7 +25,7 @@
 log = Logger(__name__)
 
 
-class LineBudget:
+class LogRateLimiter:
     """Lines that may be written, filled up at a steady rate.
 
     Parameters
@@ -60,7 +60,7 @@
         return left_out
 
 
-class RequestJournal:
+class RequestLog:
     """Writes what became of requests.
 
     Parameters
@@ -70,10 +70,10 @@
 
     def __init__(self, metrics: Metrics):
         self._metrics = metrics
-        self._failures = LineBudget(FAILURE_LINES)
-        self._successes = LineBudget(SUCCESS_LINES)
+        self._failures = LogRateLimiter(FAILURE_LINES)
+        self._successes = LogRateLimiter(SUCCESS_LINES)
 
-    def answered(self, req: CallerRequest, done: Answered, seconds: float) -> None:
+    def answered(self, req: CallerRequest, done: RoutedAnswer, seconds: float) -> None:
         """Note a target's answer that went to the caller."""
         answer = done.answer
         outcome = "failed" if answer.status >= SERVER_ERROR else "answered"
--- a/packages/entry/src/berylstage_entry/router.py
+++ b/packages/entry/src/berylstage_entry/router.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 from berylstage_policy.completion import OTHER_DATA_CENTRE
-from berylstage_policy.retries import Budget
-from berylstage_policy.shares import WeightedTurns
+from berylstage_policy.retries import RetryBudget
+from berylstage_policy.weighted_round_robin import WeightedRoundRobin
 from berylstage_transfers.errors import AnswerLost, NeverSent
 
 from berylstage_entry.clock import now
@@ -16,12 +16,12 @@
 from berylstage_entry.errors import (
     BadRequest,
     NoOwner,
+    PermitRefused,
     Refused,
-    TurnRefused,
     Unanswered,
 )
-from berylstage_entry.journey import Answered, Journey
 from berylstage_entry.owners import OwnerResolver
+from berylstage_entry.request_context import RequestContext, RoutedAnswer
 from berylstage_entry.target_loads import (
     SERVER_ERROR,
     TargetLoads,
@@ -30,14 +30,14 @@
 )
 
 if TYPE_CHECKING:
-    from berylstage_entry.directory import Directory
-    from berylstage_entry.feed import Feed
+    from berylstage_entry.cluster_view import ClusterView
+    from berylstage_entry.permit_client import PermitClient
+    from berylstage_entry.protocols import CallerRequest, TargetAnswer
     from berylstage_entry.routes import Route
-    from berylstage_entry.senders import Senders
     from berylstage_entry.settings import Bounds
+    from berylstage_entry.store_watcher import StoreWatcher
+    from berylstage_entry.target_clients import TargetClients
     from berylstage_entry.targets import LoadReport
-    from berylstage_entry.turns import Turns
-    from berylstage_entry.wire import CallerRequest, TargetAnswer
 
 # Seconds of a request's time limit reserved for returning the answer to the caller.
 ANSWER_WAY = 0.02
@@ -85,9 +85,9 @@
 
     def __init__(
         self,
-        directory: Directory,
-        feed: Feed,
-        senders: Senders,
+        directory: ClusterView,
+        feed: StoreWatcher,
+        senders: TargetClients,
         bounds: Bounds,
         rng: Random,
         data_centre: str = "",
@@ -101,19 +101,19 @@
         self._data_centre = data_centre
         self.loads = TargetLoads(directory, rng)
         self.cold = ColdTargets(directory, bounds, vm)
-        self._retry_budgets: dict[str, Budget] = {}
-        self._splits: dict[str, tuple[tuple, WeightedTurns]] = {}
+        self._retry_budgets: dict[str, RetryBudget] = {}
+        self._splits: dict[str, tuple[tuple, WeightedRoundRobin]] = {}
         self._seen_revision = -1
         # Number of known VMs, plus some that may be starting.
         self.vms = 10
         # Acquires permits for targets from the permit servers.
-        self.turns: Turns | None = None
+        self.turns: PermitClient | None = None
         # Requests by service and key since the last report to the coordinator.
         self._key_counts: dict[str, dict[int, int]] = {}
         # Set while there are counts to report.
         self.has_counted = asyncio.Event()
 
-    async def serve(self, req: CallerRequest) -> Answered:
+    async def serve(self, req: CallerRequest) -> RoutedAnswer:
         """Route one request and return its answer.
 
         Raises
@@ -136,7 +136,7 @@
         wait = min(req.time_left - ANSWER_WAY, route.timeout)
         moment = now() - req.waited
         wanted = moment + route.objective - ANSWER_WAY
-        journey = Journey(req, route, service, moment + wait, wanted)
+        journey = RequestContext(req, route, service, moment + wait, wanted)
         self._retry_budget(service.name).earn()
         self.loads.record_request(service.name)
         if service.owns_keys and req.key is not None:
@@ -157,7 +157,7 @@
         self._senders.retain(names)
         self.cold.retain(names)
 
-    async def _forward(self, journey: Journey) -> Answered:
+    async def _forward(self, journey: RequestContext) -> RoutedAnswer:
         """Send until there is an answer to return, or no further attempt is allowed."""
         try:
             while True:
@@ -165,13 +165,13 @@
                 answer = await self._attempt(journey, name)
                 if answer is not None:
                     attempts, waited = journey.attempts, journey.waited
-                    return Answered(answer, name, attempts, waited)
+                    return RoutedAnswer(answer, name, attempts, waited)
         except (Refused, Unanswered):
             if journey.failure is None:
                 raise
             return journey.failure
 
-    async def _choose_target(self, journey: Journey) -> str:
+    async def _choose_target(self, journey: RequestContext) -> str:
         """Return the target for the next attempt."""
         if journey.left(now()) < LEAST_TIME:
             raise self._build_error(journey, "no-time")
@@ -183,13 +183,13 @@
             self._check_retry_limits(journey, name)
         return name
 
-    def _check_retry_limits(self, journey: Journey, name: str) -> None:
+    def _check_retry_limits(self, journey: RequestContext, name: str) -> None:
         if journey.attempts >= journey.route.attempts and name not in journey.tried:
             raise self._build_error(journey, "attempts")
         if not self._retry_budget(journey.service.name).spend():
             raise self._build_error(journey, "budget")
 
-    async def _choose_owner(self, journey: Journey) -> str:
+    async def _choose_owner(self, journey: RequestContext) -> str:
         """Return the owner of the key, unless it is overloaded."""
         while True:
             try:
@@ -209,7 +209,7 @@
             return name
 
     async def _acquire_permit(
-        self, journey: Journey, queue: str, data_centre: str = ""
+        self, journey: RequestContext, queue: str, data_centre: str = ""
     ) -> None:
         """Wait for a permit from a queue; set none if no VM serves the queue."""
         if self.turns is None:
@@ -217,7 +217,7 @@
         started_at = now()
         try:
             journey.turn = await self.turns.take(journey, queue, data_centre)
-        except TurnRefused as exc:
+        except PermitRefused as exc:
             journey.waited += now() - started_at
             reason = "owner-busy" if data_centre else "no-room"
             raise self._build_error(journey, reason, exc.turn, exc.retry_after) from exc
@@ -227,13 +227,16 @@
             raise self._build_error(journey, "no-time")
 
     def _release_permit(
-        self, journey: Journey, failed: bool = False, load: LoadReport | None = None
+        self,
+        journey: RequestContext,
+        failed: bool = False,
+        load: LoadReport | None = None,
     ) -> None:
         if journey.turn is not None and self.turns is not None:
             self.turns.done(journey.turn, failed, load)
         journey.turn = None
 
-    def _check_owner_load(self, journey: Journey, name: str) -> str:
+    def _check_owner_load(self, journey: RequestContext, name: str) -> str:
         """Refuse a request if this VM's data shows that the owner is overloaded."""
         loads = self.loads.for_service(journey.service.name)
         loads.load(name, self._directory.known[name].target.slots)
@@ -244,7 +247,7 @@
             raise self._build_error(journey, "owner-busy", detail)
         return name
 
-    async def _choose_without_key(self, journey: Journey) -> str:
+    async def _choose_without_key(self, journey: RequestContext) -> str:
         """Return the target of a request without a key, with a permit if possible."""
         names = self._eligible_targets(journey)
         cold = [n for n in names if self.cold.limiter(n, journey.service) is not None]
@@ -270,7 +273,7 @@
             raise self._build_error(journey, "no-target")
         return self._choose_by_load(journey, names)
 
-    def _eligible_targets(self, journey: Journey) -> list[str]:
+    def _eligible_targets(self, journey: RequestContext) -> list[str]:
         """Return the targets that may receive a request without a key."""
         names = self._directory.usable(journey.service.name)
         loads = self.loads.for_service(journey.service.name)
@@ -288,7 +291,7 @@
             raise self._build_error(journey, "no-target")
         return eligible
 
-    def _choose_by_load(self, journey: Journey, eligible: list[str]) -> str:
+    def _choose_by_load(self, journey: RequestContext, eligible: list[str]) -> str:
         """Return the target with the earliest completion by this VM's data."""
         loads = self.loads.for_service(journey.service.name)
         kind = journey.route.name
@@ -297,7 +300,7 @@
             raise self._build_error(journey, "no-room", loads.describe(name, now()))
         return name
 
-    async def _attempt(self, journey: Journey, name: str) -> TargetAnswer | None:
+    async def _attempt(self, journey: RequestContext, name: str) -> TargetAnswer | None:
         """Send once; return None if the request may be sent again."""
         target = self._directory.known[name].target
         sender = self._senders.get(target, journey.service.connections)
@@ -334,7 +337,9 @@
             journey.shed += 1
         return self._handle_answer(journey, name, answer)
 
-    def _handle_lost_answer(self, journey: Journey, name: str, exc: AnswerLost) -> None:
+    def _handle_lost_answer(
+        self, journey: RequestContext, name: str, exc: AnswerLost
+    ) -> None:
         journey.attempts += 1
         journey.tried.add(name)
         moment = now()
@@ -348,7 +353,7 @@
         self._owner_resolver.turned_away(journey, name)
 
     def _handle_answer(
-        self, journey: Journey, name: str, answer: TargetAnswer
+        self, journey: RequestContext, name: str, answer: TargetAnswer
     ) -> TargetAnswer | None:
         journey.attempts += 1
         if answer.misdirected:
@@ -367,17 +372,17 @@
             return None
         failed = answer.status >= SERVER_ERROR
         if failed and journey.route.idempotent and self._can_retry(journey):
-            journey.failure = Answered(answer, name, journey.attempts)
+            journey.failure = RoutedAnswer(answer, name, journey.attempts)
             return None
         return answer
 
-    def _can_retry(self, journey: Journey) -> bool:
+    def _can_retry(self, journey: RequestContext) -> bool:
         has_time = journey.left(now()) > journey.route.objective / 2
         return has_time and journey.attempts < journey.route.attempts
 
     def _build_error(
         self,
-        journey: Journey,
+        journey: RequestContext,
         reason: str,
         detail: str = "",
         expected_wait: float = 0.0,
@@ -403,14 +408,16 @@
         weights = tuple((s.service, s.weight) for s in route.shares)
         known = self._splits.get(route.name)
         if known is None or known[0] != weights:
-            split = WeightedTurns([w for _, w in weights], self._rng.random())
+            split = WeightedRoundRobin([w for _, w in weights], self._rng.random())
             known = self._splits[route.name] = (weights, split)
         return route.shares[known[1].take()].service
 
-    def _retry_budget(self, service: str) -> Budget:
+    def _retry_budget(self, service: str) -> RetryBudget:
         budget = self._retry_budgets.get(service)
         if budget is None:
             share = self._bounds.retry_ratio * BUDGET_USE
             reserve = self._bounds.retry_allowance / (2 * self.vms)
-            budget = self._retry_budgets[service] = Budget(share, max(1.0, reserve))
+            budget = self._retry_budgets[service] = RetryBudget(
+                share, max(1.0, reserve)
+            )
         return budget
--- a/packages/entry/src/berylstage_entry/routes.py
+++ b/packages/entry/src/berylstage_entry/routes.py
@@ -8,7 +8,7 @@
     from collections.abc import Iterable, Sequence
 
 
-class Share:
+class WeightedService:
     """Service of a route with its share of the requests.
 
     Parameters
@@ -66,7 +66,7 @@
         name: str,
         host: str,
         prefix: str,
-        shares: Sequence[Share],
+        shares: Sequence[WeightedService],
         idempotent: bool,
         attempts: int,
         timeout: float,
--- a/packages/entry/src/berylstage_entry/server.py
+++ b/packages/entry/src/berylstage_entry/server.py
@@ -27,10 +27,10 @@
     from collections.abc import Callable
     from socket import socket
 
-    from berylstage_entry.journal import RequestJournal
+    from berylstage_entry.protocols import CallerProtocol, CallerRequest
+    from berylstage_entry.request_log import RequestLog
     from berylstage_entry.router import Router
     from berylstage_entry.services import Limits
-    from berylstage_entry.wire import CallerRequest, CallerWire
 
 # Bytes of a request's body at most while no configuration says so.
 FIRST_BODY_LIMIT = 1024 * 1024
@@ -93,9 +93,9 @@
 
     def __init__(
         self,
-        wire: CallerWire,
+        wire: CallerProtocol,
         router: Router,
-        journal: RequestJournal,
+        journal: RequestLog,
         limits: Callable[[], Limits | None],
     ):
         self.wire = wire
--- a/packages/entry/src/berylstage_entry/speeds.py
+++ b/packages/entry/src/berylstage_entry/service_times.py
@@ -9,7 +9,7 @@
 SPEED_GAIN = 0.1
 
 
-class TargetSpeeds:
+class TargetServiceTimes:
     """Mean service time, and how slow each target is over the typical one."""
 
     __slots__ = ("_mean", "_slowness")
--- a/packages/entry/src/berylstage_entry/sockets.py
+++ b/packages/entry/src/berylstage_entry/sockets.py
@@ -19,7 +19,7 @@
 _END = POLLRDHUP | POLLHUP | POLLERR
 
 
-class Unread(Enum):
+class ReceiveState(Enum):
     """What waits to be read on a connection."""
 
     NOTHING = "nothing"
@@ -27,7 +27,7 @@
     END = "end"
 
 
-def unread(transport: BaseTransport) -> Unread:
+def unread(transport: BaseTransport) -> ReceiveState:
     """Tell what waits in the socket of a transport, without reading it.
 
     Parameters
@@ -43,7 +43,7 @@
     return unread_in(transport.get_extra_info("socket"))
 
 
-def unread_in(sock: TransportSocket | socket | None) -> Unread:
+def unread_in(sock: TransportSocket | socket | None) -> ReceiveState:
     """Tell what waits in a socket, as for :func:`unread`.
 
     Parameters
@@ -55,15 +55,19 @@
     Unread
     """
     if sock is None or sock.fileno() < 0:
-        return Unread.NOTHING
+        return ReceiveState.NOTHING
     peeked = socket(fileno=sock.fileno())
     try:
-        return Unread.BYTES if peeked.recv(1, MSG_PEEK | MSG_DONTWAIT) else Unread.END
+        return (
+            ReceiveState.BYTES
+            if peeked.recv(1, MSG_PEEK | MSG_DONTWAIT)
+            else ReceiveState.END
+        )
     except BlockingIOError:
-        return Unread.NOTHING
+        return ReceiveState.NOTHING
     except OSError:
         # A reset is an end as well; the transport meets it by itself.
-        return Unread.END
+        return ReceiveState.END
     finally:
         peeked.detach()
 
--- a/packages/entry/src/berylstage_entry/store.py
+++ b/packages/entry/src/berylstage_entry/store.py
@@ -85,9 +85,9 @@
 class Store(ABC):
     """Key-value service with conditions, leases and watches.
 
-    Every method raises :class:`~berylstage_entry.errors.StoreSilent` when no usable
-    answer came and :class:`~berylstage_entry.errors.StoreRefused` when nothing was
-    done.
+    Every method raises :class:`~berylstage_entry.errors.StoreUnavailable` when no
+    usable answer came and :class:`~berylstage_entry.errors.StoreRefused` when nothing
+    was done.
     """
 
     @abstractmethod
--- a/packages/entry/src/berylstage_entry/news.py
+++ b/packages/entry/src/berylstage_entry/store_delta.py
@@ -12,7 +12,7 @@
 import zlib
 from typing import TYPE_CHECKING
 
-from berylstage_entry.errors import UnreadableRecord
+from berylstage_entry.errors import InvalidRecord
 from berylstage_entry.store import Item
 
 if TYPE_CHECKING:
@@ -27,7 +27,7 @@
 FORMAT = 16
 
 
-class News:
+class StoreDelta:
     """The changes of the store between two revisions, as far as they matter.
 
     Parameters
@@ -88,7 +88,7 @@
         else:
             self.items.append(item)
 
-    def since(self, told: Iterable[News]) -> News:
+    def since(self, told: Iterable[StoreDelta]) -> StoreDelta:
         """Return these news with those told before, as far as it fits a datagram.
 
         A datagram may be lost, and a VM that lacks one change has to read for itself:
@@ -114,13 +114,15 @@
             joined = wider
         return joined
 
-    def _with(self, after: int, items: Sequence[Item], named: dict[str, int]) -> News:
+    def _with(
+        self, after: int, items: Sequence[Item], named: dict[str, int]
+    ) -> StoreDelta:
         """Return the same news with other changes, from another revision on."""
-        news = News(after, self.revision, items, named, self.age, self.contact)
+        news = StoreDelta(after, self.revision, items, named, self.age, self.contact)
         news.large = self.large
         return news
 
-    def parts(self) -> list[News]:
+    def parts(self) -> list[StoreDelta]:
         """Return news that fit into a datagram each and together tell the same.
 
         What was left out because it is too much, as when hundreds of targets start,
@@ -141,7 +143,9 @@
         # would never be read by it.
         named = {key: at for key, at in self.named.items() if at <= until}
         rest = {key: at for key, at in self.named.items() if at > until}
-        first = News(self.after, until, items[:cut], named, self.age, self.contact)
+        first = StoreDelta(
+            self.after, until, items[:cut], named, self.age, self.contact
+        )
         second = self._with(until, items[cut:], rest)
         return [*first.parts(), *second.parts()]
 
@@ -155,7 +159,7 @@
         return data if len(data) <= MOST_BYTES else None
 
     @classmethod
-    def decode(cls, data: bytes) -> News:
+    def decode(cls, data: bytes) -> StoreDelta:
         """Read a datagram.
 
         Raises
@@ -171,7 +175,7 @@
             times = float(age), float(contact)
             return cls(int(after), int(revision), items, named, *times)
         except (zlib.error, ValueError, TypeError, AttributeError) as exc:
-            raise UnreadableRecord(f"no news of the store: {exc}") from exc
+            raise InvalidRecord(f"no news of the store: {exc}") from exc
 
 
 def _middle(items: Sequence[Item]) -> int:
--- a/packages/entry/src/berylstage_entry/feed.py
+++ b/packages/entry/src/berylstage_entry/store_watcher.py
@@ -12,19 +12,19 @@
 from berylstage_entry.belief_log import BeliefLog
 from berylstage_entry.clock import now
 from berylstage_entry.contact import StoreContact
-from berylstage_entry.duty_watch import DutyWatch
-from berylstage_entry.errors import HistoryLost, StoreError, UnreadableRecord
-from berylstage_entry.keys import DUTY_KEY, KEYS_PREFIX, OWN_PREFIX
+from berylstage_entry.coordinator_watch import CoordinatorWatch
+from berylstage_entry.errors import InvalidRecord, RevisionCompacted, StoreError
 from berylstage_entry.named_values import NamedValues
-from berylstage_entry.news import LARGEST_VALUE, News
 from berylstage_entry.store import Item
+from berylstage_entry.store_delta import LARGEST_VALUE, StoreDelta
+from berylstage_entry.store_keys import DUTY_KEY, KEYS_PREFIX, OWN_PREFIX
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from berylstage_entry.directory import Directory
+    from berylstage_entry.cluster_view import ClusterView
+    from berylstage_entry.protocols import RecordReader
     from berylstage_entry.store import Store
-    from berylstage_entry.wire import RecordReader
 
 # Seconds between two readings of all changes, or from what another VM told to a reading
 # of one's own. Targets report about once a second each, so a watch without a pause
@@ -66,7 +66,7 @@
 log = Logger(__name__)
 
 
-class Feed:
+class StoreWatcher:
     """Reads and watches the store.
 
     Parameters
@@ -76,7 +76,7 @@
     directory : Directory
     """
 
-    def __init__(self, store: Store, reader: RecordReader, directory: Directory):
+    def __init__(self, store: Store, reader: RecordReader, directory: ClusterView):
         self._store = store
         self._reader = reader
         self._directory = directory
@@ -97,10 +97,10 @@
         # All keys that the store has, as far as this VM knows.
         self._keys: set[str] = set()
         # What this VM told last, the newest first, with the moments.
-        self._told: deque[tuple[float, News]] = deque()
+        self._told: deque[tuple[float, StoreDelta]] = deque()
         # Whether this VM tells the others what it reads, and how.
         self.is_teller: Callable[[], bool] = lambda: False
-        self.tell: Callable[[News], None] = lambda news: None
+        self.tell: Callable[[StoreDelta], None] = lambda news: None
         # VMs that follow the store, as far as is known.
         self.vms = 1
         # Whether this VM is to hear of a vacant duty at once.
@@ -121,7 +121,7 @@
         """Begin to follow."""
         self._tasks = [
             asyncio.create_task(self._follow_all()),
-            asyncio.create_task(DutyWatch(self._store, self).run()),
+            asyncio.create_task(CoordinatorWatch(self._store, self).run()),
         ]
 
     def stop(self) -> None:
@@ -181,7 +181,7 @@
         """Have the next reading done soon: something known has turned out to be old."""
         self._hurried.set()
 
-    def take_news(self, news: News) -> bool:
+    def take_news(self, news: StoreDelta) -> bool:
         """Take in what another VM has read; False when it has to be read here.
 
         Parameters
@@ -269,7 +269,7 @@
                 self._least_pause = RETRY
                 self.note_answer()
                 await self._pause()
-            except HistoryLost:
+            except RevisionCompacted:
                 self._must_read_all = True
             except StoreError as exc:
                 self.note_failure(exc)
@@ -311,7 +311,7 @@
             self._tell("targets")
 
     async def _read_all(self) -> None:
-        news, began = News(self._revision, 0, []), now()
+        news, began = StoreDelta(self._revision, 0, []), now()
         changes = await self._store.read("")
         was_told = self._revision != news.after
         if was_told and self._revision >= changes.revision:
@@ -352,7 +352,7 @@
         self._tell("read")
 
     async def _watch_all(self) -> None:
-        news, began = News(self._revision, 0, []), now()
+        news, began = StoreDelta(self._revision, 0, []), now()
         # A teller that stood still during a long wait could not tell how old the answer
         # is: a call that waits for nothing is as old as it took, on a clock that counts
         # suspended time.
@@ -374,7 +374,7 @@
         """Tell whether this VM tells others what it reads."""
         return self.is_teller() or self.is_deputy()
 
-    def _tell_others(self, news: News, began: float) -> None:
+    def _tell_others(self, news: StoreDelta, began: float) -> None:
         """Tell the other VMs what was read, with what was told a moment ago.
 
         Not for a reading during which this VM was told something itself: what it knew
@@ -401,7 +401,7 @@
             return True
         try:
             record = self._reader.read(item)
-        except UnreadableRecord:
+        except InvalidRecord:
             # It names nothing that could be used; each reader logs it when it takes it.
             return False
         if record is None or record.target is None:
@@ -421,7 +421,7 @@
             return None
         try:
             record = self._reader.read(item)
-        except UnreadableRecord as exc:
+        except InvalidRecord as exc:
             if self._unreadable.get(item.key) != item.value:
                 self._unreadable[item.key] = item.value or b""
                 log.warning(
@@ -513,7 +513,7 @@
             return False
         try:
             record = self._reader.read(item)
-        except UnreadableRecord:
+        except InvalidRecord:
             # Whoever reads it in the store logs it.
             return False
         return record is not None and record.configuration is not None
--- a/packages/entry/src/berylstage_entry/senders.py
+++ b/packages/entry/src/berylstage_entry/target_clients.py
@@ -11,8 +11,8 @@
 from berylstage_transfers.rest import Rest
 
 if TYPE_CHECKING:
+    from berylstage_entry.protocols import CallerRequest, TargetAnswer, TargetProtocol
     from berylstage_entry.targets import Target
-    from berylstage_entry.wire import CallerRequest, TargetAnswer, TargetWire
 
 # Minimum number of connections from one VM to a target. With two, 65 VMs could open 130
 # connections to targets that accept 95 and reset the rest together with their requests.
@@ -25,7 +25,7 @@
 MAX_IDLE_SECONDS = 7
 
 
-class Sender:
+class TargetClient:
     """Sends requests to one incarnation of a target.
 
     Parameters
@@ -40,7 +40,9 @@
 
     __slots__ = ("_client", "_is_retired", "_in_flight", "_wire", "target")
 
-    def __init__(self, target: Target, wire: TargetWire, connections: int, rest: Rest):
+    def __init__(
+        self, target: Target, wire: TargetProtocol, connections: int, rest: Rest
+    ):
         self.target = target
         self._wire = wire
         self._client = CallClient(connections, max_idle=MAX_IDLE_SECONDS, rest=rest)
@@ -115,7 +117,7 @@
             asyncio.get_running_loop().call_soon(self._client.close)
 
 
-class Senders:
+class TargetClients:
     """Clients of all targets.
 
     Parameters
@@ -125,16 +127,16 @@
 
     __slots__ = ("_rests", "_retired", "_senders", "_wire", "vms")
 
-    def __init__(self, wire: TargetWire):
+    def __init__(self, wire: TargetProtocol):
         self._wire = wire
-        self._senders: dict[str, Sender] = {}
+        self._senders: dict[str, TargetClient] = {}
         self._rests: dict[str, Rest] = {}
         # Clients of removed targets with requests in flight.
-        self._retired: list[Sender] = []
+        self._retired: list[TargetClient] = []
         # Number of VMs that share a target's connections.
         self.vms = 10
 
-    def get(self, target: Target, connections: int) -> Sender:
+    def get(self, target: Target, connections: int) -> TargetClient:
         """Return the client of a target.
 
         Parameters
@@ -150,7 +152,9 @@
                 return sender
             self._retire(sender)
         rest = self._rests.setdefault(target.service, Rest())
-        sender = Sender(target, self._wire, self.connection_share(connections), rest)
+        sender = TargetClient(
+            target, self._wire, self.connection_share(connections), rest
+        )
         self._senders[target.name] = sender
         return sender
 
@@ -177,7 +181,7 @@
         self._senders.clear()
         self._retired.clear()
 
-    def _retire(self, sender: Sender) -> None:
+    def _retire(self, sender: TargetClient) -> None:
         self._retired = [old for old in self._retired if old.is_busy]
         sender.retire()
         if sender.is_busy:
--- a/packages/entry/src/berylstage_entry/target_loads.py
+++ b/packages/entry/src/berylstage_entry/target_loads.py
@@ -12,9 +12,9 @@
 if TYPE_CHECKING:
     from random import Random
 
-    from berylstage_entry.directory import Directory
+    from berylstage_entry.cluster_view import ClusterView
+    from berylstage_entry.protocols import TargetAnswer
     from berylstage_entry.targets import Target
-    from berylstage_entry.wire import TargetAnswer
 
 # Gain of a new answer in the mean answer size of its kind.
 ANSWER_SIZE_GAIN = 0.05
@@ -31,7 +31,7 @@
     rng : Random
     """
 
-    def __init__(self, directory: Directory, rng: Random):
+    def __init__(self, directory: ClusterView, rng: Random):
         self._directory = directory
         self._rng = rng
         self._by_service: dict[str, ServiceLoads] = {}
--- a/packages/entry/tests/fakes.py
+++ b/packages/entry/tests/fakes.py
@@ -10,17 +10,17 @@
 from berylstage_entry.clock import now
 from berylstage_entry.errors import (
     Conflict,
-    HistoryLost,
-    LeaseEnded,
-    StoreSilent,
-    TargetEnded,
+    LeaseExpired,
+    RevisionCompacted,
+    StoreUnavailable,
+    TargetReplaced,
 )
-from berylstage_entry.routes import Route, Share
+from berylstage_entry.protocols import Record, RecordReader, TargetProtocol
+from berylstage_entry.routes import Route, WeightedService
 from berylstage_entry.services import Configuration, Limits, Service
 from berylstage_entry.settings import Bounds, EntrySettings
 from berylstage_entry.store import Changes, Item, Store
 from berylstage_entry.targets import LoadReport, Target
-from berylstage_entry.wire import Record, RecordReader, TargetWire
 from berylstage_transfers.errors import AnswerLost, NeverSent, NothingListens
 
 LIMITS = Limits(16384, 1 << 20, 3.0, 15.0)
@@ -36,7 +36,7 @@
 
 
 def configuration(version: int = 1, owns_keys: bool = True) -> Configuration:
-    route = Route("r", "h", "/a/", [Share("s", 1.0)], True, 2, 1.0, 0.3, 1)
+    route = Route("r", "h", "/a/", [WeightedService("s", 1.0)], True, 2, 1.0, 0.3, 1)
     return Configuration(
         version, [route], [Service("s", "/", 50, 3.0, 5.0, owns_keys)], LIMITS
     )
@@ -75,7 +75,7 @@
 
     def _check(self):
         if self.away:
-            raise StoreSilent("away")
+            raise StoreUnavailable("away")
         for lease, end in list(self.leases.items()):
             if now() > end:
                 self._drop_lease(lease)
@@ -109,7 +109,7 @@
         while True:
             self._check()
             if after < self.compacted:
-                raise HistoryLost("compacted")
+                raise RevisionCompacted("compacted")
             found = [
                 i for i in self.log if i.revision > after and i.key.startswith(prefix)
             ]
@@ -124,7 +124,7 @@
                 self.late_writes, self._write_late, conditions, writes, removals
             )
             await asyncio.sleep(0.1)
-            raise StoreSilent("the answer is lost")
+            raise StoreUnavailable("the answer is lost")
         if self.write_delay:
             await asyncio.sleep(self.write_delay)
             self._check()
@@ -133,7 +133,7 @@
     def _write_late(self, conditions, writes, removals):
         try:
             self._write(conditions, writes, removals)
-        except (Conflict, LeaseEnded):
+        except (Conflict, LeaseExpired):
             return
 
     def _write(self, conditions, writes, removals):
@@ -143,7 +143,7 @@
                 raise Conflict(c.key)
         for w in writes:
             if w.lease and w.lease not in self.leases:
-                raise LeaseEnded(str(w.lease))
+                raise LeaseExpired(str(w.lease))
         for key in removals:
             self.put(key, None)
         for w in writes:
@@ -163,7 +163,7 @@
     async def keep_lease(self, lease):
         self._check()
         if lease not in self.leases:
-            raise LeaseEnded(str(lease))
+            raise LeaseExpired(str(lease))
         self.leases[lease] = now() + self.lengths[lease]
 
     async def end_lease(self, lease):
@@ -180,7 +180,7 @@
 
     def _reach(self):
         if self.away:
-            raise StoreSilent("away")
+            raise StoreUnavailable("away")
 
     async def read(self, prefix):
         self._reach()
@@ -240,7 +240,7 @@
         self.start, self.end = start, end
 
 
-class FencedTargets(TargetWire):
+class FencedTargets(TargetProtocol):
     """Targets that keep to fences and write down who held what and when.
 
     A release takes keys back and, as on the platform, leaves no fence behind: only a
@@ -301,7 +301,7 @@
     async def grant(self, target, order, timeout):
         self.ordered.append((target.name, order.first, order.fence))
         if target.name in self.ended:
-            raise TargetEnded(target.name)
+            raise TargetReplaced(target.name)
         await self._connect(target.name)
         process = self._process(target.name)
         await asyncio.sleep(self.grant_delay + self._rng.uniform(0, self.delay))
@@ -381,7 +381,7 @@
     async def probe(self, target, path, timeout):
         self.probed.append(target.name)
         if target.name in self.ended:
-            raise TargetEnded(target.name)
+            raise TargetReplaced(target.name)
         await self._connect(target.name)
         await asyncio.sleep(self.probe_delay)
         if target.name in self.silent:
--- a/packages/entry/tests/fleet.py
+++ b/packages/entry/tests/fleet.py
@@ -6,10 +6,10 @@
 import json
 
 from berylstage_entry.clock import now
-from berylstage_entry.directory import Directory
-from berylstage_entry.feed import Feed
-from berylstage_entry.keys import DUTY_KEY
-from berylstage_entry.news import News
+from berylstage_entry.cluster_view import ClusterView
+from berylstage_entry.store_delta import StoreDelta
+from berylstage_entry.store_keys import DUTY_KEY
+from berylstage_entry.store_watcher import StoreWatcher
 from fakes import JsonRecords, MemoryStore, StoreView, configuration
 
 
@@ -47,7 +47,7 @@
         records = JsonRecords({1: configuration(1), 2: configuration(2)})
         for n in range(vms):
             view = CountingView(self.store, self.calls)
-            feed = Feed(view, records, Directory())
+            feed = StoreWatcher(view, records, ClusterView())
             feed.vms = vms
             feed.is_teller = lambda n=n: n == 0
             feed.is_standby = lambda n=n: n < 3
@@ -59,7 +59,7 @@
         for n, feed in enumerate(self.feeds):
             if n and n not in self.cut:
                 for part in told.parts():
-                    feed.take_news(News.decode(part.encode()))
+                    feed.take_news(StoreDelta.decode(part.encode()))
 
     def cut_off(self, numbers, but_told=False):
         """Cut VMs off from the store, and from the others unless they are told."""
--- a/packages/entry/tests/granting_world.py
+++ b/packages/entry/tests/granting_world.py
@@ -7,10 +7,10 @@
 from random import Random
 
 from berylstage_entry.clock import now
-from berylstage_entry.directory import Directory
-from berylstage_entry.feed import Feed
-from berylstage_entry.granting import Granting
-from berylstage_entry.office import CONTACT_PATH, Office
+from berylstage_entry.cluster_view import ClusterView
+from berylstage_entry.coordinator_election import CONTACT_PATH, CoordinatorElection
+from berylstage_entry.grant_controller import GrantController
+from berylstage_entry.store_watcher import StoreWatcher
 from berylstage_policy.candidates import Candidate
 from berylstage_policy.standby import stands_by
 from fakes import (
@@ -58,14 +58,18 @@
 
     def __init__(self, name, world):
         self.view = StoreView(world.store)
-        directory = Directory()
-        self.feed = Feed(self.view, JsonRecords({1: configuration()}), directory)
+        directory = ClusterView()
+        self.feed = StoreWatcher(
+            self.view, JsonRecords({1: configuration()}), directory
+        )
         cfg = settings(name, 1)
         # The address by which peers ask it.
         cfg.control = name
         peers = _Peers(world, name)
-        self.office = Office(cfg, self.view, self.feed, peers, Random(name))
-        self.granting = Granting(
+        self.office = CoordinatorElection(
+            cfg, self.view, self.feed, peers, Random(name)
+        )
+        self.granting = GrantController(
             self.view, self.feed, directory, self.office, world.wire
         )
         self.office.inherit = self.granting.inherit
--- a/packages/entry/tests/test_application.py
+++ b/packages/entry/tests/test_application.py
@@ -8,9 +8,9 @@
 import pytest
 from berylstage_entry import stopping
 from berylstage_entry.application import EntryApplication
+from berylstage_entry.permit_client import Permit
+from berylstage_entry.permit_messages import PermitRelease
 from berylstage_entry.settings import Bounds
-from berylstage_entry.turn_messages import Return
-from berylstage_entry.turns import Turn
 from fakes import (
     BOUNDS,
     FencedTargets,
@@ -46,7 +46,7 @@
     try:
         await asyncio.sleep(60)
     finally:
-        app.turns.done(Turn(TURN, "s", "127.0.0.2"))
+        app.turns.done(Permit(TURN, "s", "127.0.0.2"))
 
 
 class TestStop:
@@ -94,7 +94,7 @@
                     caller.sendall(b"GET /a/ HTTP/1.1\r\nHost: h\r\n\r\n")
                     await asyncio.sleep(0.1)
                     await app.stop()
-                assert Return.decode(keeper.recv(64)).number == TURN
+                assert PermitRelease.decode(keeper.recv(64)).number == TURN
 
         asyncio.run(play())
 
--- a/packages/entry/tests/test_assignment.py
+++ b/packages/entry/tests/test_assignment.py
@@ -7,12 +7,12 @@
 
 import pytest
 from berylstage_entry import assignment as module
-from berylstage_entry.announcements import Announcements
 from berylstage_entry.assignment import LAST_KEY, Assignment, KeyRange, nobody
-from berylstage_entry.changes import AssignmentChange
-from berylstage_entry.directory import Directory
-from berylstage_entry.feed import Feed
+from berylstage_entry.assignment_delta import AssignmentDelta
+from berylstage_entry.cluster_view import ClusterView
+from berylstage_entry.peer_updates import PeerUpdates
 from berylstage_entry.store import Item
+from berylstage_entry.store_watcher import StoreWatcher
 from fakes import JsonRecords
 from hypothesis import given
 from hypothesis import strategies as st
@@ -88,8 +88,8 @@
         # Busy keys move ten times a second, and each of 195 VMs checks each change.
         # With all ranges encoded and compressed for it a small VM did little else:
         # answers came late all over while keys moved.
-        feed = Feed(None, JsonRecords(), Directory())
-        tellings = Announcements(feed, None, "127.0.0.1:1")
+        feed = StoreWatcher(None, JsonRecords(), ClusterView())
+        tellings = PeerUpdates(feed, None, "127.0.0.1:1")
         old = cut_up(count)
         feed.take_told(Item("berylstage/keys/s", old.encode(), 5))
         old.digest()
@@ -98,7 +98,7 @@
             KeyRange(r.first, r.last, "new", 1, 6000 + n)
             for n, r in enumerate(old.ranges[: 12 * 3 : 3])
         ]
-        change = AssignmentChange.between("s", 5, old, 6, old.replace(moved, 7000))
+        change = AssignmentDelta.between("s", 5, old, 6, old.replace(moved, 7000))
         (told,) = change.encode()
         sums = []
         crc32 = module.zlib.crc32
--- a/packages/entry/tests/test_budget.py
+++ b/packages/entry/tests/test_budget.py
@@ -6,7 +6,7 @@
 
 import pytest
 from berylstage_entry.router import BUDGET_USE
-from berylstage_policy.retries import Budget
+from berylstage_policy.retries import RetryBudget
 
 RATIO = 0.2
 ALLOWANCE = 60.0
@@ -18,7 +18,7 @@
     rng = Random(seed)
 
     def fresh():
-        return Budget(RATIO * BUDGET_USE, max(1.0, ALLOWANCE / (2 * (vms + 2))))
+        return RetryBudget(RATIO * BUDGET_USE, max(1.0, ALLOWANCE / (2 * (vms + 2))))
 
     budgets = [fresh() for _ in range(vms)]
     requests, repeats = [], []
--- a/packages/entry/tests/test_directory.py
+++ b/packages/entry/tests/test_cluster_view.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from berylstage_entry.directory import LAPSE_GRACE, Directory
-from berylstage_entry.wire import Record
+from berylstage_entry.cluster_view import LAPSE_GRACE, ClusterView
+from berylstage_entry.protocols import Record
 from fakes import configuration, target
 
 
 def directory(*names):
-    found = Directory()
+    found = ClusterView()
     found.apply(Record(configuration=configuration(3)), 0.0, False)
     for name in names:
         found.apply(Record(target=target(name)), 0.0, False)
--- a/packages/entry/tests/test_connection.py
+++ b/packages/entry/tests/test_connection.py
@@ -7,18 +7,18 @@
 import pytest
 from berylstage_entry.connection import MOST_AT_ONCE, UNREAD, CallerConnection
 from berylstage_entry.errors import Refused
-from berylstage_entry.journal import RequestJournal
-from berylstage_entry.journey import Answered
 from berylstage_entry.metrics import Metrics
+from berylstage_entry.protocols import CallerProtocol, CallerRequest, TargetAnswer
+from berylstage_entry.request_context import RoutedAnswer
+from berylstage_entry.request_log import RequestLog
 from berylstage_entry.server import CallerServer
-from berylstage_entry.wire import CallerRequest, CallerWire, TargetAnswer
 from fakes import LIMITS
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from virtual_time import virtual_loop
 
 
-class PlainCallers(CallerWire):
+class PlainCallers(CallerProtocol):
     def request(self, method, uri, headers):
         return CallerRequest(uri, method, "h", uri, {}, 5.0, None)
 
@@ -45,7 +45,7 @@
             raise
         body = req.path.encode() + req.body + b"x" * self.size
         answer = TargetAnswer(200, [], body, False, False, True, None, False)
-        return Answered(answer, "a", 1)
+        return RoutedAnswer(answer, "a", 1)
 
     def end(self, path, exc=None):
         if exc is not None:
@@ -96,7 +96,7 @@
 
     def __init__(self, idle_time=60.0):
         self.router = HeldRouter()
-        journal = RequestJournal(Metrics())
+        journal = RequestLog(Metrics())
         callers = PlainCallers()
         self.server = CallerServer(callers, self.router, journal, lambda: LIMITS)
         self.server.idle_time = idle_time
--- a/packages/entry/tests/test_office.py
+++ b/packages/entry/tests/test_coordinator_election.py
@@ -7,8 +7,8 @@
 
 import pytest
 from berylstage_entry.clock import now
-from berylstage_entry.keys import DUTY_KEY
-from berylstage_entry.office import LEASE, SHORTEST_TERM
+from berylstage_entry.coordinator_election import LEASE, SHORTEST_TERM
+from berylstage_entry.store_keys import DUTY_KEY
 from fakes import LateAnswers, StoreView
 from granting_world import VMS, World
 from virtual_time import virtual_loop
--- a/packages/entry/tests/test_granting.py
+++ b/packages/entry/tests/test_grant_controller.py
@@ -8,10 +8,10 @@
 
 import pytest
 from berylstage_entry.clock import now
-from berylstage_entry.directory import Directory
-from berylstage_entry.feed import Feed
-from berylstage_entry.granting import MANY_RANGES, Granting
-from berylstage_entry.office import CONTACT_PATH, Office
+from berylstage_entry.cluster_view import ClusterView
+from berylstage_entry.coordinator_election import CONTACT_PATH, CoordinatorElection
+from berylstage_entry.grant_controller import MANY_RANGES, GrantController
+from berylstage_entry.store_watcher import StoreWatcher
 from fakes import (
     FencedTargets,
     JsonRecords,
@@ -57,13 +57,15 @@
 
     def __init__(self, name, store, wire):
         records = JsonRecords({1: configuration()})
-        self.directory = Directory()
-        self.feed = Feed(store, records, self.directory)
+        self.directory = ClusterView()
+        self.feed = StoreWatcher(store, records, self.directory)
         self.cfg = cfg = settings(name, int(name[-1]))
         self.dead = False
         self.peers = KnownPeers()
-        self.office = Office(cfg, store, self.feed, self.peers, Random(1))
-        self.granting = Granting(store, self.feed, self.directory, self.office, wire)
+        self.office = CoordinatorElection(cfg, store, self.feed, self.peers, Random(1))
+        self.granting = GrantController(
+            store, self.feed, self.directory, self.office, wire
+        )
         self.office.inherit = self.granting.inherit
 
     def start(self):
--- a/packages/entry/tests/test_holds.py
+++ b/packages/entry/tests/test_grant_expiry.py
@@ -2,17 +2,17 @@
 
 from __future__ import annotations
 
-from berylstage_entry.holds import TargetHold
+from berylstage_entry.grant_expiry import TargetGrants
 
 
 class TestRefusals:
     def test_one_refusal_ends_nothing(self):
-        hold = TargetHold()
+        hold = TargetGrants()
         hold.refused(10.0)
         assert not hold.has_ended
 
     def test_refusals_for_a_while_end_a_life(self):
-        hold = TargetHold()
+        hold = TargetGrants()
         hold.refused(10.0)
         hold.refused(11.0)
         assert hold.has_ended
@@ -21,7 +21,7 @@
     def test_life_that_goes_on_is_no_more_silent(self):
         # Guards against a target that gets no key for as long as it lives, since its
         # port once refused connections.
-        hold = TargetHold()
+        hold = TargetGrants()
         hold.refused(10.0)
         hold.refused(11.0)
         hold.came_back()
--- a/packages/entry/tests/test_reports.py
+++ b/packages/entry/tests/test_load_reporter.py
@@ -7,14 +7,14 @@
 from random import Random
 
 import pytest
-from berylstage_entry import reports
-from berylstage_entry.directory import Directory
-from berylstage_entry.reports import MOST, PERIOD, Reports, encode
-from berylstage_entry.wire import Record
+from berylstage_entry import load_reporter
+from berylstage_entry.cluster_view import ClusterView
+from berylstage_entry.load_reporter import MOST, PERIOD, LoadReporter, encode
+from berylstage_entry.protocols import Record
 from fakes import configuration
 
 
-class Office:
+class CoordinatorElection:
     def __init__(self, address):
         self._address = address
 
@@ -25,7 +25,7 @@
         return self._address
 
 
-class Granting:
+class GrantController:
     def __init__(self):
         self.counts = []
         self.speeds = []
@@ -64,10 +64,12 @@
 
 
 def vm(address=""):
-    directory = Directory()
+    directory = ClusterView()
     directory.apply(Record(configuration=configuration()), 0.0, False)
-    exchange, granting, router = Exchange(), Granting(), Router()
-    each = Reports(router, granting, Office(address), directory, exchange, Random(1))
+    exchange, granting, router = Exchange(), GrantController(), Router()
+    each = LoadReporter(
+        router, granting, CoordinatorElection(address), directory, exchange, Random(1)
+    )
     return each, router, granting, exchange
 
 
@@ -135,4 +137,4 @@
     def test_more_vms_tell_less_often_each(self):
         # With 76 VMs the VM with the duty would be told of all targets 76 times a
         # second, and by the last ten words only.
-        assert reports.SPEEDS_RATE / 76 < 1 / 5
+        assert load_reporter.SPEEDS_RATE / 76 < 1 / 5
--- a/packages/entry/tests/test_logs.py
+++ b/packages/entry/tests/test_logs.py
@@ -11,7 +11,7 @@
 import pytest
 from berylstage_entry import line_writers
 from berylstage_entry.line_writers import FileWriter, PipeWriter, line_writer
-from berylstage_entry.logs import JsonLines
+from berylstage_entry.logs import JsonLogHandler
 from berylstage_entry.stopping import STOP_SIGNALS
 from logbook import Logger
 
@@ -41,7 +41,7 @@
         # no notice of a descriptor that is not to block.
         with path.open("wb") as file:
             monkeypatch.setattr(sys, "stdout", file)
-            lines = JsonLines("vm-1")
+            lines = JsonLogHandler("vm-1")
             began = time.monotonic()
             with lines.applicationbound():
                 for n in range(20):
--- a/packages/entry/tests/test_loop_watch.py
+++ b/packages/entry/tests/test_loop_lag.py
@@ -7,7 +7,7 @@
 
 import logbook
 import pytest
-from berylstage_entry.loop_watch import Delay, LoopWatch, SchedulerPage, Usage
+from berylstage_entry.loop_lag import Delay, LoopLagMonitor, SchedulerPage, Usage
 from berylstage_entry.metrics import Metrics
 
 HELD_UP = 0.3
@@ -49,7 +49,7 @@
         metrics = Metrics()
 
         async def scenario():
-            watch = LoopWatch(metrics, lambda: 0.0)
+            watch = LoopLagMonitor(metrics, lambda: 0.0)
             watch.start()
             await asyncio.sleep(0.05)
             hold_up()
--- a/packages/entry/tests/test_membership.py
+++ b/packages/entry/tests/test_membership.py
@@ -6,10 +6,10 @@
 import json
 
 from berylstage_entry import membership as module
-from berylstage_entry.directory import Directory
-from berylstage_entry.feed import Feed
+from berylstage_entry.cluster_view import ClusterView
 from berylstage_entry.membership import KEEP, VMS_PREFIX, Membership
 from berylstage_entry.store import Item
+from berylstage_entry.store_watcher import StoreWatcher
 from fakes import JsonRecords, LateAnswers, MemoryStore, settings
 from virtual_time import virtual_loop
 
@@ -18,7 +18,7 @@
 
 def member(vm):
     """Return what a VM knows of four of one data centre, by their records."""
-    feed = Feed(None, JsonRecords(), Directory())
+    feed = StoreWatcher(None, JsonRecords(), ClusterView())
     membership = Membership(settings(vm), None, feed)
     for revision, name in enumerate(VMS, 1):
         doc = {"control": f"{name}:1", "data_centre": "dc-1", "power": 1.0}
@@ -48,7 +48,7 @@
         monkeypatch.setattr(
             module.json, "loads", lambda value: read.append(value) or loads(value)
         )
-        feed = Feed(None, JsonRecords(), Directory())
+        feed = StoreWatcher(None, JsonRecords(), ClusterView())
         membership = Membership(settings("vm-0"), None, feed)
         for n in range(200):
             doc = {"control": f"10.0.0.{n}:1", "data_centre": "dc-1", "power": 1.0}
@@ -60,7 +60,7 @@
 
     def test_reading_without_news_changes_nothing(self):
         # What is worked out from the known VMs is worked out anew at each change.
-        feed = Feed(None, JsonRecords(), Directory())
+        feed = StoreWatcher(None, JsonRecords(), ClusterView())
         membership = Membership(settings("vm-0"), None, feed)
         doc = {"control": "10.0.0.1:1", "data_centre": "dc-1", "power": 1.0}
         item = Item(VMS_PREFIX + "vm-1", json.dumps(doc).encode(), 1)
@@ -79,7 +79,7 @@
         # asked for turns, because it stopped before it knew that its key was written.
         async def play():
             store = MemoryStore()
-            feed = Feed(store, JsonRecords(), Directory())
+            feed = StoreWatcher(store, JsonRecords(), ClusterView())
             membership = Membership(settings("vm-1"), LateAnswers(store), feed)
             membership.start()
             await asyncio.sleep(0.1)
--- a/packages/entry/tests/test_ownership_mutations.py
+++ b/packages/entry/tests/test_ownership_mutations.py
@@ -10,10 +10,10 @@
 
 import pytest
 from berylstage_entry.clock import now
-from berylstage_entry.holds import ORDER_TIMEOUT, TargetHold
-from berylstage_entry.moves import Moves
-from berylstage_entry.office import Office
-from berylstage_entry.renewals import TICK, Renewals
+from berylstage_entry.coordinator_election import CoordinatorElection
+from berylstage_entry.grant_expiry import ORDER_TIMEOUT, TargetGrants
+from berylstage_entry.grant_renewer import TICK, GrantRenewer
+from berylstage_entry.key_moves import KeyMoves
 from granting_world import VMS, World
 from virtual_time import virtual_loop
 
@@ -113,49 +113,49 @@
 MUTATIONS = [
     pytest.param(
         leaving_target_falls_silent,
-        Moves,
+        KeyMoves,
         "_lapsed",
         lambda self, r: True,
         id="no wait for the holds of a silent owner",
     ),
     pytest.param(
         target_falls_silent,
-        TargetHold,
+        TargetGrants,
         "ordered",
         lambda self, now, hold, first, last: None,
         id="orders without an answer forgotten",
     ),
     pytest.param(
         holder_lost_in_an_outage_beside_a_silent_target,
-        Office,
+        CoordinatorElection,
         "_was_steady",
         steady,
         id="contact with the store taken for granted",
     ),
     pytest.param(
         holder_lost_in_an_outage_beside_a_silent_target,
-        Office,
+        CoordinatorElection,
         "others_lapse",
         property(lambda self: 0.0, lambda self, value: None),
         id="holds of former holders forgotten",
     ),
     pytest.param(
         holder_starts_anew_in_an_outage,
-        Office,
+        CoordinatorElection,
         "may_hand_on",
         lambda self, body: True,
         id="a new process speaks for the former one",
     ),
     pytest.param(
         silent_target_answers_as_its_keys_move,
-        Renewals,
+        GrantRenewer,
         "_renew",
         renew_what_was_due_before,
         id="renewals worked out before a move",
     ),
     pytest.param(
         busy_keys_move_while_renewals_are_on_their_way,
-        Moves,
+        KeyMoves,
         "_release",
         release_alone,
         id="release without a fence",
--- a/packages/entry/tests/test_datagrams.py
+++ b/packages/entry/tests/test_peer_datagrams.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
-from berylstage_entry.datagrams import Datagrams
 from berylstage_entry.membership import Member
+from berylstage_entry.peer_datagrams import PeerDatagrams
 
 HOSTS = ("10.0.0.1", "10.0.0.2", "10.0.1.1")
 
@@ -35,7 +35,7 @@
 
 
 def datagrams():
-    each = Datagrams(Members(), HOSTS[0], 7)
+    each = PeerDatagrams(Members(), HOSTS[0], 7)
     each._transport = Transport()
     return each, each._transport.sent
 
@@ -72,12 +72,12 @@
         assert sent == []
 
     def test_what_comes_before_the_socket_is_open_is_left_out(self):
-        Datagrams(Members(), HOSTS[0], 7).send(b"x")
+        PeerDatagrams(Members(), HOSTS[0], 7).send(b"x")
 
     def test_reaches_another_vm(self):
         async def play():
-            one, other = Datagrams(Members(), "127.0.0.1", 0), []
-            each = Datagrams(Members(), "127.0.0.1", 0)
+            one, other = PeerDatagrams(Members(), "127.0.0.1", 0), []
+            each = PeerDatagrams(Members(), "127.0.0.1", 0)
             each.takers[1] = lambda data, host: other.append(data)
             one.start()
             each.start()
--- a/packages/entry/tests/test_announcements.py
+++ b/packages/entry/tests/test_peer_updates.py
@@ -5,12 +5,12 @@
 import json
 import zlib
 
-from berylstage_entry.announcements import Announcements
 from berylstage_entry.assignment import Assignment, KeyRange, nobody
-from berylstage_entry.changes import AssignmentChange
-from berylstage_entry.directory import Directory
-from berylstage_entry.feed import Feed
+from berylstage_entry.assignment_delta import AssignmentDelta
+from berylstage_entry.cluster_view import ClusterView
+from berylstage_entry.peer_updates import PeerUpdates
 from berylstage_entry.store import Item
+from berylstage_entry.store_watcher import StoreWatcher
 from fakes import JsonRecords, configuration
 
 
@@ -23,8 +23,8 @@
     def test_older_assignment_does_not_replace_a_newer_one(self):
         # Two tellings cross on the way. The older one, taken last, would send requests
         # to a target that has given the keys up.
-        feed = Feed(None, JsonRecords(), Directory())
-        tellings = Announcements(feed, None, "127.0.0.1:1")
+        feed = StoreWatcher(None, JsonRecords(), ClusterView())
+        tellings = PeerUpdates(feed, None, "127.0.0.1:1")
         newer = nobody().replace([], 77)
         assert tellings.take(told("berylstage/keys/s", 9, newer.encode()))
         assert tellings.take(told("berylstage/keys/s", 8, nobody().encode()))
@@ -33,24 +33,26 @@
     def test_configuration_is_taken_and_never_goes_back(self):
         # A configuration is told ahead of the news that names it. A VM that has a newer
         # one must keep it, whatever comes late.
-        directory = Directory()
+        directory = ClusterView()
         records = JsonRecords({n: configuration(n) for n in (1, 2)})
-        tellings = Announcements(Feed(None, records, directory), None, "127.0.0.1:1")
+        tellings = PeerUpdates(
+            StoreWatcher(None, records, directory), None, "127.0.0.1:1"
+        )
         assert tellings.take(told("cfg", 9, b"2"))
         assert tellings.take(told("cfg", 8, b"1"))
         assert directory.configuration.version == 2
 
     def test_report_of_a_target_is_passed_over(self):
         # An older report that comes late would call a target willing that is leaving.
-        directory = Directory()
-        feed = Feed(None, JsonRecords(), directory)
-        tellings = Announcements(feed, None, "127.0.0.1:1")
+        directory = ClusterView()
+        feed = StoreWatcher(None, JsonRecords(), directory)
+        tellings = PeerUpdates(feed, None, "127.0.0.1:1")
         assert not tellings.take(told("t/a", 9, b"{}"))
         assert directory.known == {}
 
     def test_anything_but_assignments_and_configurations_is_passed_over(self):
-        feed = Feed(None, JsonRecords(), Directory())
-        tellings = Announcements(feed, None, "127.0.0.1:1")
+        feed = StoreWatcher(None, JsonRecords(), ClusterView())
+        tellings = PeerUpdates(feed, None, "127.0.0.1:1")
         assert not tellings.take(told("berylstage/duty", 9, b"{}"))
         assert not tellings.take(b"\x00not a telling")
         assert not tellings.take(zlib.compress(b"[]"))
@@ -60,17 +62,17 @@
 class TestChanges:
     def told_pair(self):
         sent = []
-        teller = Announcements(None, None, "127.0.0.1:1")
+        teller = PeerUpdates(None, None, "127.0.0.1:1")
         teller.send = sent.append
-        feed = Feed(None, JsonRecords(), Directory())
-        taker = Announcements(feed, None, "127.0.0.1:2")
+        feed = StoreWatcher(None, JsonRecords(), ClusterView())
+        taker = PeerUpdates(feed, None, "127.0.0.1:2")
         return teller, sent, feed, taker
 
     def item(self, assignment, revision):
         return Item("berylstage/keys/s", assignment.encode(), revision)
 
     def change(self, old, before, new, revision):
-        return AssignmentChange.between("s", before, old, revision, new)
+        return AssignmentDelta.between("s", before, old, revision, new)
 
     def steps(self):
         ranges = [KeyRange(n * 256, n * 256 + 255, f"t{n}", 1, n) for n in range(256)]
--- a/packages/entry/tests/test_turns.py
+++ b/packages/entry/tests/test_permit_client.py
@@ -7,24 +7,29 @@
 
 import pytest
 from berylstage_entry.clock import now
-from berylstage_entry.directory import Directory
-from berylstage_entry.errors import TurnRefused, UnreadableRecord
-from berylstage_entry.journey import Journey
+from berylstage_entry.cluster_view import ClusterView
+from berylstage_entry.errors import InvalidRecord, PermitRefused
 from berylstage_entry.membership import Member
-from berylstage_entry.queue_keeper import QueueKeeper
-from berylstage_entry.router import Router
-from berylstage_entry.senders import Senders
-from berylstage_entry.targets import LoadReport
-from berylstage_entry.turn_messages import Ask, Reply, Return, checksum
-from berylstage_entry.turns import (
+from berylstage_entry.permit_client import (
     MAX_ATTEMPTS,
     MAX_REPLY_TIMEOUT_SECONDS,
     MIN_REPLY_TIMEOUT_SECONDS,
+    PermitClient,
     ReplyTimeout,
-    Turns,
 )
-from berylstage_entry.wire import CallerRequest, Record
-from berylstage_policy.keepers import SERVER_BACKOFF_SECONDS
+from berylstage_entry.permit_messages import (
+    PermitRelease,
+    PermitReply,
+    PermitRequest,
+    checksum,
+)
+from berylstage_entry.permit_server import PermitServer
+from berylstage_entry.protocols import CallerRequest, Record
+from berylstage_entry.request_context import RequestContext
+from berylstage_entry.router import Router
+from berylstage_entry.target_clients import TargetClients
+from berylstage_entry.targets import LoadReport
+from berylstage_policy.queue_assignment import SERVER_BACKOFF_SECONDS
 from fakes import BOUNDS, configuration, target
 from virtual_time import virtual_loop
 
@@ -66,12 +71,12 @@
 
     def __init__(self, host, network):
         self.host = host
-        directory = Directory()
+        directory = ClusterView()
         directory.apply(Record(configuration=configuration()), 0.0, False)
         directory.apply(Record(target=target("a")), 0.0, False)
-        router = Router(directory, None, Senders(None), BOUNDS, Random(1))
-        self.server = QueueKeeper(router.loads, directory, Members())
-        self.turns = Turns(Members(), host)
+        router = Router(directory, None, TargetClients(None), BOUNDS, Random(1))
+        self.server = PermitServer(router.loads, directory, Members())
+        self.turns = PermitClient(Members(), host)
         self.turns.ask = self.turns.give_back = self.server.send = lambda to, word: (
             network.deliver(host, to, word.encode())
         )
@@ -90,7 +95,7 @@
         cfg = configuration()
         route, service = cfg.routes[0], cfg.services["s"]
         moment = now()
-        journey = Journey(
+        journey = RequestContext(
             req, route, service, moment + time_left, moment + route.objective
         )
         return await self.turns.take(journey, "a", "dc-1")
@@ -156,7 +161,7 @@
             tasks = [asyncio.create_task(vms[1].take()) for _ in range(40)]
             await asyncio.sleep(0.01)
             started_at = now()
-            with pytest.raises(TurnRefused) as caught:
+            with pytest.raises(PermitRefused) as caught:
                 await vms[2].take()
             assert now() - started_at < 0.03
             assert caught.value.retry_after > 0
@@ -331,28 +336,30 @@
 
 class TestMessages:
     def test_messages_survive_encoding(self):
-        ask = Ask.decode(Ask(7, 1, 2, -0.25, 0.3, 0.8, 1).encode())
+        ask = PermitRequest.decode(PermitRequest(7, 1, 2, -0.25, 0.3, 0.8, 1).encode())
         assert (ask.number, ask.queue, ask.kind, ask.priority) == (7, 1, 2, 1)
         assert (ask.wanted, ask.objective, ask.deadline) == (-0.25, 0.3, 0.8)
-        reply = Reply.decode(Reply(7, 3, 0.125, 9).encode())
+        reply = PermitReply.decode(PermitReply(7, 3, 0.125, 9).encode())
         assert (reply.number, reply.status) == (7, 3)
         assert (reply.retry_after, reply.target) == (0.125, 9)
-        back = Return.decode(
-            Return(7, 1, checksum("a"), True, LoadReport(3, 0, 2, 1.6)).encode()
+        back = PermitRelease.decode(
+            PermitRelease(7, 1, checksum("a"), True, LoadReport(3, 0, 2, 1.6)).encode()
         )
         assert (back.target, back.failed) == (checksum("a"), True)
         assert (back.load.running, back.load.pace) == (3, 1.6)
-        assert Return.decode(Return(7, 1).encode()).load is None
+        assert PermitRelease.decode(PermitRelease(7, 1).encode()).load is None
 
     def test_times_out_of_range_are_clamped(self):
-        ask = Ask.decode(Ask(1, 1, 2, 900.0, 900.0, 900.0, 999).encode())
+        ask = PermitRequest.decode(
+            PermitRequest(1, 1, 2, 900.0, 900.0, 900.0, 999).encode()
+        )
         assert 30 < ask.wanted < 40
         assert ask.deadline == 65.535
 
-    @pytest.mark.parametrize("message", [Ask, Reply, Return])
+    @pytest.mark.parametrize("message", [PermitRequest, PermitReply, PermitRelease])
     @pytest.mark.parametrize("data", [b"", b"\x14", b"\x15abc", b"\x16" * 99])
     def test_damaged_datagram_is_an_error(self, message, data):
-        with pytest.raises(UnreadableRecord):
+        with pytest.raises(InvalidRecord):
             message.decode(data)
 
     def test_damaged_datagram_is_ignored(self, run_vms):
@@ -390,7 +397,7 @@
         # were computed again at each of 200 changes, on all VMs, and requests waited
         # for that.
         fleet = Fleet()
-        turns = Turns(fleet, "10.0.0.1")
+        turns = PermitClient(fleet, "10.0.0.1")
         before, first = turns.revision, turns._servers_for("a", "dc-1")
         fleet.add("small", 0.2)
         assert turns.revision == before
@@ -400,7 +407,7 @@
 
     def test_queues_of_a_lost_permit_server_move_to_another(self):
         fleet = Fleet()
-        turns = Turns(fleet, "10.0.0.1")
+        turns = PermitClient(fleet, "10.0.0.1")
         before, first = turns.revision, turns._servers_for("a", "dc-1")[0]
         fleet.remove(next(m.name for m in fleet.known if m.host == first))
         assert turns.revision > before
@@ -408,7 +415,7 @@
 
     def test_additional_large_vm_receives_queues(self):
         fleet = Fleet()
-        turns = Turns(fleet, "10.0.0.1")
+        turns = PermitClient(fleet, "10.0.0.1")
         before = turns.revision
         fleet.add("larger", 1.0)
         assert turns.revision > before
@@ -416,5 +423,5 @@
         assert "10.0.1.1" in kept
 
     def test_queues_of_a_data_centre_without_vms_are_served_elsewhere(self):
-        turns = Turns(Fleet(), "10.0.0.1")
+        turns = PermitClient(Fleet(), "10.0.0.1")
         assert len(turns._servers_for("a", "dc-9")) == 2
--- a/packages/entry/tests/test_probes.py
+++ b/packages/entry/tests/test_probes.py
@@ -5,14 +5,14 @@
 import asyncio
 from random import Random
 
-from berylstage_entry.directory import Directory
+from berylstage_entry.cluster_view import ClusterView
 from berylstage_entry.membership import Member
+from berylstage_entry.permit_client import PermitClient
 from berylstage_entry.probes import LoadProbes
+from berylstage_entry.protocols import Record
 from berylstage_entry.router import Router
-from berylstage_entry.senders import Senders
+from berylstage_entry.target_clients import TargetClients
 from berylstage_entry.targets import LoadReport
-from berylstage_entry.turns import Turns
-from berylstage_entry.wire import Record
 from fakes import BOUNDS, FencedTargets, configuration, target
 
 NAMES = ("a", "b", "c", "d", "e", "f")
@@ -30,13 +30,13 @@
 
 
 def new_probes(vm, members, records, wire, owns_keys=False):
-    directory = Directory()
+    directory = ClusterView()
     cfg = configuration(owns_keys=owns_keys)
     directory.apply(Record(configuration=cfg), 0.0, False)
     for record in records:
         directory.apply(Record(target=record), 0.0, False)
-    router = Router(directory, None, Senders(None), BOUNDS, Random(1))
-    turns = Turns(members, vm)
+    router = Router(directory, None, TargetClients(None), BOUNDS, Random(1))
+    turns = PermitClient(members, vm)
     return router, LoadProbes(router.loads, directory, turns, wire)
 
 
--- a/packages/entry/tests/test_turn_times.py
+++ b/packages/entry/tests/test_queue_service_times.py
@@ -4,22 +4,22 @@
 
 from random import Random
 
-from berylstage_entry.directory import Directory
+from berylstage_entry.cluster_view import ClusterView
+from berylstage_entry.protocols import Record
+from berylstage_entry.queue_service_times import QueueServiceTimes
 from berylstage_entry.router import Router
-from berylstage_entry.senders import Senders
-from berylstage_entry.turn_times import TurnTimes
-from berylstage_entry.wire import Record
+from berylstage_entry.target_clients import TargetClients
 from berylstage_policy.completion import OTHER_DATA_CENTRE
 from fakes import BOUNDS, configuration, target
 
 
 def times(**sizes):
-    directory = Directory()
+    directory = ClusterView()
     directory.apply(Record(configuration=configuration()), 0.0, False)
     directory.apply(Record(target=target("a", data_centre="dc-1")), 0.0, False)
-    router = Router(directory, None, Senders(None), BOUNDS, Random(1))
+    router = Router(directory, None, TargetClients(None), BOUNDS, Random(1))
     router.loads._answer_sizes = sizes
-    return TurnTimes(router.loads, directory, "s")
+    return QueueServiceTimes(router.loads, directory, "s")
 
 
 class TestDistance:
--- a/packages/entry/tests/test_dealing.py
+++ b/packages/entry/tests/test_range_placement.py
@@ -5,8 +5,8 @@
 from itertools import pairwise
 
 from berylstage_entry.assignment import KeyRange
-from berylstage_entry.dealing import deal, mend
-from test_balance import NAMES, even, skewed
+from berylstage_entry.range_placement import deal, mend
+from test_rebalancing import NAMES, even, skewed
 
 
 class TestDeal:
--- a/packages/entry/tests/test_balance.py
+++ b/packages/entry/tests/test_rebalancing.py
@@ -5,10 +5,10 @@
 from random import Random
 
 from berylstage_entry.assignment import LAST_KEY, Assignment, KeyRange
-from berylstage_entry.balance import (
+from berylstage_entry.rebalancing import (
     CALM_PERIOD,
     LEAST_MOVES,
-    Rounds,
+    Rebalancer,
     most_moves,
     rebalance,
 )
@@ -98,7 +98,7 @@
         # Keys became busy a moment after a round. Half of all requests wait for one
         # target until the next one.
         capacities = dict.fromkeys(NAMES, 20.0)
-        rounds = Rounds(100.0)
+        rounds = Rebalancer(100.0)
         assert rounds.moves(100.0, even(NAMES), skewed(100), capacities)
         assert rounds.moves(100.1, even(NAMES), skewed(100), capacities)
 
@@ -109,7 +109,7 @@
         rates = [(key, rate / 3) for key, rate in skewed(100)]
         found = levels(even(NAMES), rates, capacities)
         assert 0.6 < max(found.values()) < 0.8
-        rounds = Rounds(100.0)
+        rounds = Rebalancer(100.0)
         assert rounds.moves(100.0, even(NAMES), rates, capacities)
         assert not rounds.moves(
             100.0 + 0.9 * CALM_PERIOD, even(NAMES), rates, capacities
@@ -123,7 +123,7 @@
         rates = [(i * 500, 1.0 + 0.3 * (i < 11)) for i in range(131)]
         found = levels(even(NAMES), rates, capacities)
         assert 1.2 < min(found.values()) < max(found.values()) < 2.0
-        rounds = Rounds(100.0)
+        rounds = Rebalancer(100.0)
         assert rounds.moves(100.0, even(NAMES), rates, capacities)
         assert not rounds.moves(100.5, even(NAMES), rates, capacities)
 
@@ -138,7 +138,7 @@
         found = levels(even(NAMES), rates, capacities)
         assert max(found, key=found.get) == "t10"
         moved_at = 100.0
-        rounds = Rounds(moved_at + CALM_PERIOD)
+        rounds = Rebalancer(moved_at + CALM_PERIOD)
         moves = rounds.moves(moved_at + 0.1, even(NAMES), rates, capacities)
         found = levels(apply(even(NAMES), moves), rates, capacities)
         assert found["t1"] < 1.0
--- a/packages/entry/tests/test_router.py
+++ b/packages/entry/tests/test_router.py
@@ -9,20 +9,20 @@
 from berylstage_entry import cold_targets
 from berylstage_entry.assignment import Assignment, KeyRange
 from berylstage_entry.clock import now
-from berylstage_entry.directory import Directory
-from berylstage_entry.errors import BadRequest, Refused, TurnRefused, Unanswered
+from berylstage_entry.cluster_view import ClusterView
+from berylstage_entry.errors import BadRequest, PermitRefused, Refused, Unanswered
+from berylstage_entry.permit_client import Permit
+from berylstage_entry.permit_messages import checksum
+from berylstage_entry.protocols import CallerRequest, Record, TargetAnswer
 from berylstage_entry.router import Router
-from berylstage_entry.routes import Route, Share
+from berylstage_entry.routes import Route, WeightedService
 from berylstage_entry.services import Configuration, Service
 from berylstage_entry.targets import LoadReport
-from berylstage_entry.turn_messages import checksum
-from berylstage_entry.turns import Turn
-from berylstage_entry.wire import CallerRequest, Record, TargetAnswer
 from berylstage_transfers.errors import AnswerLost, NeverSent
 from fakes import BOUNDS, LIMITS, target
 
 
-class Feed:
+class StoreWatcher:
     """Provides the assignments that a store watcher would have read."""
 
     def __init__(self, owner="a", former=""):
@@ -40,7 +40,7 @@
         self.assignments = {"s": Assignment([KeyRange(0, 65535, owner, 1, 6)], 9)}
 
 
-class Sender:
+class TargetClient:
     """Returns scripted answers, one for each attempt."""
 
     def __init__(self, name, senders):
@@ -57,13 +57,13 @@
         return ANSWERS[result]
 
 
-class Senders:
+class TargetClients:
     def __init__(self, script):
         self.script = list(script)
         self.sent = []
 
     def get(self, target, connections):
-        return Sender(target.name, self)
+        return TargetClient(target.name, self)
 
     def retain(self, names):
         pass
@@ -96,15 +96,17 @@
     **assignment,
 ):
     """Serve one request; return its result and the targets it was sent to."""
-    route = Route("r", "h", "/a/", [Share("s", 1.0)], idempotent, 3, 1.0, 0.3, 1)
+    route = Route(
+        "r", "h", "/a/", [WeightedService("s", 1.0)], idempotent, 3, 1.0, 0.3, 1
+    )
     service = Service("s", "/", 50, 3.0, 5.0, owns_keys)
-    directory = directory or Directory()
+    directory = directory or ClusterView()
     cfg = Configuration(1, [route], [service], LIMITS)
     directory.apply(Record(configuration=cfg), now(), False)
     for name in names:
         directory.apply(Record(target=target(name)), now(), False)
-    senders = Senders(script)
-    feed = feed or Feed(**assignment)
+    senders = TargetClients(script)
+    feed = feed or StoreWatcher(**assignment)
     router = Router(directory, feed, senders, BOUNDS, Random(1))
     router.turns = turns
     key = 7 if owns_keys else None
@@ -203,7 +205,7 @@
     def test_new_owner_is_asked_without_a_delay(self):
         # The owner rejects a request because the key has moved. The VM reads the new
         # assignment a moment later, and the request need not wait any longer.
-        feed = Feed("b")
+        feed = StoreWatcher("b")
 
         def move(result):
             feed.move_to("c")
@@ -219,7 +221,7 @@
         # A lookup was refused because its key was moving. Its caller retries with less
         # than half of the usual time, and the move ends a moment later. A second
         # immediate refusal would fail it.
-        feed = Feed("a", former="b")
+        feed = StoreWatcher("a", former="b")
 
         async def end_of_move():
             await asyncio.sleep(0.1)
@@ -231,13 +233,13 @@
         assert (status, sent) == (200, ["a"])
 
     def test_unknown_owner_causes_a_refresh_from_the_store(self):
-        feed = Feed("")
+        feed = StoreWatcher("")
         serve_request([], owns_keys=True, feed=feed)
         assert feed.refresh_count
 
     def test_unknown_route_and_missing_configuration_are_different_errors(self):
-        directory = Directory()
-        router = Router(directory, Feed(), Senders([]), BOUNDS, Random(1))
+        directory = ClusterView()
+        router = Router(directory, StoreWatcher(), TargetClients([]), BOUNDS, Random(1))
         req = CallerRequest("id", "GET", "h", "/none/", {}, 1.0, None)
         with pytest.raises(Refused):
             asyncio.run(router.serve(req))
@@ -248,13 +250,15 @@
 
     def new_owner_router(self, objective):
         """Return a router to one target with owned keys, and its target clients."""
-        route = Route("r", "h", "/a/", [Share("s", 1.0)], True, 3, 1.0, objective, 1)
-        directory = Directory()
+        route = Route(
+            "r", "h", "/a/", [WeightedService("s", 1.0)], True, 3, 1.0, objective, 1
+        )
+        directory = ClusterView()
         cfg = Configuration(1, [route], [Service("s", "/", 50, 3.0, 5.0, True)], LIMITS)
         directory.apply(Record(configuration=cfg), now(), False)
         directory.apply(Record(target=target("a")), now(), False)
-        senders = Senders(["ok"] * 9)
-        return Router(directory, Feed(), senders, BOUNDS, Random(1)), senders
+        senders = TargetClients(["ok"] * 9)
+        return Router(directory, StoreWatcher(), senders, BOUNDS, Random(1)), senders
 
     def test_overloaded_owner_receives_no_request_that_would_be_late(self):
         # Many VMs send to the owner of one key that needs more than its capacity. Its
@@ -304,7 +308,7 @@
             raise result
         if result is None:
             return None
-        turn = Turn(len(self.queues), queue, "10.0.0.1")
+        turn = Permit(len(self.queues), queue, "10.0.0.1")
         turn.target = checksum(result)
         return turn
 
@@ -338,7 +342,7 @@
     def test_target_that_starts_draining_during_the_wait_is_avoided(self, granted):
         # Guards against requests to a target that left while they waited for their
         # permit, which takes as long as their objective.
-        directory = Directory()
+        directory = ClusterView()
 
         class Leaving(ScriptedPermits):
             async def take(self, journey, queue, data_centre=""):
@@ -368,7 +372,7 @@
         assert now() - started_at < 0.04
 
     def test_caller_may_retry_immediately_if_the_target_had_free_slots(self):
-        turns = ScriptedPermits("a", "a", TurnRefused(0.0))
+        turns = ScriptedPermits("a", "a", PermitRefused(0.0))
         error, _ = serve_request(["full", "full"], owns_keys=True, turns=turns)
         assert isinstance(error, Refused)
         assert error.retry_after < 0.05
@@ -390,7 +394,7 @@
     def test_refused_permit_determines_the_retry_delay(self):
         # The owner is overloaded. Its callers are refused immediately with the expected
         # wait, spread so that those refused together do not retry at the same moment.
-        turns = ScriptedPermits(TurnRefused(0.2))
+        turns = ScriptedPermits(PermitRefused(0.2))
         error, sent = serve_request(["ok"], owns_keys=True, turns=turns)
         assert sent == []
         assert error.reason == "owner-busy"
@@ -400,7 +404,7 @@
         # Guards against a request to a target that has left, or an error because it is
         # no longer known: the permit server of the queue is lost, and detecting this
         # takes time.
-        feed, directory = Feed(), Directory()
+        feed, directory = StoreWatcher(), ClusterView()
 
         class Lost(ScriptedPermits):
             async def take(self, journey, queue, data_centre=""):
@@ -418,7 +422,7 @@
     def test_key_that_moves_during_the_wait_for_a_permit(self):
         # The key of a request moves to another target while it waits for a permit at
         # the previous owner, which would reject it.
-        feed = Feed("a")
+        feed = StoreWatcher("a")
 
         class Moving(ScriptedPermits):
             async def take(self, journey, queue, data_centre=""):
@@ -445,11 +449,13 @@
             lambda name, *rest: queues.append(name) or real(name, *rest),
         )
         service = Service("s", "/", 50, 3.0, 5.0, False)
-        directory = Directory()
+        directory = ClusterView()
         for name in ("a", "b", "c"):
             cold = target(name, cold_left=9.0)
             directory.apply(Record(target=cold), now(), False)
-        router = Router(directory, Feed(), Senders([]), BOUNDS, Random(1), "", "vm-1")
+        router = Router(
+            directory, StoreWatcher(), TargetClients([]), BOUNDS, Random(1), "", "vm-1"
+        )
         router.cold.vm_names = [f"vm-{n}" for n in range(200)]
         first = [
             router.cold.may_send(name, service) for name in "abc" for _ in range(50)
--- a/packages/entry/tests/test_server.py
+++ b/packages/entry/tests/test_server.py
@@ -9,15 +9,15 @@
 
 import pytest
 from berylstage_entry.connection import ON_ITS_WAY, CallerConnection
-from berylstage_entry.journal import RequestJournal
-from berylstage_entry.journey import Answered
 from berylstage_entry.metrics import Metrics
+from berylstage_entry.protocols import CallerProtocol, CallerRequest, TargetAnswer
+from berylstage_entry.request_context import RoutedAnswer
+from berylstage_entry.request_log import RequestLog
 from berylstage_entry.server import CallerServer
-from berylstage_entry.wire import CallerRequest, CallerWire, TargetAnswer
 from fakes import LIMITS
 
 
-class PlainCallers(CallerWire):
+class PlainCallers(CallerProtocol):
     def request(self, method, uri, headers):
         return CallerRequest("id", method, "h", uri, {}, 5.0, None)
 
@@ -43,7 +43,7 @@
             self.cancelled += 1
             raise
         answer = TargetAnswer(200, [], b"whole", False, False, True, None, False)
-        return Answered(answer, "a", 1)
+        return RoutedAnswer(answer, "a", 1)
 
 
 def free_port():
@@ -53,7 +53,7 @@
 
 
 def serve(router):
-    journal = RequestJournal(Metrics())
+    journal = RequestLog(Metrics())
     server = CallerServer(PlainCallers(), router, journal, lambda: LIMITS)
     port = free_port()
     server.listen(f"127.0.0.1:{port}")
@@ -237,7 +237,7 @@
 
     async def serve(self, req):
         answer = TargetAnswer(200, [], self.body, False, False, True, None, False)
-        return Answered(answer, "a", 1)
+        return RoutedAnswer(answer, "a", 1)
 
 
 async def connect_slowly(port):
@@ -458,7 +458,7 @@
 
     async def serve(self, req):
         answer = TargetAnswer(200, [], req.body, False, False, True, None, False)
-        return Answered(answer, "a", 1)
+        return RoutedAnswer(answer, "a", 1)
 
 
 def head(*lines):
--- a/packages/entry/tests/test_sockets.py
+++ b/packages/entry/tests/test_sockets.py
@@ -6,7 +6,7 @@
 import socket
 import struct
 
-from berylstage_entry.sockets import Unread, has_ended, unread, unsent
+from berylstage_entry.sockets import ReceiveState, has_ended, unread, unsent
 
 LINGER_NONE = struct.pack("ii", 1, 0)
 
@@ -27,7 +27,7 @@
     def test_nothing_waits(self):
         async def play():
             transport, far = await pair()
-            assert unread(transport) is Unread.NOTHING
+            assert unread(transport) is ReceiveState.NOTHING
             far.close()
             transport.abort()
 
@@ -37,8 +37,8 @@
         async def play():
             transport, far = await pair()
             far.send(b"abc")
-            assert unread(transport) is Unread.BYTES
-            assert unread(transport) is Unread.BYTES
+            assert unread(transport) is ReceiveState.BYTES
+            assert unread(transport) is ReceiveState.BYTES
             far.close()
             transport.abort()
 
@@ -51,7 +51,7 @@
                 if is_reset:
                     far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE)
                 far.close()
-                assert unread(transport) is Unread.END
+                assert unread(transport) is ReceiveState.END
                 transport.abort()
 
         asyncio.run(play())
@@ -76,7 +76,7 @@
             transport, far = await pair()
             transport.abort()
             await asyncio.sleep(0.01)
-            assert unread(transport) is Unread.NOTHING
+            assert unread(transport) is ReceiveState.NOTHING
             assert unsent(transport) == 0
             far.close()
 
--- a/packages/entry/tests/test_news.py
+++ b/packages/entry/tests/test_store_delta.py
@@ -9,12 +9,12 @@
 import pytest
 from berylstage_entry.assignment import KeyRange, nobody
 from berylstage_entry.clock import now
-from berylstage_entry.directory import Directory
-from berylstage_entry.errors import UnreadableRecord
-from berylstage_entry.feed import Feed
-from berylstage_entry.keys import DUTY_KEY
-from berylstage_entry.news import News
+from berylstage_entry.cluster_view import ClusterView
+from berylstage_entry.errors import InvalidRecord
 from berylstage_entry.store import Item
+from berylstage_entry.store_delta import StoreDelta
+from berylstage_entry.store_keys import DUTY_KEY
+from berylstage_entry.store_watcher import StoreWatcher
 from fakes import JsonRecords, MemoryStore, StoreView, configuration
 from hypothesis import given
 from hypothesis import strategies as st
@@ -46,9 +46,9 @@
 
     def __init__(self, store):
         self.store = CountingView(store)
-        self.directory = Directory()
+        self.directory = ClusterView()
         records = JsonRecords({n: configuration(n) for n in (1, 2)})
-        self.feed = Feed(self.store, records, self.directory)
+        self.feed = StoreWatcher(self.store, records, self.directory)
 
     def version(self):
         return self.directory.configuration.version
@@ -72,7 +72,7 @@
             for part in news.parts():
                 data = part.encode()
                 if data is not None and not lose():
-                    told.feed.take_news(News.decode(data))
+                    told.feed.take_news(StoreDelta.decode(data))
 
         teller.feed.tell = tell
         set_up(told.feed)
@@ -232,7 +232,7 @@
             def tell(news):
                 for item in news.large:
                     assert told.feed.take_told(item)
-                told.feed.take_news(News.decode(news.encode()))
+                told.feed.take_news(StoreDelta.decode(news.encode()))
 
             teller.feed.tell = tell
             await asyncio.sleep(0.6)
@@ -249,7 +249,7 @@
         # older than what the other one has read meanwhile.
         async def steps(store, teller, told):
             teller.feed.stop()
-            late = News(0, 3, [Item("t/a", None, 3)])
+            late = StoreDelta(0, 3, [Item("t/a", None, 3)])
             await asyncio.sleep(1.2)
             assert not told.feed.take_news(late)
             assert "a" in told.directory.known
@@ -264,7 +264,7 @@
             readings = told.store.readings
             end = now() + 1.5
             while now() < end:
-                told.feed.take_news(News(0, told.feed._revision, [], {}, 3.0))
+                told.feed.take_news(StoreDelta(0, told.feed._revision, [], {}, 3.0))
                 await asyncio.sleep(0.1)
             assert told.store.readings > readings
 
@@ -275,7 +275,7 @@
             before = told.store.readings
             end = now() + 2.0
             while now() < end:
-                news = News(0, told.feed._revision, [], {}, 0.01)
+                news = StoreDelta(0, told.feed._revision, [], {}, 0.01)
                 told.feed.take_news(news)
                 await asyncio.sleep(0.1)
             assert told.store.readings == before
@@ -283,14 +283,14 @@
         play(steps)
 
     def test_damaged_datagram_is_told_from_news(self):
-        data = News(1, 2, []).encode()
+        data = StoreDelta(1, 2, []).encode()
         for damaged in (data[:-3], data[:1], b"\x10" + b"[]"):
-            with pytest.raises(UnreadableRecord):
-                News.decode(damaged)
+            with pytest.raises(InvalidRecord):
+                StoreDelta.decode(damaged)
 
     def test_news_too_large_for_a_datagram_is_not_sent(self):
         items = [Item(f"t/{n}", str(n**99).encode(), n) for n in range(60)]
-        assert News(1, 99, items).encode() is None
+        assert StoreDelta(1, 99, items).encode() is None
 
     def test_many_changes_at_once_are_told_in_several_datagrams(self):
         # Hundreds of targets start within a moment. What did not fit into one datagram
@@ -343,7 +343,7 @@
             Item(f"t/{n}", str(n**250).encode()[:490], at)
             for n, at in enumerate(revisions)
         ]
-        parts = News(4, newest, items, {"k": named}).parts()
+        parts = StoreDelta(4, newest, items, {"k": named}).parts()
         assert [i.key for part in parts for i in part.items] == [i.key for i in items]
         assert parts[0].after == 4
         assert parts[-1].revision == newest
--- a/packages/entry/tests/test_feed.py
+++ b/packages/entry/tests/test_store_watcher.py
@@ -8,11 +8,11 @@
 import pytest
 from berylstage_entry.assignment import nobody
 from berylstage_entry.clock import now
-from berylstage_entry.directory import Directory
-from berylstage_entry.errors import StoreSilent
-from berylstage_entry.feed import RATE_AWAY, RETRY, Feed
-from berylstage_entry.keys import DUTY_KEY, KEYS_PREFIX
-from berylstage_entry.news import LARGEST_VALUE, News
+from berylstage_entry.cluster_view import ClusterView
+from berylstage_entry.errors import StoreUnavailable
+from berylstage_entry.store_delta import LARGEST_VALUE, StoreDelta
+from berylstage_entry.store_keys import DUTY_KEY, KEYS_PREFIX
+from berylstage_entry.store_watcher import RATE_AWAY, RETRY, StoreWatcher
 from fakes import JsonRecords, MemoryStore, configuration
 from fleet import CountingView, Fleet
 from virtual_time import virtual_loop
@@ -29,7 +29,7 @@
         records = JsonRecords({1: configuration()})
         found = []
         for n in range(VMS):
-            feed = Feed(CountingView(store, calls), records, Directory())
+            feed = StoreWatcher(CountingView(store, calls), records, ClusterView())
             feed.vms = VMS
             feed.is_standby = lambda n=n: n < 3
             found.append(feed)
@@ -79,8 +79,10 @@
         # Most of them have just found that out for themselves.
         with virtual_loop() as loop:
             store, calls = MemoryStore(), []
-            feed = Feed(CountingView(store, calls), JsonRecords(), Directory())
-            feed.note_failure(StoreSilent("away"))
+            feed = StoreWatcher(
+                CountingView(store, calls), JsonRecords(), ClusterView()
+            )
+            feed.note_failure(StoreUnavailable("away"))
             assert loop.run_until_complete(feed.contact()) == 0
             assert calls == []
 
@@ -104,7 +106,7 @@
                 near = self.centre(n) == self.centre(teller)
                 if n != teller and (found[teller].is_teller() or near):
                     for part in told.parts():
-                        feed.take_news(News.decode(part.encode()))
+                        feed.take_news(StoreDelta.decode(part.encode()))
 
         for n, feed in enumerate(found):
             feed.tell = lambda told, n=n: tell(n, told)
@@ -176,7 +178,7 @@
             store.put("cfg", b"1")
             store.put("t/a", b"{}")
             records = JsonRecords({1: configuration(1), 2: configuration(2)})
-            feed = Feed(store, records, Directory())
+            feed = StoreWatcher(store, records, ClusterView())
             told = []
             feed.tell = told.append
             feed.is_deputy = lambda: True
@@ -197,7 +199,7 @@
                 reading = asyncio.create_task(feed._watch_all())
                 await asyncio.sleep(0.1)
                 items = [item for item in store.log if item.revision > begin]
-                feed.take_news(News(begin, store.revision, items))
+                feed.take_news(StoreDelta(begin, store.revision, items))
                 await reading
                 assert told == []
                 store.put("t/b", b"{}")
@@ -267,7 +269,7 @@
         # Guards against dropping targets in an outage, because a telling from before it
         # was held up on its way.
         fleet = make_fleet(9)
-        late = News(0, 1, [], contact=60.0)
+        late = StoreDelta(0, 1, [], contact=60.0)
         fleet.store.away = True
         fleet.run(4.0)
         feed = fleet.feeds[7]
@@ -283,7 +285,7 @@
 
         async def miss_something(times):
             for n in range(times):
-                feed.take_news(News(10_000 + n, 20_000 + n, []))
+                feed.take_news(StoreDelta(10_000 + n, 20_000 + n, []))
                 await asyncio.sleep(1.0)
 
         fleet.loop.run_until_complete(miss_something(1200))
@@ -340,7 +342,7 @@
         async def read_once_in_vain(prefix):
             if prefix == "cfg" and not failures:
                 failures.append(now())
-                raise StoreSilent("the link is full")
+                raise StoreUnavailable("the link is full")
             return await read(prefix)
 
         view.read = read_once_in_vain
@@ -361,7 +363,7 @@
         async def slow_for_assignments(prefix):
             if prefix.startswith(KEYS_PREFIX):
                 await asyncio.sleep(2.5)
-                raise StoreSilent("timed out")
+                raise StoreUnavailable("timed out")
             return await read(prefix)
 
         view.read = slow_for_assignments
@@ -384,7 +386,7 @@
 
         async def slow(*args):
             await asyncio.sleep(2.5)
-            raise StoreSilent("timed out")
+            raise StoreUnavailable("timed out")
 
         view.read = lambda prefix: read(prefix) if prefix else slow()
         fleet.cut_off([7])
@@ -423,7 +425,7 @@
         async def slow_for_all(prefix):
             if not prefix:
                 await asyncio.sleep(2.5)
-                raise StoreSilent("timed out")
+                raise StoreUnavailable("timed out")
             return await read(prefix)
 
         view.read = slow_for_all
@@ -443,7 +445,7 @@
         feed, view = fleet.feeds[7], fleet.views[7]
 
         async def fail(prefix):
-            raise StoreSilent("timed out")
+            raise StoreUnavailable("timed out")
 
         view.read = fail
         self.forget(fleet, heals=False)
--- a/packages/entry/tests/test_senders.py
+++ b/packages/entry/tests/test_target_clients.py
@@ -5,8 +5,8 @@
 import asyncio
 
 import pytest
-from berylstage_entry.senders import Senders
-from berylstage_entry.wire import CallerRequest, TargetAnswer, TargetWire
+from berylstage_entry.protocols import CallerRequest, TargetAnswer, TargetProtocol
+from berylstage_entry.target_clients import TargetClients
 from berylstage_transfers.errors import NeverSent
 from fakes import target
 
@@ -18,12 +18,12 @@
     def test_all_vms_together_stay_below_the_accepted_connections(self, accepted, vms):
         # A target resets connections beyond the number it accepts from all VMs, and
         # then it is unknown whether their requests have run.
-        senders = Senders(None)
+        senders = TargetClients(None)
         senders.vms = vms
         assert 1 <= senders.connection_share(accepted) * vms <= 0.75 * accepted
 
 
-class PlainTargets(TargetWire):
+class PlainTargets(TargetProtocol):
     """Accepts every answer as one of a target."""
 
     echo_header = b"id"
@@ -92,7 +92,7 @@
             server = SlowTarget(0.3)
             port = await server.start()
             known = target("i-1", address=f"127.0.0.1:{port}")
-            senders = Senders(PlainTargets())
+            senders = TargetClients(PlainTargets())
             sent = asyncio.create_task(senders.get(known, 50).send(request("o-1"), 2.0))
             await server.request_received.wait()
             if successor:
@@ -114,7 +114,7 @@
         async def run():
             server = SlowTarget(0.2)
             known = target("i-1", address=f"127.0.0.1:{await server.start()}")
-            senders = Senders(PlainTargets())
+            senders = TargetClients(PlainTargets())
             senders.vms = 50
             sender = senders.get(known, 50)
             first = asyncio.create_task(sender.send(request("o-1"), 2.0))
@@ -133,7 +133,7 @@
         async def run():
             server = SlowTarget(0.0)
             known = target("i-1", address=f"127.0.0.1:{await server.start()}")
-            senders = Senders(PlainTargets())
+            senders = TargetClients(PlainTargets())
             await senders.get(known, 50).send(request("o-1"), 2.0)
             assert server.open == 1
             senders.close()
--- a/packages/ownership/src/berylstage_ownership/owners.py
+++ b/packages/ownership/src/berylstage_ownership/owners.py
@@ -7,7 +7,7 @@
 from berylstage_sheet.configuration import Ownership
 
 from berylstage_ownership.assignment import Prior, ShardOwner
-from berylstage_ownership.planner import Holding, Place
+from berylstage_ownership.planner import PlacementTarget, ShardPlacement
 from berylstage_ownership.shards import (
     ANY,
     hash_shard,
@@ -186,7 +186,7 @@
             if target is not None:
                 self._give(holding.shard, target)
 
-    def _holdings(self) -> list[Holding]:
+    def _holdings(self) -> list[ShardPlacement]:
         """Return the shards that need an owner."""
         name = self._service.name
         pins = {
@@ -197,7 +197,8 @@
         kept = [s for s in self._draft.owners if service_of(s) == name]
         shards = sorted({*kept, *self._redivided})
         return [
-            Holding(shard, self._owner(shard), 0.0, pins.get(shard)) for shard in shards
+            ShardPlacement(shard, self._owner(shard), 0.0, pins.get(shard))
+            for shard in shards
         ]
 
     def _owner(self, shard: str) -> str | None:
@@ -205,10 +206,10 @@
         owner = self._draft.owners.get(shard)
         return owner.target if owner else None
 
-    def _places(self) -> list[Place]:
+    def _places(self) -> list[PlacementTarget]:
         """Return the targets of the service."""
         return [
-            Place(
+            PlacementTarget(
                 target.name,
                 target.data_centre,
                 float(target.slots),
--- a/packages/ownership/src/berylstage_ownership/planner.py
+++ b/packages/ownership/src/berylstage_ownership/planner.py
@@ -4,9 +4,15 @@
 
 from abc import ABC, abstractmethod
 
-from berylstage_policy.placement import Holding, Move, Place, plan
+from berylstage_policy.placement import PlacementTarget, ShardMove, ShardPlacement, plan
 
-__all__ = ["BalancedPlanner", "Holding", "Move", "Place", "Planner"]
+__all__ = [
+    "BalancedPlanner",
+    "ShardPlacement",
+    "ShardMove",
+    "PlacementTarget",
+    "Planner",
+]
 
 
 class Planner(ABC):
@@ -16,11 +22,11 @@
     def plan(
         self,
         service: str,
-        holdings: list[Holding],
-        places: list[Place],
+        holdings: list[ShardPlacement],
+        places: list[PlacementTarget],
         budget: int,
         loads: dict[str, bytes],
-    ) -> list[Move]:
+    ) -> list[ShardMove]:
         """Return the moves to make now.
 
         Parameters
@@ -65,10 +71,10 @@
     def plan(
         self,
         service: str,
-        holdings: list[Holding],
-        places: list[Place],
+        holdings: list[ShardPlacement],
+        places: list[PlacementTarget],
         budget: int,
         loads: dict[str, bytes],
-    ) -> list[Move]:
+    ) -> list[ShardMove]:
         """Return the moves to make now; see :meth:`Planner.plan`."""
         return plan(holdings, places, budget)
--- a/packages/policy/src/berylstage_policy/health.py
+++ b/packages/policy/src/berylstage_policy/health.py
@@ -16,7 +16,7 @@
     from berylstage_policy.thresholds import Thresholds
 
 
-class Verdict(Enum):
+class HealthState(Enum):
     """State of a target by what was observed.
 
     ``STALLED`` holds requests back from free services and moves nothing; ``SLOW``
@@ -94,17 +94,17 @@
             self._is_slow = not self._is_slow
             self._slow_since = None
 
-    def verdict(self, now: float) -> Verdict:
+    def verdict(self, now: float) -> HealthState:
         """Return the state of the target."""
         refused = self._refused_since
         if refused is not None and now - refused >= self._refused_down_after:
-            return Verdict.DOWN
+            return HealthState.DOWN
         silence = now - self._last_sign
         if silence >= self._down_after:
-            return Verdict.DOWN
+            return HealthState.DOWN
         if silence >= self._stall_after or refused is not None:
-            return Verdict.STALLED
-        return Verdict.SLOW if self._is_slow else Verdict.WELL
+            return HealthState.STALLED
+        return HealthState.SLOW if self._is_slow else HealthState.WELL
 
     def next_change(self, now: float) -> float:
         """Return when the verdict changes if nothing is heard until then."""
--- a/packages/policy/src/berylstage_policy/hotkeys.py
+++ b/packages/policy/src/berylstage_policy/hot_keys.py
@@ -120,7 +120,7 @@
         self.give_back = give_back
 
 
-class HotKeys:
+class HotKeyDetector:
     """Finds the hot keys of one service on one VM.
 
     Parameters
--- a/packages/policy/src/berylstage_policy/placement.py
+++ b/packages/policy/src/berylstage_policy/placement.py
@@ -26,7 +26,7 @@
 STAY_MARGIN = 0.02
 
 
-class Holding:
+class ShardPlacement:
     """One shard and where it is.
 
     Parameters
@@ -61,7 +61,7 @@
         self.recent_moves = recent_moves
 
 
-class Place:
+class PlacementTarget:
     """One target that may own shards.
 
     Parameters
@@ -90,7 +90,7 @@
         self.eligible = eligible
 
 
-class Move:
+class ShardMove:
     """One change of owner that the plan asks for."""
 
     __slots__ = ("shard", "source", "destination")
@@ -123,11 +123,11 @@
 
 
 def plan(
-    holdings: list[Holding],
-    places: list[Place],
+    holdings: list[ShardPlacement],
+    places: list[PlacementTarget],
     budget: int,
     thresholds: Thresholds = DEFAULTS,
-) -> list[Move]:
+) -> list[ShardMove]:
     """Decide which shards change their owner.
 
     A shard without an owner, on a place that isn't eligible, or pinned to another
@@ -167,7 +167,7 @@
     return moves
 
 
-def _weights(holdings: list[Holding]) -> dict[str, float]:
+def _weights(holdings: list[ShardPlacement]) -> dict[str, float]:
     """Return the weight of each shard: its load, but never quite nothing."""
     total = sum(holding.load for holding in holdings)
     floor = IDLE_WEIGHT * total / len(holdings) if total > 0 else 1.0
@@ -175,10 +175,10 @@
 
 
 def _place_mandatory(
-    holdings: list[Holding],
+    holdings: list[ShardPlacement],
     weights: dict[str, float],
     bins: dict[str, _Bin],
-) -> list[Move]:
+) -> list[ShardMove]:
     """Put every shard in its bin and return the moves that this takes."""
     moves = []
     homeless = []
@@ -188,7 +188,7 @@
             pinned_bin = bins[holding.pinned]
             pinned_bin.weight += weight
             if holding.owner != holding.pinned:
-                moves.append(Move(holding.shard, holding.owner, holding.pinned))
+                moves.append(ShardMove(holding.shard, holding.owner, holding.pinned))
         elif holding.owner in bins:
             owner_bin = bins[holding.owner]
             owner_bin.weight += weight
@@ -204,10 +204,10 @@
 
 
 def _place_homeless(
-    homeless: list[Holding],
+    homeless: list[ShardPlacement],
     weights: dict[str, float],
     bins: dict[str, _Bin],
-) -> list[Move]:
+) -> list[ShardMove]:
     """Place shards without an eligible owner, heaviest first, on the lowest level."""
     moves = []
     by_level = SortedKeyList(bins.values(), key=lambda place: (place.level, place.name))
@@ -218,7 +218,7 @@
         lowest.weight += weight
         lowest.movable.append((weight, holding.shard))
         by_level.add(lowest)
-        moves.append(Move(holding.shard, holding.owner, lowest.name))
+        moves.append(ShardMove(holding.shard, holding.owner, lowest.name))
     return moves
 
 
@@ -226,7 +226,7 @@
     bins: dict[str, _Bin],
     budget: int,
     thresholds: Thresholds,
-) -> list[Move]:
+) -> list[ShardMove]:
     """Return moves that bring the outlying places back near the mean level."""
     mean = sum(b.weight for b in bins.values()) / sum(b.capacity for b in bins.values())
     high = mean * thresholds["balance_high"]
@@ -237,7 +237,7 @@
     outlying = [b for b in bins.values() if b.level > high or b.level < low]
     if not outlying:
         return []
-    moves: list[Move] = []
+    moves: list[ShardMove] = []
     over = sorted((b for b in outlying if b.level > high), key=lambda b: -b.level)
     for source in over:
         while len(moves) < budget and source.level > settled_high:
@@ -259,7 +259,7 @@
 
 def _repack(
     source: _Bin, by_level: SortedKeyList, budget: int, gain: float
-) -> list[Move]:
+) -> list[ShardMove]:
     """Divide the shards of two places anew where no single move helps.
 
     Two hot keys on one place are such a case: each is too heavy for any other place,
@@ -285,7 +285,7 @@
         start.weight -= weight
         end.movable.append((weight, shard))
         end.weight += weight
-        moves.append(Move(shard, start.name, end.name))
+        moves.append(ShardMove(shard, start.name, end.name))
     by_level.add(source)
     by_level.add(partner)
     return moves
@@ -321,7 +321,7 @@
     destination: _Bin,
     by_level: SortedKeyList,
     mean: float,
-) -> Move | None:
+) -> ShardMove | None:
     """Move the shard that evens out two places most, or None when none helps."""
     # The weight that would bring both places to the same level.
     even = (source.level - destination.level) / (
@@ -344,4 +344,4 @@
     destination.weight += entry[0]
     by_level.add(source)
     by_level.add(destination)
-    return Move(entry[1], source.name, destination.name)
+    return ShardMove(entry[1], source.name, destination.name)
--- a/packages/policy/src/berylstage_policy/retries.py
+++ b/packages/policy/src/berylstage_policy/retries.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from berylstage_policy.tickets import Outcome
+from berylstage_policy.tickets import AttemptOutcome
 
 if TYPE_CHECKING:
     from random import Random
@@ -19,7 +19,9 @@
     from berylstage_policy.thresholds import Thresholds
 
 # Ends after which the request certainly did not run.
-CERTAINLY_NOT_RUN = frozenset({Outcome.SHED, Outcome.COLD, Outcome.NOT_RUN})
+CERTAINLY_NOT_RUN = frozenset(
+    {AttemptOutcome.SHED, AttemptOutcome.COLD, AttemptOutcome.NOT_RUN}
+)
 
 
 class RetryVerdict(Enum):
@@ -43,7 +45,7 @@
         self.delay = delay
 
 
-class Budget:
+class RetryBudget:
     """Tokens earned by successes and spent on extra attempts.
 
     Parameters
@@ -90,7 +92,9 @@
     __slots__ = ("budget", "_rng", "_attempts", "_delay")
 
     def __init__(self, thresholds: Thresholds, rng: Random):
-        self.budget = Budget(thresholds["retry_share"], thresholds["retry_reserve"])
+        self.budget = RetryBudget(
+            thresholds["retry_share"], thresholds["retry_reserve"]
+        )
         self._rng = rng
         self._attempts = int(thresholds["retry_attempts"])
         self._delay = thresholds["retry_delay"]
@@ -102,7 +106,7 @@
     def decide(
         self,
         is_repeatable: bool,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         time_left: float,
         attempt: int,
         expected_cost: float,
@@ -126,7 +130,7 @@
         -------
         RetryDecision
         """
-        if outcome in (Outcome.ANSWERED, Outcome.CANCELLED):
+        if outcome in (AttemptOutcome.ANSWERED, AttemptOutcome.CANCELLED):
             return RetryDecision(RetryVerdict.FINAL)
         if not is_repeatable and outcome not in CERTAINLY_NOT_RUN:
             return RetryDecision(RetryVerdict.NOT_REPEATABLE)
@@ -155,7 +159,9 @@
     __slots__ = ("budget", "_quantile", "_step", "_delay", "_least")
 
     def __init__(self, thresholds: Thresholds):
-        self.budget = Budget(thresholds["hedge_share"], thresholds["hedge_reserve"])
+        self.budget = RetryBudget(
+            thresholds["hedge_share"], thresholds["hedge_reserve"]
+        )
         self._quantile = thresholds["hedge_quantile"]
         self._step = thresholds["hedge_step"]
         self._least = thresholds["hedge_least_delay"]
