--- a/packages/policy/src/berylstage_policy/queue.py
+++ b/packages/policy/src/berylstage_policy/target_queue.py
@@ -19,9 +19,9 @@
 from berylstage_policy.lanes import SHORT, Lanes
 from berylstage_policy.slots import time_to_serve
 from berylstage_policy.tickets import (
+    AttemptOutcome,
     Decision,
     Decline,
-    Outcome,
     Refuse,
     RefuseReason,
     Start,
@@ -205,7 +205,7 @@
         ticket_id: str,
         now: float,
         seconds: float,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         incarnation: str = "",
     ) -> list[Ticket]:
         """Free a slot and say what starts now.
@@ -234,7 +234,7 @@
             return []
         # Charged by expectation at the start; a flow whose work takes longer than
         # expected would otherwise get more than its share for as long as it is new.
-        if entry.is_charged and outcome is Outcome.ANSWERED:
+        if entry.is_charged and outcome is AttemptOutcome.ANSWERED:
             self._fair.charge(entry.leaf, seconds - entry.cost)
         self._learn(entry, now, seconds, outcome, incarnation)
         return self._fill(now)
@@ -365,18 +365,18 @@
         entry: Entry,
         now: float,
         seconds: float,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         incarnation: str,
     ) -> None:
         """Take in what an ending says about costs and the ramp."""
         ramp = self.ramp
         if incarnation:
             ramp.seen(now, incarnation)
-        if outcome is Outcome.COLD:
+        if outcome is AttemptOutcome.COLD:
             ramp.new_start(now)
-        elif outcome is Outcome.UNKNOWN:
+        elif outcome is AttemptOutcome.UNKNOWN:
             ramp.doubted(now)
-        elif outcome is Outcome.ANSWERED:
+        elif outcome is AttemptOutcome.ANSWERED:
             kind = entry.ticket.kind
             ramp.completed(now, self.costs.warm_ratio(kind, seconds))
             self.costs.observe(kind, seconds, entry.is_short, ramp.warm)
--- a/packages/policy/src/berylstage_policy/tickets.py
+++ b/packages/policy/src/berylstage_policy/tickets.py
@@ -62,7 +62,7 @@
         self.expected_cost = expected_cost
 
 
-class Outcome(Enum):
+class AttemptOutcome(Enum):
     """How work that was started ended."""
 
     ANSWERED = "answered"
--- a/packages/policy/src/berylstage_policy/shares.py
+++ b/packages/policy/src/berylstage_policy/weighted_round_robin.py
@@ -16,7 +16,7 @@
 ROUND = 100
 
 
-class WeightedTurns:
+class WeightedRoundRobin:
     """Turns among several parts in proportion to their weights.
 
     Parameters
--- a/packages/policy/tests/conftest.py
+++ b/packages/policy/tests/conftest.py
@@ -6,9 +6,9 @@
 from random import Random
 
 import pytest
-from berylstage_policy.queue import TargetQueue
+from berylstage_policy.target_queue import TargetQueue
 from berylstage_policy.thresholds import DEFAULTS
-from berylstage_policy.tickets import Outcome, Refuse, Start, Ticket
+from berylstage_policy.tickets import AttemptOutcome, Refuse, Start, Ticket
 
 
 class QueuePlayer:
@@ -103,7 +103,7 @@
         self.answers[name] = now
         seconds = now - self.started[name]
         started = self.queue.finished(
-            name, now, seconds, Outcome.ANSWERED, self.incarnation
+            name, now, seconds, AttemptOutcome.ANSWERED, self.incarnation
         )
         for ticket in started:
             self._start(ticket.id, now)
--- a/packages/policy/tests/test_health.py
+++ b/packages/policy/tests/test_health.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from berylstage_policy.health import TargetHealth, Verdict
+from berylstage_policy.health import HealthState, TargetHealth
 from berylstage_policy.thresholds import DEFAULTS
 
 
@@ -17,25 +17,25 @@
         # A neighbour takes the target's processor for most of a second. Moving the
         # keys would make them unavailable for longer than the stall does.
         for now in (0.3, 0.5, 0.9, 1.2):
-            assert health.verdict(now) is Verdict.STALLED
+            assert health.verdict(now) is HealthState.STALLED
         health.answered(1.24)
-        assert health.verdict(1.25) is Verdict.WELL
+        assert health.verdict(1.25) is HealthState.WELL
 
     def test_lost_target_is_down_in_time_for_its_keys(self, health):
         # The target is gone. Its keys are due back 2 s after, and the move takes some
         # of that: the verdict has to leave it half a second and a heartbeat.
         health.answered(5.0)
-        assert health.verdict(6.25) is Verdict.DOWN
+        assert health.verdict(6.25) is HealthState.DOWN
 
     def test_refused_connections_are_believed_sooner(self, health):
         health.refused_connection(0.1)
-        assert health.verdict(0.2) is Verdict.STALLED
-        assert health.verdict(0.6) is Verdict.DOWN
+        assert health.verdict(0.2) is HealthState.STALLED
+        assert health.verdict(0.6) is HealthState.DOWN
 
     def test_quick_restart_is_not_down(self, health):
         health.refused_connection(0.1)
         health.answered(0.3)
-        assert health.verdict(0.55) is Verdict.WELL
+        assert health.verdict(0.55) is HealthState.WELL
 
     def test_next_change_names_each_step(self, health):
         assert health.next_change(0.0) == DEFAULTS["stall_after"]
@@ -58,12 +58,12 @@
         for now in range(20):
             health.answered(float(now))
             health.latency(float(now), 4.0)
-        assert health.verdict(19.0) is Verdict.SLOW
+        assert health.verdict(19.0) is HealthState.SLOW
         assert health.capacity(2) == 0.5
         for now in range(20, 40):
             health.answered(float(now))
             health.latency(float(now), 1.0)
-        assert health.verdict(39.0) is Verdict.WELL
+        assert health.verdict(39.0) is HealthState.WELL
         assert health.capacity(2) == 2.0
 
     def test_ratio_about_the_bound_does_not_flap(self, health):
--- a/packages/policy/tests/test_hotkeys.py
+++ b/packages/policy/tests/test_hot_keys.py
@@ -5,7 +5,7 @@
 from random import Random
 
 import pytest
-from berylstage_policy.hotkeys import RESCALE_AT, HotKeys, KeySketch
+from berylstage_policy.hot_keys import RESCALE_AT, HotKeyDetector, KeySketch
 from berylstage_policy.thresholds import DEFAULTS
 
 
@@ -61,19 +61,19 @@
             hot.observe(f"k-{rng.randrange(10**5)}", 0.02, now)
 
     def test_hot_key_is_set_apart_within_seconds(self):
-        hot = HotKeys(DEFAULTS)
+        hot = HotKeyDetector(DEFAULTS)
         self.play(hot, "a", 0.5, 0.0, 15.0)
         assert hot.changes(2.0, 15.0).set_apart == ["a"]
 
     def test_light_key_is_not(self):
-        hot = HotKeys(DEFAULTS)
+        hot = HotKeyDetector(DEFAULTS)
         self.play(hot, "a", 0.1, 0.0, 60.0)
         assert hot.changes(2.0, 60.0).set_apart == []
 
     def test_key_that_pauses_is_not_given_back_at_once(self):
         # A booking page is quiet for half a minute. Given back and set apart again,
         # its key would move twice and be unavailable each time.
-        hot = HotKeys(DEFAULTS)
+        hot = HotKeyDetector(DEFAULTS)
         self.play(hot, "a", 0.5, 0.0, 30.0)
         hot.set_apart({"a"})
         for now in range(30, 100, 5):
@@ -82,7 +82,7 @@
         assert hot.changes(2.0, 110.0).give_back == []
 
     def test_cooled_key_is_given_back(self):
-        hot = HotKeys(DEFAULTS)
+        hot = HotKeyDetector(DEFAULTS)
         self.play(hot, "a", 0.5, 0.0, 30.0)
         hot.set_apart({"a"})
         given = [hot.changes(2.0, float(now)).give_back for now in range(30, 200, 5)]
@@ -90,7 +90,7 @@
 
     def test_hottest_fifty_change_within_minutes(self):
         # Fifty keys take most of the load, and fifty others two minutes later.
-        hot = HotKeys(DEFAULTS)
+        hot = HotKeyDetector(DEFAULTS)
         rng = Random(5)
         apart = set()
         for step in range(240 * 20):
--- a/packages/policy/tests/test_placement.py
+++ b/packages/policy/tests/test_placement.py
@@ -4,14 +4,16 @@
 
 import random
 
-from berylstage_policy.placement import Holding, Place, plan
+from berylstage_policy.placement import PlacementTarget, ShardPlacement, plan
 
 CENTRES = ("almaty-a", "almaty-b", "shymkent-a", "taraz-a")
 
 
 def make_places(closed=()):
     return [
-        Place(f"field-log-{i:02}", CENTRES[i % 4], 2.0, CENTRES[i % 4] not in closed)
+        PlacementTarget(
+            f"field-log-{i:02}", CENTRES[i % 4], 2.0, CENTRES[i % 4] not in closed
+        )
         for i in range(12)
     ]
 
@@ -19,7 +21,8 @@
 def make_holdings(count=256, seed=1):
     rng = random.Random(seed)
     return [
-        Holding(f"field-log/{i}", None, rng.uniform(0.5, 1.5)) for i in range(count)
+        ShardPlacement(f"field-log/{i}", None, rng.uniform(0.5, 1.5))
+        for i in range(count)
     ]
 
 
@@ -60,7 +63,7 @@
         assert imbalance(holdings, places) < 1.05
 
     def test_shards_without_load_are_spread_by_number(self):
-        holdings = [Holding(f"s/{i}", None) for i in range(24)]
+        holdings = [ShardPlacement(f"s/{i}", None) for i in range(24)]
         apply(plan(holdings, make_places(), 0), holdings)
         owners = [holding.owner for holding in holdings]
         assert all(owners.count(owner) == 2 for owner in set(owners))
@@ -140,11 +143,14 @@
     def test_two_hot_keys_on_one_target_are_parted(self):
         # Two keys that became hot share a target. Each is too heavy for any other
         # target as it is, so no single move helps, and their callers stay slow.
-        places = [Place(f"field-log-{i:02}", CENTRES[i % 4], 2.0) for i in range(4)]
+        places = [
+            PlacementTarget(f"field-log-{i:02}", CENTRES[i % 4], 2.0) for i in range(4)
+        ]
         holdings = [
-            Holding(f"light/{i}", f"field-log-{1 + i % 3:02}", 0.2) for i in range(12)
+            ShardPlacement(f"light/{i}", f"field-log-{1 + i % 3:02}", 0.2)
+            for i in range(12)
         ]
-        holdings += [Holding(f"hot/{i}", "field-log-00", 0.54) for i in range(2)]
+        holdings += [ShardPlacement(f"hot/{i}", "field-log-00", 0.54) for i in range(2)]
         before = imbalance(holdings, places)
         counts = settle(holdings, places)
         hot = {holding.owner for holding in holdings if holding.shard[0] == "h"}
--- a/packages/policy/tests/test_keepers.py
+++ b/packages/policy/tests/test_queue_assignment.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from berylstage_policy.candidates import Candidate
-from berylstage_policy.keepers import MAX_SERVERS_PER_QUEUE, keepers
+from berylstage_policy.queue_assignment import MAX_SERVERS_PER_QUEUE, keepers
 
 QUEUES = [f"q{n}" for n in range(300)]
 
--- a/packages/policy/tests/test_queue_machine.py
+++ b/packages/policy/tests/test_queue_machine.py
@@ -4,9 +4,9 @@
 
 from random import Random
 
-from berylstage_policy.queue import TargetQueue
+from berylstage_policy.target_queue import TargetQueue
 from berylstage_policy.thresholds import DEFAULTS
-from berylstage_policy.tickets import Outcome, Refuse, Start, Ticket, Wait
+from berylstage_policy.tickets import AttemptOutcome, Refuse, Start, Ticket, Wait
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
@@ -75,7 +75,9 @@
         self.settle()
 
     @rule(
-        index=st.integers(0, 10), outcome=st.sampled_from(Outcome), named=st.booleans()
+        index=st.integers(0, 10),
+        outcome=st.sampled_from(AttemptOutcome),
+        named=st.booleans(),
     )
     def finish(self, index, outcome, named):
         if not self.running:
@@ -117,7 +119,9 @@
     @rule()
     def pause_and_resume(self):
         self.queue.pause(self.now + 0.4)
-        assert self.queue.finished("nobody", self.now, 0.0, Outcome.ANSWERED) == []
+        assert (
+            self.queue.finished("nobody", self.now, 0.0, AttemptOutcome.ANSWERED) == []
+        )
         self.start(self.queue.resume(self.now))
         self.settle()
 
--- a/packages/policy/tests/test_retries.py
+++ b/packages/policy/tests/test_retries.py
@@ -7,7 +7,7 @@
 import pytest
 from berylstage_policy.retries import HedgePolicy, RetryPolicy, RetryVerdict
 from berylstage_policy.thresholds import DEFAULTS
-from berylstage_policy.tickets import Outcome
+from berylstage_policy.tickets import AttemptOutcome
 
 
 @pytest.fixture
@@ -19,15 +19,15 @@
     @pytest.mark.parametrize(
         ("is_repeatable", "outcome", "verdict"),
         [
-            (True, Outcome.UNKNOWN, RetryVerdict.RETRY),
-            (True, Outcome.NOT_RUN, RetryVerdict.RETRY),
-            (True, Outcome.ANSWERED, RetryVerdict.FINAL),
-            (True, Outcome.CANCELLED, RetryVerdict.FINAL),
-            (False, Outcome.NOT_RUN, RetryVerdict.RETRY),
-            (False, Outcome.SHED, RetryVerdict.RETRY),
-            (False, Outcome.COLD, RetryVerdict.RETRY),
-            (False, Outcome.UNKNOWN, RetryVerdict.NOT_REPEATABLE),
-            (False, Outcome.FAILED, RetryVerdict.NOT_REPEATABLE),
+            (True, AttemptOutcome.UNKNOWN, RetryVerdict.RETRY),
+            (True, AttemptOutcome.NOT_RUN, RetryVerdict.RETRY),
+            (True, AttemptOutcome.ANSWERED, RetryVerdict.FINAL),
+            (True, AttemptOutcome.CANCELLED, RetryVerdict.FINAL),
+            (False, AttemptOutcome.NOT_RUN, RetryVerdict.RETRY),
+            (False, AttemptOutcome.SHED, RetryVerdict.RETRY),
+            (False, AttemptOutcome.COLD, RetryVerdict.RETRY),
+            (False, AttemptOutcome.UNKNOWN, RetryVerdict.NOT_REPEATABLE),
+            (False, AttemptOutcome.FAILED, RetryVerdict.NOT_REPEATABLE),
         ],
     )
     def test_what_may_have_run_is_repeated_only_if_it_may_be(
@@ -38,11 +38,11 @@
         assert found.verdict is verdict
 
     def test_no_time_is_final_at_once(self, policy):
-        found = policy.decide(True, Outcome.UNKNOWN, 0.01, 1, 0.02)
+        found = policy.decide(True, AttemptOutcome.UNKNOWN, 0.01, 1, 0.02)
         assert found.verdict is RetryVerdict.NO_TIME
 
     def test_attempts_are_bounded(self, policy):
-        found = policy.decide(True, Outcome.UNKNOWN, 9.0, 3, 0.02)
+        found = policy.decide(True, AttemptOutcome.UNKNOWN, 9.0, 3, 0.02)
         assert found.verdict is RetryVerdict.ATTEMPTS
 
     def test_failing_service_gets_a_bounded_load_of_retries(self, policy):
@@ -51,7 +51,7 @@
         for _ in range(1000):
             policy.succeeded()
         verdicts = [
-            policy.decide(True, Outcome.UNKNOWN, 1.0, 1, 0.02).verdict
+            policy.decide(True, AttemptOutcome.UNKNOWN, 1.0, 1, 0.02).verdict
             for _ in range(1000)
         ]
         retries = verdicts.count(RetryVerdict.RETRY)
@@ -62,7 +62,7 @@
         retries = 0
         for _ in range(5000):
             policy.succeeded()
-            found = policy.decide(True, Outcome.UNKNOWN, 1.0, 1, 0.02)
+            found = policy.decide(True, AttemptOutcome.UNKNOWN, 1.0, 1, 0.02)
             retries += found.verdict is RetryVerdict.RETRY
         assert retries <= 5000 * DEFAULTS["retry_share"] + DEFAULTS["retry_reserve"]
         assert retries > 5000 * DEFAULTS["retry_share"] * 0.9
--- a/packages/policy/tests/test_choice.py
+++ b/packages/policy/tests/test_target_choice.py
@@ -6,7 +6,7 @@
 from random import Random
 
 import pytest
-from berylstage_policy.choice import TargetChoice
+from berylstage_policy.target_choice import TargetChoice
 from berylstage_policy.thresholds import DEFAULTS
 
 NAMES = [f"contract-book-{i:02}" for i in range(10)]
--- a/packages/policy/tests/test_queue.py
+++ b/packages/policy/tests/test_target_queue.py
@@ -5,11 +5,11 @@
 from random import Random
 from statistics import mean
 
-from berylstage_policy.queue import TargetQueue
+from berylstage_policy.target_queue import TargetQueue
 from berylstage_policy.thresholds import DEFAULTS
 from berylstage_policy.tickets import (
+    AttemptOutcome,
     Decline,
-    Outcome,
     Refuse,
     RefuseReason,
     Start,
@@ -102,8 +102,8 @@
         assert isinstance(queue.offer(light, 0.0), Wait)
         assert queue.next_expiry() == float("-inf")
         assert [r.ticket_id for r in queue.expired(0.0)] == ["flood-10"]
-        started = queue.finished("flood-0", 0.1, 0.1, Outcome.ANSWERED)
-        started += queue.finished(started[0].id, 0.2, 0.1, Outcome.ANSWERED)
+        started = queue.finished("flood-0", 0.1, 0.1, AttemptOutcome.ANSWERED)
+        started += queue.finished(started[0].id, 0.2, 0.1, AttemptOutcome.ANSWERED)
         assert "light" in [ticket.id for ticket in started]
 
 
@@ -265,7 +265,7 @@
         queue.offer(make_ticket("a"), 0.0)
         queue.offer(make_ticket("b"), 0.0)
         assert not queue.cancelled("b", 0.0)
-        assert queue.finished("a", 0.1, 0.1, Outcome.ANSWERED) == []
+        assert queue.finished("a", 0.1, 0.1, AttemptOutcome.ANSWERED) == []
         assert queue.next_expiry() is None
 
     def test_cancelled_in_a_slot_keeps_the_slot(self, make_ticket):
@@ -275,14 +275,16 @@
         queue.offer(make_ticket("a"), 0.0)
         assert queue.cancelled("a", 0.0)
         assert isinstance(queue.offer(make_ticket("b"), 0.0), Wait)
-        assert [t.id for t in queue.finished("a", 0.1, 0.1, Outcome.CANCELLED)] == ["b"]
+        assert [
+            t.id for t in queue.finished("a", 0.1, 0.1, AttemptOutcome.CANCELLED)
+        ] == ["b"]
 
     def test_finished_twice_frees_one_slot(self, make_ticket):
         queue = TargetQueue(1, DEFAULTS, Random(1), 0.0)
         for name in "abc":
             queue.offer(make_ticket(name), 0.0)
-        assert len(queue.finished("a", 0.1, 0.1, Outcome.ANSWERED)) == 1
-        assert queue.finished("a", 0.1, 0.1, Outcome.ANSWERED) == []
+        assert len(queue.finished("a", 0.1, 0.1, AttemptOutcome.ANSWERED)) == 1
+        assert queue.finished("a", 0.1, 0.1, AttemptOutcome.ANSWERED) == []
 
     def test_past_deadline_is_refused(self, make_ticket):
         queue = TargetQueue(1, DEFAULTS, Random(1), 0.0)
@@ -307,7 +309,7 @@
         decision = queue.offer(make_ticket("d"), 0.0)
         assert isinstance(decision, Refuse)
         assert decision.reason is RefuseReason.DRAINING
-        assert queue.finished("a", 0.1, 0.1, Outcome.ANSWERED) == []
+        assert queue.finished("a", 0.1, 0.1, AttemptOutcome.ANSWERED) == []
 
 
 class TestPause:
--- a/packages/policy/tests/test_shares.py
+++ b/packages/policy/tests/test_weighted_round_robin.py
@@ -5,13 +5,13 @@
 from random import Random
 
 import pytest
-from berylstage_policy.shares import WeightedTurns
+from berylstage_policy.weighted_round_robin import WeightedRoundRobin
 
 
 class TestWeightedTurns:
     @pytest.mark.parametrize("weights", [(90, 10), (1, 1, 1), (70, 20, 10), (5, 0.1)])
     def test_each_part_gets_its_weight(self, weights):
-        turns = WeightedTurns(weights)
+        turns = WeightedRoundRobin(weights)
         counts = [0] * len(weights)
         for _ in range(1000):
             counts[turns.take()] += 1
@@ -24,6 +24,6 @@
         rng = Random(1)
         small = 0
         for _ in range(400):
-            turns = WeightedTurns((90, 10), rng.random())
+            turns = WeightedRoundRobin((90, 10), rng.random())
             small += sum(turns.take() == 1 for _ in range(3))
         assert 0.04 * 1200 < small < 0.16 * 1200
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -13,7 +13,7 @@
 from berylstage_adapter.kv_store import _item
 from berylstage_adapter.node_settings import parse
 from berylstage_adapter.records import PlatformRecords
-from berylstage_entry.errors import BadRequest, UnreadableRecord
+from berylstage_entry.errors import BadRequest, InvalidRecord
 from berylstage_entry.store import Item
 from berylstage_settings.errors import FaultySettings
 from berylstage_transfers.call import Answer
@@ -139,11 +139,11 @@
         ],
     )
     def test_record_of_another_writer_names_no_target(self, change):
-        with pytest.raises(UnreadableRecord):
+        with pytest.raises(InvalidRecord):
             read("servers/i-1", SERVER | change)
 
     def test_unreadable_bytes_name_no_target(self):
-        with pytest.raises(UnreadableRecord):
+        with pytest.raises(InvalidRecord):
             PlatformRecords().read(Item("servers/i-1", b"\xff{", 1))
 
     def test_evacuation_closes_and_opens_a_data_centre(self):
