--- a/packages/entry/src/berylstage_entry/cold_targets.py
+++ b/packages/entry/src/berylstage_entry/cold_targets.py
@@ -19,7 +19,7 @@
 
     Parameters
     ----------
-    directory : Directory
+    directory : ClusterView
     bounds : Bounds
     vm : str
         Name of this VM.
--- a/packages/entry/src/berylstage_entry/owners.py
+++ b/packages/entry/src/berylstage_entry/owners.py
@@ -44,20 +44,20 @@
 
     Parameters
     ----------
-    feed : Feed
-    directory : Directory
+    feed : StoreWatcher
+    directory : ClusterView
     """
 
     def __init__(self, feed: StoreWatcher, directory: ClusterView):
         self._feed = feed
         self._directory = directory
 
-    async def find(self, journey: RequestContext) -> str:
+    async def find(self, ctx: RequestContext) -> str:
         """Return the target that should receive a request with a key.
 
         Parameters
         ----------
-        journey : Journey
+        ctx : RequestContext
 
         Returns
         -------
@@ -69,46 +69,43 @@
             No usable owner was found in time.
         """
         started_at = now()
-        retry_at = started_at + journey.pause
-        min_left = WAIT_SHARE * min(journey.route.timeout, journey.left(started_at))
+        retry_at = started_at + ctx.pause
+        min_left = WAIT_SHARE * min(ctx.route.timeout, ctx.left(started_at))
         while True:
-            key_range = self._find_range(journey)
+            key_range = self._find_range(ctx)
             if key_range is not None and self._is_usable_owner(key_range):
-                revision = self._revision(journey)
-                if (
-                    journey.turned_away != (key_range.owner, revision)
-                    or now() >= retry_at
-                ):
+                revision = self._revision(ctx)
+                if ctx.turned_away != (key_range.owner, revision) or now() >= retry_at:
                     return key_range.owner
-            if journey.left(now()) < min_left:
-                raise NoOwner(self._describe(journey, key_range))
+            if ctx.left(now()) < min_left:
+                raise NoOwner(self._describe(ctx, key_range))
             if now() - started_at >= REFRESH_AFTER_SECONDS:
                 self._feed.hurry()
             await asyncio.sleep(MOVE_POLL_SECONDS)
 
-    def is_owner(self, journey: RequestContext, name: str) -> bool:
+    def is_owner(self, ctx: RequestContext, name: str) -> bool:
         """Tell whether a target is still the owner of a request's key."""
-        key_range = self._find_range(journey)
+        key_range = self._find_range(ctx)
         return (
             key_range is not None
             and key_range.owner == name
             and self._is_usable_owner(key_range)
         )
 
-    def turned_away(self, journey: RequestContext, name: str) -> None:
+    def turned_away(self, ctx: RequestContext, name: str) -> None:
         """Record that an owner rejected a request, and increase its retry delay."""
-        journey.turned_away = (name, self._revision(journey))
-        journey.pause = min(
-            max(INITIAL_RETRY_DELAY_SECONDS, 2 * journey.pause), MAX_RETRY_DELAY_SECONDS
+        ctx.turned_away = (name, self._revision(ctx))
+        ctx.pause = min(
+            max(INITIAL_RETRY_DELAY_SECONDS, 2 * ctx.pause), MAX_RETRY_DELAY_SECONDS
         )
 
-    def _find_range(self, journey: RequestContext) -> KeyRange | None:
-        assignment = self._feed.assignments.get(journey.service.name)
-        assert journey.req.key is not None
-        return assignment.find(journey.req.key) if assignment else None
+    def _find_range(self, ctx: RequestContext) -> KeyRange | None:
+        assignment = self._feed.assignments.get(ctx.service.name)
+        assert ctx.req.key is not None
+        return assignment.find(ctx.req.key) if assignment else None
 
-    def _revision(self, journey: RequestContext) -> int:
-        return self._feed.revisions.get(journey.service.name, 0)
+    def _revision(self, ctx: RequestContext) -> int:
+        return self._feed.revisions.get(ctx.service.name, 0)
 
     def _is_usable_owner(self, key_range: KeyRange) -> bool:
         return (
@@ -117,12 +114,10 @@
             and self._directory.may_use(key_range.owner)
         )
 
-    def _describe(self, journey: RequestContext, key_range: KeyRange | None) -> str:
+    def _describe(self, ctx: RequestContext, key_range: KeyRange | None) -> str:
         range_text = (
             f"owner {key_range.owner} former {key_range.former}"
             if key_range is not None
             else ""
         )
-        return (
-            f"key {journey.req.key} {range_text} assignment {self._revision(journey)}"
-        )
+        return f"key {ctx.req.key} {range_text} assignment {self._revision(ctx)}"
--- a/packages/entry/src/berylstage_entry/permit_client.py
+++ b/packages/entry/src/berylstage_entry/permit_client.py
@@ -153,13 +153,13 @@
         )
 
     async def take(
-        self, journey: RequestContext, queue: str, data_centre: str = ""
+        self, ctx: RequestContext, queue: str, data_centre: str = ""
     ) -> Permit | None:
         """Wait for a permit for a request.
 
         Parameters
         ----------
-        journey : Journey
+        ctx : RequestContext
         queue : str
             Name of a target that owns keys, or of a service without owned keys.
         data_centre : str
@@ -167,7 +167,7 @@
 
         Returns
         -------
-        Turn or None
+        Permit or None
             None if no VM serves the queue; the request is then sent without a permit.
 
         Raises
@@ -179,7 +179,7 @@
             if now() < self._lost_servers.get(server, 0.0):
                 continue
             try:
-                return await self._acquire_from(journey, queue, server)
+                return await self._acquire_from(ctx, queue, server)
             except _ServerLost:
                 self._lost_servers[server] = now() + SERVER_BACKOFF_SECONDS
                 log.info(
@@ -195,7 +195,7 @@
 
         Parameters
         ----------
-        turn : Turn
+        turn : Permit
         failed : bool
             Whether the target failed the request or did not answer.
         load : LoadReport, optional
@@ -223,13 +223,13 @@
             replies.put_nowait(reply)
 
     async def _acquire_from(
-        self, journey: RequestContext, queue: str, server: str
+        self, ctx: RequestContext, queue: str, server: str
     ) -> Permit:
         number = next(self._request_numbers) % REQUEST_NUMBERS
         turn = Permit(number, queue, server)
         replies = self._replies[number] = asyncio.Queue()
         try:
-            turn.target = await self._await_grant(journey, turn, replies)
+            turn.target = await self._await_grant(ctx, turn, replies)
             return turn
         finally:
             del self._replies[number]
@@ -238,13 +238,13 @@
                 self.done(turn)
 
     async def _await_grant(
-        self, journey: RequestContext, turn: Permit, replies: asyncio.Queue[PermitReply]
+        self, ctx: RequestContext, turn: Permit, replies: asyncio.Queue[PermitReply]
     ) -> int:
         """Return the checksum of the target for which the permit is granted."""
         unanswered, is_measured = 0, False
         first_sent_at = now()
         while True:
-            self.ask(turn.server, self._build_request(journey, turn))
+            self.ask(turn.server, self._build_request(ctx, turn))
             is_answered, timeout = False, self._reply_timeout.timeout
             while True:
                 reply = await _next_reply(replies, timeout)
@@ -260,7 +260,7 @@
                     raise PermitRefused(reply.retry_after, turn.describe())
                 if reply.status == PermitStatus.QUEUE_CLOSED.value:
                     raise _ServerLost
-            if journey.left(now()) <= 0:
+            if ctx.left(now()) <= 0:
                 raise PermitRefused(0.0, turn.describe())
             if not is_answered:
                 unanswered += 1
@@ -269,16 +269,16 @@
                     self._reply_timeout.record(now() - first_sent_at)
                 raise _ServerLost
 
-    def _build_request(self, journey: RequestContext, turn: Permit) -> PermitRequest:
+    def _build_request(self, ctx: RequestContext, turn: Permit) -> PermitRequest:
         moment = now()
-        route = journey.route
+        route = ctx.route
         return PermitRequest(
             turn.number,
             checksum(turn.queue),
             checksum(route.name),
-            journey.wanted - moment,
+            ctx.wanted - moment,
             route.objective,
-            journey.left(moment),
+            ctx.left(moment),
             route.priority,
         )
 
--- a/packages/entry/src/berylstage_entry/permit_server.py
+++ b/packages/entry/src/berylstage_entry/permit_server.py
@@ -53,7 +53,7 @@
     ----------
     loads : TargetLoads
         Provides the service times of targets.
-    directory : Directory
+    directory : ClusterView
     membership : Membership
     """
 
--- a/packages/entry/src/berylstage_entry/probes.py
+++ b/packages/entry/src/berylstage_entry/probes.py
@@ -39,10 +39,10 @@
     Parameters
     ----------
     loads : TargetLoads
-    directory : Directory
-    turns : Turns
+    directory : ClusterView
+    turns : PermitClient
         Determines the queues that this VM serves.
-    wire : TargetWire
+    wire : TargetProtocol
     """
 
     def __init__(
--- a/packages/entry/src/berylstage_entry/queue_service_times.py
+++ b/packages/entry/src/berylstage_entry/queue_service_times.py
@@ -18,7 +18,7 @@
     Parameters
     ----------
     loads : TargetLoads
-    directory : Directory
+    directory : ClusterView
     service : str
     """
 
--- a/packages/entry/src/berylstage_entry/router.py
+++ b/packages/entry/src/berylstage_entry/router.py
@@ -67,9 +67,9 @@
 
     Parameters
     ----------
-    directory : Directory
-    feed : Feed
-    senders : Senders
+    directory : ClusterView
+    feed : StoreWatcher
+    senders : TargetClients
     bounds : Bounds
     rng : Random
     data_centre : str
@@ -95,7 +95,7 @@
     ):
         self._directory = directory
         self._owner_resolver = OwnerResolver(feed, directory)
-        self._senders = senders
+        self._clients = senders
         self._bounds = bounds
         self._rng = rng
         self._data_centre = data_centre
@@ -136,14 +136,14 @@
         wait = min(req.time_left - ANSWER_WAY, route.timeout)
         moment = now() - req.waited
         wanted = moment + route.objective - ANSWER_WAY
-        journey = RequestContext(req, route, service, moment + wait, wanted)
+        ctx = RequestContext(req, route, service, moment + wait, wanted)
         self._retry_budget(service.name).earn()
         self.loads.record_request(service.name)
         if service.owns_keys and req.key is not None:
             counts = self._key_counts.setdefault(service.name, {})
             counts[req.key] = counts.get(req.key, 0) + 1
             self.has_counted.set()
-        return await self._forward(journey)
+        return await self._forward(ctx)
 
     def take_key_counts(self) -> dict[str, dict[int, int]]:
         """Return the requests by service and key since the last call."""
@@ -154,133 +154,133 @@
     def _drop_removed_targets(self) -> None:
         self._seen_revision = self._directory.revision
         names = set(self._directory.known)
-        self._senders.retain(names)
+        self._clients.retain(names)
         self.cold.retain(names)
 
-    async def _forward(self, journey: RequestContext) -> RoutedAnswer:
+    async def _forward(self, ctx: RequestContext) -> RoutedAnswer:
         """Send until there is an answer to return, or no further attempt is allowed."""
         try:
             while True:
-                name = await self._choose_target(journey)
-                answer = await self._attempt(journey, name)
+                name = await self._choose_target(ctx)
+                answer = await self._attempt(ctx, name)
                 if answer is not None:
-                    attempts, waited = journey.attempts, journey.waited
+                    attempts, waited = ctx.attempts, ctx.waited
                     return RoutedAnswer(answer, name, attempts, waited)
         except (Refused, Unanswered):
-            if journey.failure is None:
+            if ctx.failure is None:
                 raise
-            return journey.failure
+            return ctx.failure
 
-    async def _choose_target(self, journey: RequestContext) -> str:
+    async def _choose_target(self, ctx: RequestContext) -> str:
         """Return the target for the next attempt."""
-        if journey.left(now()) < LEAST_TIME:
-            raise self._build_error(journey, "no-time")
-        if journey.service.owns_keys and journey.req.key is not None:
-            name = await self._choose_owner(journey)
+        if ctx.left(now()) < LEAST_TIME:
+            raise self._build_error(ctx, "no-time")
+        if ctx.service.owns_keys and ctx.req.key is not None:
+            name = await self._choose_owner(ctx)
         else:
-            name = await self._choose_without_key(journey)
-        if journey.attempts:
-            self._check_retry_limits(journey, name)
+            name = await self._choose_without_key(ctx)
+        if ctx.attempts:
+            self._check_retry_limits(ctx, name)
         return name
 
-    def _check_retry_limits(self, journey: RequestContext, name: str) -> None:
-        if journey.attempts >= journey.route.attempts and name not in journey.tried:
-            raise self._build_error(journey, "attempts")
-        if not self._retry_budget(journey.service.name).spend():
-            raise self._build_error(journey, "budget")
+    def _check_retry_limits(self, ctx: RequestContext, name: str) -> None:
+        if ctx.attempts >= ctx.route.attempts and name not in ctx.tried:
+            raise self._build_error(ctx, "attempts")
+        if not self._retry_budget(ctx.service.name).spend():
+            raise self._build_error(ctx, "budget")
 
-    async def _choose_owner(self, journey: RequestContext) -> str:
+    async def _choose_owner(self, ctx: RequestContext) -> str:
         """Return the owner of the key, unless it is overloaded."""
         while True:
             try:
-                name = await self._owner_resolver.find(journey)
+                name = await self._owner_resolver.find(ctx)
             except NoOwner as exc:
-                raise self._build_error(journey, "no-owner", str(exc)) from exc
-            if not self.cold.may_send(name, journey.service):
-                raise self._build_error(journey, "cold")
+                raise self._build_error(ctx, "no-owner", str(exc)) from exc
+            if not self.cold.may_send(name, ctx.service):
+                raise self._build_error(ctx, "cold")
             data_centre = self._directory.known[name].target.data_centre
-            await self._acquire_permit(journey, name, data_centre)
-            if not self._owner_resolver.is_owner(journey, name):
+            await self._acquire_permit(ctx, name, data_centre)
+            if not self._owner_resolver.is_owner(ctx, name):
                 # The key moved, or its owner became unusable, during the wait.
-                self._release_permit(journey)
+                self._release_permit(ctx)
                 continue
-            if journey.turn is None:
-                return self._check_owner_load(journey, name)
+            if ctx.turn is None:
+                return self._check_owner_load(ctx, name)
             return name
 
     async def _acquire_permit(
-        self, journey: RequestContext, queue: str, data_centre: str = ""
+        self, ctx: RequestContext, queue: str, data_centre: str = ""
     ) -> None:
         """Wait for a permit from a queue; set none if no VM serves the queue."""
         if self.turns is None:
             return
         started_at = now()
         try:
-            journey.turn = await self.turns.take(journey, queue, data_centre)
+            ctx.turn = await self.turns.take(ctx, queue, data_centre)
         except PermitRefused as exc:
-            journey.waited += now() - started_at
+            ctx.waited += now() - started_at
             reason = "owner-busy" if data_centre else "no-room"
-            raise self._build_error(journey, reason, exc.turn, exc.retry_after) from exc
-        journey.waited += now() - started_at
-        if journey.left(now()) < LEAST_TIME:
-            self._release_permit(journey)
-            raise self._build_error(journey, "no-time")
+            raise self._build_error(ctx, reason, exc.turn, exc.retry_after) from exc
+        ctx.waited += now() - started_at
+        if ctx.left(now()) < LEAST_TIME:
+            self._release_permit(ctx)
+            raise self._build_error(ctx, "no-time")
 
     def _release_permit(
         self,
-        journey: RequestContext,
+        ctx: RequestContext,
         failed: bool = False,
         load: LoadReport | None = None,
     ) -> None:
-        if journey.turn is not None and self.turns is not None:
-            self.turns.done(journey.turn, failed, load)
-        journey.turn = None
+        if ctx.turn is not None and self.turns is not None:
+            self.turns.done(ctx.turn, failed, load)
+        ctx.turn = None
 
-    def _check_owner_load(self, journey: RequestContext, name: str) -> str:
+    def _check_owner_load(self, ctx: RequestContext, name: str) -> str:
         """Refuse a request if this VM's data shows that the owner is overloaded."""
-        loads = self.loads.for_service(journey.service.name)
+        loads = self.loads.for_service(ctx.service.name)
         loads.load(name, self._directory.known[name].target.slots)
-        expected = loads.expected(name, journey.route.name, now())
-        limit = min(OWNER_WAIT * journey.route.objective, journey.left(now()))
+        expected = loads.expected(name, ctx.route.name, now())
+        limit = min(OWNER_WAIT * ctx.route.objective, ctx.left(now()))
         if expected > limit:
             detail = loads.describe(name, now())
-            raise self._build_error(journey, "owner-busy", detail)
+            raise self._build_error(ctx, "owner-busy", detail)
         return name
 
-    async def _choose_without_key(self, journey: RequestContext) -> str:
+    async def _choose_without_key(self, ctx: RequestContext) -> str:
         """Return the target of a request without a key, with a permit if possible."""
-        names = self._eligible_targets(journey)
-        cold = [n for n in names if self.cold.limiter(n, journey.service) is not None]
-        if journey.attempts or len(cold) == len(names):
+        names = self._eligible_targets(ctx)
+        cold = [n for n in names if self.cold.limiter(n, ctx.service) is not None]
+        if ctx.attempts or len(cold) == len(names):
             # A retry avoids the targets that have failed it.
-            return self._choose_by_load(journey, names)
+            return self._choose_by_load(ctx, names)
         if cold:
             # Requests to cold targets are limited per VM and need no permit.
-            name = self._choose_by_load(journey, names)
+            name = self._choose_by_load(ctx, names)
             if name in cold:
                 return name
-        await self._acquire_permit(journey, journey.service.name)
+        await self._acquire_permit(ctx, ctx.service.name)
         name = ""
-        if journey.turn is not None:
-            name = self._directory.named(journey.turn.target)
+        if ctx.turn is not None:
+            name = self._directory.named(ctx.turn.target)
         # Targets may have become unusable during the wait.
         names = [n for n in names if self._directory.may_use(n)]
         if name in names:
             return name
         # The permit server learns of a removed target later or earlier than this VM.
-        self._release_permit(journey)
+        self._release_permit(ctx)
         if not names:
-            raise self._build_error(journey, "no-target")
-        return self._choose_by_load(journey, names)
+            raise self._build_error(ctx, "no-target")
+        return self._choose_by_load(ctx, names)
 
-    def _eligible_targets(self, journey: RequestContext) -> list[str]:
+    def _eligible_targets(self, ctx: RequestContext) -> list[str]:
         """Return the targets that may receive a request without a key."""
-        names = self._directory.usable(journey.service.name)
-        loads = self.loads.for_service(journey.service.name)
+        names = self._directory.usable(ctx.service.name)
+        loads = self.loads.for_service(ctx.service.name)
         known = self._directory.known
         eligible = []
         for name in names:
-            if name in journey.tried or not self.cold.may_send(name, journey.service):
+            if name in ctx.tried or not self.cold.may_send(name, ctx.service):
                 continue
             target = known[name].target
             load = loads.load(name, target.slots)
@@ -288,112 +288,112 @@
                 load.distance = OTHER_DATA_CENTRE
             eligible.append(name)
         if not eligible:
-            raise self._build_error(journey, "no-target")
+            raise self._build_error(ctx, "no-target")
         return eligible
 
-    def _choose_by_load(self, journey: RequestContext, eligible: list[str]) -> str:
+    def _choose_by_load(self, ctx: RequestContext, eligible: list[str]) -> str:
         """Return the target with the earliest completion by this VM's data."""
-        loads = self.loads.for_service(journey.service.name)
-        kind = journey.route.name
+        loads = self.loads.for_service(ctx.service.name)
+        kind = ctx.route.name
         name = loads.choose(eligible, kind, now())
-        if loads.expected(name, kind, now()) > journey.left(now()):
-            raise self._build_error(journey, "no-room", loads.describe(name, now()))
+        if loads.expected(name, kind, now()) > ctx.left(now()):
+            raise self._build_error(ctx, "no-room", loads.describe(name, now()))
         return name
 
-    async def _attempt(self, journey: RequestContext, name: str) -> TargetAnswer | None:
+    async def _attempt(self, ctx: RequestContext, name: str) -> TargetAnswer | None:
         """Send once; return None if the request may be sent again."""
         target = self._directory.known[name].target
-        sender = self._senders.get(target, journey.service.connections)
-        loads = self.loads.for_service(journey.service.name)
+        client = self._clients.get(target, ctx.service.connections)
+        loads = self.loads.for_service(ctx.service.name)
         load = loads.load(name, target.slots)
-        self.cold.record_request(name, journey.service)
+        self.cold.record_request(name, ctx.service)
         load.inflight += 1
         started_at = now()
-        failed, report, had_permit = True, None, journey.turn is not None
+        failed, report, had_permit = True, None, ctx.turn is not None
         try:
-            answer = await sender.send(journey.req, journey.left(started_at))
+            answer = await client.send(ctx.req, ctx.left(started_at))
             failed, report = is_failure(answer), build_load_report(answer)
         except asyncio.CancelledError:
             # The caller has disconnected, which is no failure of the target.
-            if journey.turn is not None:
-                journey.turn.target = 0
+            if ctx.turn is not None:
+                ctx.turn.target = 0
             raise
         except NeverSent as exc:
             load.failed(now())
-            journey.tried.add(name)
-            self._owner_resolver.turned_away(journey, name)
-            if journey.left(now()) < LEAST_TIME:
-                raise self._build_error(journey, "unreachable") from exc
+            ctx.tried.add(name)
+            self._owner_resolver.turned_away(ctx, name)
+            if ctx.left(now()) < LEAST_TIME:
+                raise self._build_error(ctx, "unreachable") from exc
             return None
         except AnswerLost as exc:
-            self._handle_lost_answer(journey, name, exc)
+            self._handle_lost_answer(ctx, name, exc)
             return None
         finally:
             load.inflight -= 1
-            self._release_permit(journey, failed, report)
-        kind, service = journey.route.name, journey.service.name
+            self._release_permit(ctx, failed, report)
+        kind, service = ctx.route.name, ctx.service.name
         self.loads.record_answer(name, kind, service, answer, now() - started_at)
         if answer.not_run and not answer.misdirected and had_permit:
-            journey.shed += 1
-        return self._handle_answer(journey, name, answer)
+            ctx.shed += 1
+        return self._handle_answer(ctx, name, answer)
 
     def _handle_lost_answer(
-        self, journey: RequestContext, name: str, exc: AnswerLost
+        self, ctx: RequestContext, name: str, exc: AnswerLost
     ) -> None:
-        journey.attempts += 1
-        journey.tried.add(name)
+        ctx.attempts += 1
+        ctx.tried.add(name)
         moment = now()
-        late = journey.left(moment) < LEAST_TIME
-        journey.lost = "timeout" if late else "answer-lost"
-        self.loads.for_service(journey.service.name).load(name, 1).failed(moment)
-        if not journey.route.idempotent or late:
-            detail = f"target {name} attempts {journey.attempts}: {exc}"
-            raise Unanswered(journey.lost, late, detail) from exc
+        late = ctx.left(moment) < LEAST_TIME
+        ctx.lost = "timeout" if late else "answer-lost"
+        self.loads.for_service(ctx.service.name).load(name, 1).failed(moment)
+        if not ctx.route.idempotent or late:
+            detail = f"target {name} attempts {ctx.attempts}: {exc}"
+            raise Unanswered(ctx.lost, late, detail) from exc
         # Some targets reset connections when they are full.
-        self._owner_resolver.turned_away(journey, name)
+        self._owner_resolver.turned_away(ctx, name)
 
     def _handle_answer(
-        self, journey: RequestContext, name: str, answer: TargetAnswer
+        self, ctx: RequestContext, name: str, answer: TargetAnswer
     ) -> TargetAnswer | None:
-        journey.attempts += 1
+        ctx.attempts += 1
         if answer.misdirected:
             # The keys have moved, or another target now uses the address. The owner may
             # be asked again once this VM has learned of the move.
-            self._owner_resolver.turned_away(journey, name)
+            self._owner_resolver.turned_away(ctx, name)
             return None
-        journey.tried.add(name)
+        ctx.tried.add(name)
         if answer.not_run:
             # The target is full. Without a delay its owner would be asked again within
             # a millisecond, and the retry budget would be spent on attempts that fail.
             # A target that rejects a request with a permit has free slots, and a delay
             # would only make the answer late.
-            if journey.shed != 1:
-                self._owner_resolver.turned_away(journey, name)
+            if ctx.shed != 1:
+                self._owner_resolver.turned_away(ctx, name)
             return None
         failed = answer.status >= SERVER_ERROR
-        if failed and journey.route.idempotent and self._can_retry(journey):
-            journey.failure = RoutedAnswer(answer, name, journey.attempts)
+        if failed and ctx.route.idempotent and self._can_retry(ctx):
+            ctx.failure = RoutedAnswer(answer, name, ctx.attempts)
             return None
         return answer
 
-    def _can_retry(self, journey: RequestContext) -> bool:
-        has_time = journey.left(now()) > journey.route.objective / 2
-        return has_time and journey.attempts < journey.route.attempts
+    def _can_retry(self, ctx: RequestContext) -> bool:
+        has_time = ctx.left(now()) > ctx.route.objective / 2
+        return has_time and ctx.attempts < ctx.route.attempts
 
     def _build_error(
         self,
-        journey: RequestContext,
+        ctx: RequestContext,
         reason: str,
         detail: str = "",
         expected_wait: float = 0.0,
     ) -> Refused | Unanswered:
-        detail = f"{detail} attempts {journey.attempts} {journey.trace()}".strip()
-        if journey.lost:
-            return Unanswered(journey.lost, False, detail)
+        detail = f"{detail} attempts {ctx.attempts} {ctx.trace()}".strip()
+        if ctx.lost:
+            return Unanswered(ctx.lost, False, detail)
         retry_after = self._rng.uniform(
             MIN_RETRY_AFTER_SECONDS, MAX_RETRY_AFTER_SECONDS
         )
-        if journey.shed:
+        if ctx.shed:
             # Slots are free, so a delay would not improve the next attempt.
             retry_after = RETURN_AT_ONCE
         if expected_wait:
--- a/packages/entry/src/berylstage_entry/routes.py
+++ b/packages/entry/src/berylstage_entry/routes.py
@@ -35,7 +35,7 @@
         Host in lower case, without a port.
     prefix : str
         Path prefix that begins and ends with a slash.
-    shares : sequence of Share
+    shares : sequence of WeightedService
         Services among which the requests are split.
     idempotent : bool
         Whether a request may be executed more than once.
--- a/packages/entry/src/berylstage_entry/target_clients.py
+++ b/packages/entry/src/berylstage_entry/target_clients.py
@@ -31,7 +31,7 @@
     Parameters
     ----------
     target : Target
-    wire : TargetWire
+    wire : TargetProtocol
     connections : int
         Maximum number of connections of this VM to the target.
     rest : Rest
@@ -122,14 +122,14 @@
 
     Parameters
     ----------
-    wire : TargetWire
+    wire : TargetProtocol
     """
 
-    __slots__ = ("_rests", "_retired", "_senders", "_wire", "vms")
+    __slots__ = ("_rests", "_retired", "_clients", "_wire", "vms")
 
     def __init__(self, wire: TargetProtocol):
         self._wire = wire
-        self._senders: dict[str, TargetClient] = {}
+        self._clients: dict[str, TargetClient] = {}
         self._rests: dict[str, Rest] = {}
         # Clients of removed targets with requests in flight.
         self._retired: list[TargetClient] = []
@@ -145,18 +145,18 @@
         connections : int
             Number of connections that the target accepts from all VMs.
         """
-        sender = self._senders.get(target.name)
-        if sender is not None:
-            known = sender.target
+        client = self._clients.get(target.name)
+        if client is not None:
+            known = client.target
             if known.life == target.life and known.address == target.address:
-                return sender
-            self._retire(sender)
+                return client
+            self._retire(client)
         rest = self._rests.setdefault(target.service, Rest())
-        sender = TargetClient(
+        client = TargetClient(
             target, self._wire, self.connection_share(connections), rest
         )
-        self._senders[target.name] = sender
-        return sender
+        self._clients[target.name] = client
+        return client
 
     def connection_share(self, connections: int) -> int:
         """Return the maximum number of connections of this VM to a target.
@@ -171,18 +171,18 @@
 
     def retain(self, names: set[str]) -> None:
         """Retire the clients of all targets except the given ones."""
-        for name in [name for name in self._senders if name not in names]:
-            self._retire(self._senders.pop(name))
+        for name in [name for name in self._clients if name not in names]:
+            self._retire(self._clients.pop(name))
 
     def close(self) -> None:
         """Close all connections and fail the requests in flight."""
-        for sender in [*self._senders.values(), *self._retired]:
-            sender.close()
-        self._senders.clear()
+        for client in [*self._clients.values(), *self._retired]:
+            client.close()
+        self._clients.clear()
         self._retired.clear()
 
-    def _retire(self, sender: TargetClient) -> None:
-        self._retired = [old for old in self._retired if old.is_busy]
-        sender.retire()
-        if sender.is_busy:
-            self._retired.append(sender)
+    def _retire(self, client: TargetClient) -> None:
+        self._retired = [c for c in self._retired if c.is_busy]
+        client.retire()
+        if client.is_busy:
+            self._retired.append(client)
--- a/packages/entry/src/berylstage_entry/target_loads.py
+++ b/packages/entry/src/berylstage_entry/target_loads.py
@@ -27,7 +27,7 @@
 
     Parameters
     ----------
-    directory : Directory
+    directory : ClusterView
     rng : Random
     """
 
--- a/packages/entry/tests/test_permit_client.py
+++ b/packages/entry/tests/test_permit_client.py
@@ -95,10 +95,10 @@
         cfg = configuration()
         route, service = cfg.routes[0], cfg.services["s"]
         moment = now()
-        journey = RequestContext(
+        ctx = RequestContext(
             req, route, service, moment + time_left, moment + route.objective
         )
-        return await self.turns.take(journey, "a", "dc-1")
+        return await self.turns.take(ctx, "a", "dc-1")
 
 
 @pytest.fixture
--- a/packages/entry/tests/test_router.py
+++ b/packages/entry/tests/test_router.py
@@ -301,7 +301,7 @@
         self.released = []
         self.targets = []
 
-    async def take(self, journey, queue, data_centre=""):
+    async def take(self, ctx, queue, data_centre=""):
         self.queues.append(queue)
         result = self._script.pop(0)
         if isinstance(result, Exception):
@@ -345,11 +345,11 @@
         directory = ClusterView()
 
         class Leaving(ScriptedPermits):
-            async def take(self, journey, queue, data_centre=""):
+            async def take(self, ctx, queue, data_centre=""):
                 for name in ("a", "b"):
                     record = Record(target=target(name, leaving=True))
                     directory.apply(record, now(), False)
-                return await super().take(journey, queue, data_centre)
+                return await super().take(ctx, queue, data_centre)
 
         _, sent = serve_request([], turns=Leaving(granted), directory=directory)
         assert sent == ["c"]
@@ -407,11 +407,11 @@
         feed, directory = StoreWatcher(), ClusterView()
 
         class Lost(ScriptedPermits):
-            async def take(self, journey, queue, data_centre=""):
+            async def take(self, ctx, queue, data_centre=""):
                 if queue == "a":
                     directory.apply(Record(gone="a"), now(), False)
                     feed.move_to("b")
-                return await super().take(journey, queue, data_centre)
+                return await super().take(ctx, queue, data_centre)
 
         turns = Lost(None, None)
         status, sent = serve_request(
@@ -425,9 +425,9 @@
         feed = StoreWatcher("a")
 
         class Moving(ScriptedPermits):
-            async def take(self, journey, queue, data_centre=""):
+            async def take(self, ctx, queue, data_centre=""):
                 feed.move_to("b")
-                return await super().take(journey, queue, data_centre)
+                return await super().take(ctx, queue, data_centre)
 
         turns = Moving("a", "b")
         status, sent = serve_request(["ok"], owns_keys=True, feed=feed, turns=turns)
