--- a/packages/entry/src/berylstage_entry/permit_messages.py
+++ b/packages/entry/src/berylstage_entry/permit_messages.py
@@ -12,17 +12,17 @@
 ASK_FORMAT = 20
 REPLY_FORMAT = 21
 RETURN_FORMAT = 22
-_MS = 1000
+_MILLISECONDS = 1000
 _SLOWDOWN_UNITS = 20
 _MAX_BYTE = 255
 _MAX_SHORT = 65535
 # Number, queue, kind, milliseconds to the soft deadline, of the objective and to the
 # deadline, priority.
-_ASK = struct.Struct("<BIIIhHHB")
+_REQUEST = struct.Struct("<BIIIhHHB")
 # Number, status, milliseconds until a retry, target.
 _REPLY = struct.Struct("<BIBHI")
 # Number, queue, target, active requests, machine slowdown in twentieths, failed.
-_RETURN = struct.Struct("<BIIIBBB")
+_RELEASE = struct.Struct("<BIIIBBB")
 
 
 def checksum(name: str) -> int:
@@ -85,15 +85,17 @@
 
     def encode(self) -> bytes:
         """Return the request as a datagram."""
-        wanted = max(-_MAX_SHORT // 2, min(_MAX_SHORT // 2, round(self.wanted * _MS)))
-        return _ASK.pack(
+        wanted = max(
+            -_MAX_SHORT // 2, min(_MAX_SHORT // 2, round(self.wanted * _MILLISECONDS))
+        )
+        return _REQUEST.pack(
             ASK_FORMAT,
             self.number,
             self.queue,
             self.kind,
             wanted,
-            min(_MAX_SHORT, round(self.objective * _MS)),
-            max(0, min(_MAX_SHORT, round(self.deadline * _MS))),
+            min(_MAX_SHORT, round(self.objective * _MILLISECONDS)),
+            max(0, min(_MAX_SHORT, round(self.deadline * _MILLISECONDS))),
             min(_MAX_BYTE, max(0, self.priority)),
         )
 
@@ -107,9 +109,13 @@
             The datagram is malformed.
         """
         _, number, queue, kind, wanted, objective, deadline, priority = _unpack(
-            _ASK, data
+            _REQUEST, data
+        )
+        times = (
+            wanted / _MILLISECONDS,
+            objective / _MILLISECONDS,
+            deadline / _MILLISECONDS,
         )
-        times = wanted / _MS, objective / _MS, deadline / _MS
         return cls(number, queue, kind, *times, priority)
 
 
@@ -137,7 +143,7 @@
 
     def encode(self) -> bytes:
         """Return the reply as a datagram."""
-        ms = min(_MAX_SHORT, round(self.retry_after * _MS))
+        ms = min(_MAX_SHORT, round(self.retry_after * _MILLISECONDS))
         return _REPLY.pack(REPLY_FORMAT, self.number, self.status, ms, self.target)
 
     @classmethod
@@ -150,7 +156,7 @@
             The datagram is malformed.
         """
         _, number, status, ms, target = _unpack(_REPLY, data)
-        return cls(number, status, ms / _MS, target)
+        return cls(number, status, ms / _MILLISECONDS, target)
 
 
 class PermitRelease:
@@ -191,7 +197,7 @@
         if self.load is not None:
             active = min(_MAX_BYTE, self.load.running)
             pace = max(1, min(_MAX_BYTE, round(self.load.pace * _SLOWDOWN_UNITS)))
-        return _RETURN.pack(
+        return _RELEASE.pack(
             RETURN_FORMAT,
             self.number,
             self.queue,
@@ -210,7 +216,7 @@
         UnreadableRecord
             The datagram is malformed.
         """
-        _, number, queue, target, active, pace, failed = _unpack(_RETURN, data)
+        _, number, queue, target, active, pace, failed = _unpack(_RELEASE, data)
         # A slowdown of 0 means that the target reported no load.
         load = LoadReport(active, 0, 0, pace / _SLOWDOWN_UNITS) if pace else None
         return cls(number, queue, target, bool(failed), load)
