--- a/packages/entry/src/berylstage_entry/target_clients.py
+++ b/packages/entry/src/berylstage_entry/target_clients.py
@@ -35,7 +35,7 @@
     connections : int
         Maximum number of connections of this VM to the target.
     rest : Rest
-        State shared by the connections to all targets of the service.
+        Learned idle limit of the connections to all targets of the service.
     """
 
     __slots__ = ("_client", "_is_retired", "_in_flight", "_wire", "target")
@@ -125,12 +125,12 @@
     wire : TargetProtocol
     """
 
-    __slots__ = ("_rests", "_retired", "_clients", "_wire", "vms")
+    __slots__ = ("_idle_limits", "_retired", "_clients", "_wire", "vms")
 
     def __init__(self, wire: TargetProtocol):
         self._wire = wire
         self._clients: dict[str, TargetClient] = {}
-        self._rests: dict[str, Rest] = {}
+        self._idle_limits: dict[str, Rest] = {}
         # Clients of removed targets with requests in flight.
         self._retired: list[TargetClient] = []
         # Number of VMs that share a target's connections.
@@ -151,7 +151,7 @@
             if known.life == target.life and known.address == target.address:
                 return client
             self._retire(client)
-        rest = self._rests.setdefault(target.service, Rest())
+        rest = self._idle_limits.setdefault(target.service, Rest())
         client = TargetClient(
             target, self._wire, self.connection_share(connections), rest
         )
--- a/packages/entry/tests/test_permit_client.py
+++ b/packages/entry/tests/test_permit_client.py
@@ -77,8 +77,8 @@
         router = Router(directory, None, TargetClients(None), BOUNDS, Random(1))
         self.server = PermitServer(router.loads, directory, Members())
         self.turns = PermitClient(Members(), host)
-        self.turns.ask = self.turns.give_back = self.server.send = lambda to, word: (
-            network.deliver(host, to, word.encode())
+        self.turns.ask = self.turns.give_back = self.server.send = lambda to, message: (
+            network.deliver(host, to, message.encode())
         )
         network.vms[host] = self
 
--- a/packages/entry/tests/test_probes.py
+++ b/packages/entry/tests/test_probes.py
@@ -50,9 +50,9 @@
 
 
 def wire(**reports):
-    probed = FencedTargets()
-    probed.reports = reports or {n: LoadReport(1, 0, 2, 1.5) for n in NAMES}
-    return probed
+    targets = FencedTargets()
+    targets.reports = reports or {n: LoadReport(1, 0, 2, 1.5) for n in NAMES}
+    return targets
 
 
 class TestLoadProbes:
--- a/packages/entry/tests/test_router.py
+++ b/packages/entry/tests/test_router.py
@@ -43,13 +43,13 @@
 class TargetClient:
     """Returns scripted answers, one for each attempt."""
 
-    def __init__(self, name, senders):
+    def __init__(self, name, clients):
         self.name = name
-        self._senders = senders
+        self._clients = clients
 
     async def send(self, req, seconds, fresh=False):
-        self._senders.sent.append(self.name)
-        result = self._senders.script.pop(0) if self._senders.script else "ok"
+        self._clients.sent.append(self.name)
+        result = self._clients.script.pop(0) if self._clients.script else "ok"
         if callable(result):
             result = result()
         if isinstance(result, Exception):
@@ -105,9 +105,9 @@
     directory.apply(Record(configuration=cfg), now(), False)
     for name in names:
         directory.apply(Record(target=target(name)), now(), False)
-    senders = TargetClients(script)
+    clients = TargetClients(script)
     feed = feed or StoreWatcher(**assignment)
-    router = Router(directory, feed, senders, BOUNDS, Random(1))
+    router = Router(directory, feed, clients, BOUNDS, Random(1))
     router.turns = turns
     key = 7 if owns_keys else None
     req = CallerRequest("id", "GET", "h", "/a/x?y", {}, time_left, key)
@@ -123,8 +123,8 @@
     try:
         done = asyncio.run(serve())
     except (BadRequest, Refused, Unanswered) as exc:
-        return exc, senders.sent
-    return done.answer.status, senders.sent
+        return exc, clients.sent
+    return done.answer.status, clients.sent
 
 
 class TestRouter:
@@ -257,24 +257,24 @@
         cfg = Configuration(1, [route], [Service("s", "/", 50, 3.0, 5.0, True)], LIMITS)
         directory.apply(Record(configuration=cfg), now(), False)
         directory.apply(Record(target=target("a")), now(), False)
-        senders = TargetClients(["ok"] * 9)
-        return Router(directory, StoreWatcher(), senders, BOUNDS, Random(1)), senders
+        clients = TargetClients(["ok"] * 9)
+        return Router(directory, StoreWatcher(), clients, BOUNDS, Random(1)), clients
 
     def test_overloaded_owner_receives_no_request_that_would_be_late(self):
         # Many VMs send to the owner of one key that needs more than its capacity. Its
         # reports show a long queue, in which one more request would be late.
-        router, senders = self.new_owner_router(objective=0.3)
+        router, clients = self.new_owner_router(objective=0.3)
         req = CallerRequest("id", "GET", "h", "/a/", {}, 1.0, 7)
         asyncio.run(router.serve(req))
         router.loads.apply_remote_report("a", 12, 1.0, now())
         with pytest.raises(Refused):
             asyncio.run(router.serve(req))
-        assert senders.sent == ["a"]
+        assert clients.sent == ["a"]
 
     def test_overloaded_owner_receives_no_request_with_too_little_time(self):
         # The owner has a shorter queue, and the caller was refused before: the answer
         # would come after its deadline.
-        router, senders = self.new_owner_router(objective=0.8)
+        router, clients = self.new_owner_router(objective=0.8)
         asyncio.run(router.serve(CallerRequest("1", "GET", "h", "/a/", {}, 1.0, 7)))
         loads = router.loads.for_service("s")
         router.loads.apply_remote_report("a", 4, 1.0, now())
@@ -283,7 +283,7 @@
         with pytest.raises(Refused):
             short = CallerRequest("2", "GET", "h", "/a/", {}, 0.8 * expected, 7)
             asyncio.run(router.serve(short))
-        assert senders.sent == ["a"]
+        assert clients.sent == ["a"]
 
 
 class TestLoadReport:
--- a/packages/entry/tests/test_target_clients.py
+++ b/packages/entry/tests/test_target_clients.py
@@ -18,9 +18,9 @@
     def test_all_vms_together_stay_below_the_accepted_connections(self, accepted, vms):
         # A target resets connections beyond the number it accepts from all VMs, and
         # then it is unknown whether their requests have run.
-        senders = TargetClients(None)
-        senders.vms = vms
-        assert 1 <= senders.connection_share(accepted) * vms <= 0.75 * accepted
+        clients = TargetClients(None)
+        clients.vms = vms
+        assert 1 <= clients.connection_share(accepted) * vms <= 0.75 * accepted
 
 
 class PlainTargets(TargetProtocol):
@@ -92,20 +92,20 @@
             server = SlowTarget(0.3)
             port = await server.start()
             known = target("i-1", address=f"127.0.0.1:{port}")
-            senders = TargetClients(PlainTargets())
-            sent = asyncio.create_task(senders.get(known, 50).send(request("o-1"), 2.0))
+            clients = TargetClients(PlainTargets())
+            sent = asyncio.create_task(clients.get(known, 50).send(request("o-1"), 2.0))
             await server.request_received.wait()
             if successor:
-                senders.get(target("i-1", life=2, address="127.0.0.1:1"), 50)
+                clients.get(target("i-1", life=2, address="127.0.0.1:1"), 50)
             else:
-                senders.retain(set())
+                clients.retain(set())
             answer = await sent
             assert (answer.status, answer.body) == (200, b"whole")
             assert server.disconnected == 0
             # No connection to the previous incarnation stays open.
             await asyncio.sleep(0.05)
             assert server.open == 0
-            senders.close()
+            clients.close()
 
         asyncio.run(run())
 
@@ -114,18 +114,18 @@
         async def run():
             server = SlowTarget(0.2)
             known = target("i-1", address=f"127.0.0.1:{await server.start()}")
-            senders = TargetClients(PlainTargets())
-            senders.vms = 50
-            sender = senders.get(known, 50)
+            clients = TargetClients(PlainTargets())
+            clients.vms = 50
+            sender = clients.get(known, 50)
             first = asyncio.create_task(sender.send(request("o-1"), 2.0))
             second = asyncio.create_task(sender.send(request("o-2"), 2.0))
             await server.request_received.wait()
-            senders.retain(set())
+            clients.retain(set())
             with pytest.raises(NeverSent):
                 await asyncio.wait_for(second, 0.1)
             assert (await first).body == b"whole"
             assert server.requests == 1
-            senders.close()
+            clients.close()
 
         asyncio.run(run())
 
@@ -133,10 +133,10 @@
         async def run():
             server = SlowTarget(0.0)
             known = target("i-1", address=f"127.0.0.1:{await server.start()}")
-            senders = TargetClients(PlainTargets())
-            await senders.get(known, 50).send(request("o-1"), 2.0)
+            clients = TargetClients(PlainTargets())
+            await clients.get(known, 50).send(request("o-1"), 2.0)
             assert server.open == 1
-            senders.close()
+            clients.close()
             await asyncio.sleep(0.05)
             assert server.open == 0
 
