--- a/packages/entry/src/berylstage_entry/owners.py
+++ b/packages/entry/src/berylstage_entry/owners.py
@@ -1,9 +1,9 @@
-"""Finds the owner of a request's key, and waits a moment while the key moves.
+"""Resolves the owner of a request's key, and waits for a short time while it moves.
 
-The load it answers: an owner that has crashed resets each connection within a
-millisecond, and one that has just been given a key may turn requests away until its
-grant is there. Without a pause one request opens hundreds of connections, or uses up
-its attempts within a few milliseconds of a move that takes a tenth of a second.
+A crashed owner resets each connection within a millisecond, and a new owner may reject
+requests until its grant arrives. Without a delay, one request would open hundreds of
+connections, or use all its attempts within a few milliseconds of a move that takes a
+tenth of a second.
 """
 
 from __future__ import annotations
@@ -20,43 +20,44 @@
     from berylstage_entry.request_context import RequestContext
     from berylstage_entry.store_watcher import StoreWatcher
 
-# Seconds between two looks for the new owner of keys on the move. A move takes as long
-# as the work under way on the keys, a few hundred milliseconds.
-MOVE_WAIT = 0.05
-# Seconds after which an owner that did not take a request is asked again under the same
-# assignment, at first and at most: a grant is at its target within 10 ms, and a target
-# that has crashed is found out by the next order to it, 0.8 s later at most.
-FIRST_PAUSE = 0.05
-LONGEST_PAUSE = 0.2
-# Seconds of waiting after which the store is read ahead of time. An assignment is told
-# from VM to VM within a few milliseconds, so by then this VM has been left out.
-HURRY_AFTER = 0.15
-# Share of its route's time limit that a request may wait for an owner, or of its own
-# time where it has less: one that came back after a refusal would be turned away at
-# once again, though most moves end within a few times MOVE_WAIT. The rest is for the
-# work, which takes less than half of the limit on all routes of today.
+# Interval at which the new owner of a moving key is looked up. A move takes as long as
+# the requests in progress on the keys, a few hundred milliseconds.
+MOVE_POLL_SECONDS = 0.05
+# Bounds of the delay after which an owner that rejected a request is asked again under
+# the same assignment. A grant reaches its target within 10 ms, and a crashed target is
+# detected by the next grant request to it, at most 0.8 s later.
+INITIAL_RETRY_DELAY_SECONDS = 0.05
+MAX_RETRY_DELAY_SECONDS = 0.2
+# Time of waiting after which the store is read early. VMs publish an assignment to each
+# other within a few milliseconds, so this VM has missed the publication by then.
+REFRESH_AFTER_SECONDS = 0.15
+# Share of the route's timeout, or of the request's remaining time if that is less, for
+# which a request may wait for an owner. Without the second limit, a retried request
+# would be refused immediately again, although most moves end within a few times
+# MOVE_POLL_SECONDS. The rest is for the request itself, which takes less than half of
+# the timeout on all current routes.
 WAIT_SHARE = 0.5
 
 
-class Owners:
-    """Finds the owners of keys for the requests of one VM.
+class OwnerResolver:
+    """Resolves the owners of keys for the requests of one VM.
 
     Parameters
     ----------
-    feed : Feed
-    directory : Directory
+    feed : StoreWatcher
+    directory : ClusterView
     """
 
     def __init__(self, feed: StoreWatcher, directory: ClusterView):
         self._feed = feed
         self._directory = directory
 
-    async def find(self, journey: RequestContext) -> str:
-        """Return the target that is to get a request with a key.
+    async def find(self, ctx: RequestContext) -> str:
+        """Return the target that should receive a request with a key.
 
         Parameters
         ----------
-        journey : Journey
+        ctx : RequestContext
 
         Returns
         -------
@@ -65,44 +66,58 @@
         Raises
         ------
         NoOwner
-            None was known in time.
+            No usable owner was found in time.
         """
-        began = now()
-        again_at = began + journey.pause
-        least = WAIT_SHARE * min(journey.route.timeout, journey.left(began))
+        started_at = now()
+        retry_at = started_at + ctx.pause
+        min_left = WAIT_SHARE * min(ctx.route.timeout, ctx.left(started_at))
         while True:
-            r = self._range(journey)
-            if r is not None and self._may_ask(r):
-                revision = self._revision(journey)
-                if journey.turned_away != (r.owner, revision) or now() >= again_at:
-                    return r.owner
-            if journey.left(now()) < least:
-                raise NoOwner(self._describe(journey, r))
-            if now() - began >= HURRY_AFTER:
+            key_range = self._find_range(ctx)
+            if key_range is not None and self._is_usable_owner(key_range):
+                revision = self._revision(ctx)
+                if ctx.turned_away != (key_range.owner, revision) or now() >= retry_at:
+                    return key_range.owner
+            if ctx.left(now()) < min_left:
+                raise NoOwner(self._describe(ctx, key_range))
+            if now() - started_at >= REFRESH_AFTER_SECONDS:
                 self._feed.hurry()
-            await asyncio.sleep(MOVE_WAIT)
-
-    def holds(self, journey: RequestContext, name: str) -> bool:
-        """Tell whether a target still holds the key of a request."""
-        r = self._range(journey)
-        return r is not None and r.owner == name and self._may_ask(r)
-
-    def turned_away(self, journey: RequestContext, name: str) -> None:
-        """Note that an owner did not take a request, so that it is given a pause."""
-        journey.turned_away = (name, self._revision(journey))
-        journey.pause = min(max(FIRST_PAUSE, 2 * journey.pause), LONGEST_PAUSE)
-
-    def _range(self, journey: RequestContext) -> KeyRange | None:
-        assignment = self._feed.assignments.get(journey.service.name)
-        assert journey.req.key is not None
-        return assignment.find(journey.req.key) if assignment else None
-
-    def _revision(self, journey: RequestContext) -> int:
-        return self._feed.revisions.get(journey.service.name, 0)
-
-    def _may_ask(self, r: KeyRange) -> bool:
-        return bool(r.owner) and not r.former and self._directory.may_use(r.owner)
-
-    def _describe(self, journey: RequestContext, r: KeyRange | None) -> str:
-        held = f"owner {r.owner} former {r.former}" if r is not None else ""
-        return f"key {journey.req.key} {held} assignment {self._revision(journey)}"
+            await asyncio.sleep(MOVE_POLL_SECONDS)
+
+    def is_owner(self, ctx: RequestContext, name: str) -> bool:
+        """Tell whether a target is still the owner of a request's key."""
+        key_range = self._find_range(ctx)
+        return (
+            key_range is not None
+            and key_range.owner == name
+            and self._is_usable_owner(key_range)
+        )
+
+    def turned_away(self, ctx: RequestContext, name: str) -> None:
+        """Record that an owner rejected a request, and increase its retry delay."""
+        ctx.turned_away = (name, self._revision(ctx))
+        ctx.pause = min(
+            max(INITIAL_RETRY_DELAY_SECONDS, 2 * ctx.pause), MAX_RETRY_DELAY_SECONDS
+        )
+
+    def _find_range(self, ctx: RequestContext) -> KeyRange | None:
+        assignment = self._feed.assignments.get(ctx.service.name)
+        assert ctx.req.key is not None
+        return assignment.find(ctx.req.key) if assignment else None
+
+    def _revision(self, ctx: RequestContext) -> int:
+        return self._feed.revisions.get(ctx.service.name, 0)
+
+    def _is_usable_owner(self, key_range: KeyRange) -> bool:
+        return (
+            bool(key_range.owner)
+            and not key_range.former
+            and self._directory.may_use(key_range.owner)
+        )
+
+    def _describe(self, ctx: RequestContext, key_range: KeyRange | None) -> str:
+        range_text = (
+            f"owner {key_range.owner} former {key_range.former}"
+            if key_range is not None
+            else ""
+        )
+        return f"key {ctx.req.key} {range_text} assignment {self._revision(ctx)}"
--- a/packages/entry/src/berylstage_entry/permit_client.py
+++ b/packages/entry/src/berylstage_entry/permit_client.py
@@ -1,9 +1,9 @@
-"""Asks the keeper of a queue for the turn of a request, and waits for it.
+"""Client side of the permit protocol.
 
-The load it answers: a request that comes to a VM which knows little of what the
-others have sent to the same target. Asking takes a way to another VM and back, less
-than a millisecond. When the keeper is lost, the request goes on without a turn, by what
-this VM knows itself: it must never wait for a VM that is gone.
+A VM knows little about what other VMs send to the same target, so it asks the permit
+server of the target's queue for a permit, in a round trip of less than a millisecond.
+If the permit server is lost, the request is routed without a permit by this VM's own
+data: a request must never wait for a VM that is gone.
 """
 
 from __future__ import annotations
@@ -13,8 +13,12 @@
 from typing import TYPE_CHECKING
 
 from berylstage_policy.candidates import Candidate
-from berylstage_policy.queue_assignment import PASSED_OVER, able, first_for
-from berylstage_policy.slot_queue import Say
+from berylstage_policy.queue_assignment import (
+    SERVER_BACKOFF_SECONDS,
+    eligible_vms,
+    rank_servers,
+)
+from berylstage_policy.slot_queue import PermitStatus
 from logbook import Logger
 
 from berylstage_entry.clock import now
@@ -33,293 +37,302 @@
     from berylstage_entry.request_context import RequestContext
     from berylstage_entry.targets import LoadReport
 
-# Seconds for the first reply of a keeper, at least and at most, and how often it is
-# asked before it counts as lost: a datagram may be, and a VM may be busy for some
-# milliseconds.
-REPLY_TIMEOUT = 0.03
-LONGEST_TIMEOUT = 0.15
-ASKED = 3
-# Weights of a new reply in the mean time of replies and in its spread, and the spreads
-# beyond the mean that are waited: as TCP does it.
+# Bounds of the timeout for a permit server's first reply, and the number of requests
+# sent before the server counts as lost: a datagram may be lost, and a VM may be busy
+# for some milliseconds.
+MIN_REPLY_TIMEOUT_SECONDS = 0.03
+MAX_REPLY_TIMEOUT_SECONDS = 0.15
+MAX_ATTEMPTS = 3
+# Gains of the mean reply time and its deviation, and the multiple of the deviation that
+# is added to the mean for the timeout, as in TCP's retransmission timeout.
 MEAN_GAIN = 0.125
-SPREAD_GAIN = 0.25
-SPREADS = 4.0
-# Seconds between two words to a keeper of a request that waits there.
-RENEWAL = 0.1
-# Stands for all data centres.
-EVERYWHERE = ""
-# Numbers of requests under way at once are unique within these.
-NUMBERS = 1 << 32
+DEVIATION_GAIN = 0.25
+DEVIATION_FACTOR = 4.0
+# Interval at which a queued request is renewed at its permit server.
+RENEWAL_SECONDS = 0.1
+# Key for the eligible hosts of all data centres.
+ALL_DATA_CENTRES = ""
+# Size of the number space in which concurrent requests have unique numbers.
+REQUEST_NUMBERS = 1 << 32
 
 log = Logger(__name__)
 
 
 class Permit:
-    """A request's turn at a target, to be given back.
+    """Permit of one request, to be released after its use.
 
     Parameters
     ----------
     number : int
     queue : str
-    keeper : str
-        Host of the VM that keeps the queue.
+    server : str
+        Host of the permit server.
 
     Attributes
     ----------
     target : int
-        Checksum of the target to which it is to go; 0 until it has its turn.
+        Checksum of the target to send the request to; 0 until the permit is granted.
     """
 
-    __slots__ = ("keeper", "number", "queue", "target")
+    __slots__ = ("server", "number", "queue", "target")
 
-    def __init__(self, number: int, queue: str, keeper: str):
+    def __init__(self, number: int, queue: str, server: str):
         self.number = number
         self.queue = queue
-        self.keeper = keeper
+        self.server = server
         self.target = 0
 
     def describe(self) -> str:
-        """Return what finds it in the keeper's log."""
-        return f"queue {self.queue} keeper {self.keeper} number {self.number}"
+        """Return the text that identifies the permit in the permit server's log."""
+        return f"queue {self.queue} keeper {self.server} number {self.number}"
 
 
-class ReplyTimes:
-    """How long replies take, and how long to wait for one.
+class ReplyTimeout:
+    """Adaptive timeout for replies of permit servers.
 
-    On a small link a datagram waits behind answers of 90 kB, for 70 ms each. Keepers
-    that answer in time by that measure would count as lost all the time.
+    On a slow link a datagram waits behind answers of 90 kB, for 70 ms each. With a
+    fixed timeout, permit servers behind such a link would constantly count as lost.
     """
 
-    __slots__ = ("_mean", "_spread")
+    __slots__ = ("_mean_seconds", "_deviation")
 
     def __init__(self) -> None:
-        self._mean = 0.0
-        self._spread = 0.0
+        self._mean_seconds = 0.0
+        self._deviation = 0.0
 
-    def took(self, seconds: float) -> None:
-        """Take in the time from the first asking of a question to a reply.
+    def record(self, seconds: float) -> None:
+        """Record the time from the first datagram of a request to its reply.
 
-        Where it was asked again, that is the most that the reply can have taken. Passed
-        over, replies that come later than the timeout would never be learned from: each
-        question would go on to be asked three times, and its keeper to count as lost.
+        If the datagram was repeated, this is an upper bound of the reply time. Without
+        such replies the timeout could never grow to the actual reply time: each request
+        would be sent three times, and its permit server would count as lost.
         """
-        self._spread += SPREAD_GAIN * (abs(seconds - self._mean) - self._spread)
-        self._mean += MEAN_GAIN * (seconds - self._mean)
+        self._deviation += DEVIATION_GAIN * (
+            abs(seconds - self._mean_seconds) - self._deviation
+        )
+        self._mean_seconds += MEAN_GAIN * (seconds - self._mean_seconds)
 
     @property
     def timeout(self) -> float:
-        """Seconds after which a reply is likely not to come any more."""
-        wait = self._mean + SPREADS * self._spread
-        return min(LONGEST_TIMEOUT, max(REPLY_TIMEOUT, wait))
+        """Seconds after which a reply is unlikely to arrive."""
+        wait = self._mean_seconds + DEVIATION_FACTOR * self._deviation
+        return min(MAX_REPLY_TIMEOUT_SECONDS, max(MIN_REPLY_TIMEOUT_SECONDS, wait))
 
 
-class _Lost(Exception):
-    """The keeper does not answer, or keeps the queue no more."""
+class _ServerLost(Exception):
+    """The permit server does not respond, or no longer serves the queue."""
 
 
 class PermitClient:
-    """Gets turns for the requests of one VM.
+    """Acquires permits for the requests of one VM.
 
     Parameters
     ----------
     membership : Membership
     host : str
-        Of this VM.
+        Host of this VM.
     """
 
     def __init__(self, membership: Membership, host: str):
         self._membership = membership
         self._host = host
-        self._numbers = count(1)
-        # Requests that wait for a word, by their number.
-        self._waiting: dict[int, asyncio.Queue[PermitReply]] = {}
-        self._keepers: dict[str, list[str]] = {}
-        # Hosts that may keep queues: of each data centre, and of all.
-        self._able: dict[str, list[str]] = {}
+        self._request_numbers = count(1)
+        # Replies to the requests that wait for one, by number.
+        self._replies: dict[int, asyncio.Queue[PermitReply]] = {}
+        self._servers: dict[str, list[str]] = {}
+        # Hosts eligible as permit servers, for each data centre and for all.
+        self._eligible_hosts: dict[str, list[str]] = {}
         self._members_revision = -1
         self._revision = 0
-        self._lost_until: dict[str, float] = {}
-        self._times = ReplyTimes()
+        self._lost_servers: dict[str, float] = {}
+        self._reply_timeout = ReplyTimeout()
         # Send a message to the VM of a host, which may be this one.
         self.ask: Callable[[str, PermitRequest], None] = lambda host, ask: None
-        self.give_back: Callable[[str, PermitRelease], None] = lambda host, back: None
+        self.give_back: Callable[[str, PermitRelease], None] = lambda host, release: (
+            None
+        )
 
     async def take(
-        self, journey: RequestContext, queue: str, data_centre: str = ""
+        self, ctx: RequestContext, queue: str, data_centre: str = ""
     ) -> Permit | None:
-        """Wait for the turn of a request.
+        """Wait for a permit for a request.
 
         Parameters
         ----------
-        journey : Journey
+        ctx : RequestContext
         queue : str
             Name of a target that owns keys, or of a service without owned keys.
         data_centre : str
-            Where the targets are; empty for all over.
+            Data centre of the targets; empty for all.
 
         Returns
         -------
-        Turn or None
-            None when nobody keeps the queue, so that it goes without a turn.
+        Permit or None
+            None if no VM serves the queue; the request is then sent without a permit.
 
         Raises
         ------
         TurnRefused
-            It would be answered too late.
+            The request would be answered too late.
         """
-        for keeper in self._keepers_of(queue, data_centre):
-            if now() < self._lost_until.get(keeper, 0.0):
+        for server in self._servers_for(queue, data_centre):
+            if now() < self._lost_servers.get(server, 0.0):
                 continue
             try:
-                return await self._wait(journey, queue, keeper)
-            except _Lost:
-                self._lost_until[keeper] = now() + PASSED_OVER
+                return await self._acquire_from(ctx, queue, server)
+            except _ServerLost:
+                self._lost_servers[server] = now() + SERVER_BACKOFF_SECONDS
                 log.info(
-                    "keeper of a queue lost",
-                    extra={"keeper": keeper, "queue": queue},
+                    "permit server lost",
+                    extra={"keeper": server, "queue": queue},
                 )
         return None
 
     def done(
         self, turn: Permit, failed: bool = False, load: LoadReport | None = None
     ) -> None:
-        """Give a turn back.
+        """Release a permit.
 
         Parameters
         ----------
-        turn : Turn
+        turn : Permit
         failed : bool
-            Whether the target failed the request, or gave no answer.
+            Whether the target failed the request or did not answer.
         load : LoadReport, optional
-            What it has to do beside the request that it answered.
+            Load of the target without the answered request.
         """
         queue = checksum(turn.queue)
-        back = PermitRelease(turn.number, queue, turn.target, failed, load)
-        self.give_back(turn.keeper, back)
+        release = PermitRelease(turn.number, queue, turn.target, failed, load)
+        self.give_back(turn.server, release)
 
     def take_reply(self, data: bytes, host: str) -> None:
-        """Take in a keeper's datagram."""
+        """Handle the datagram of a permit server's reply."""
         try:
             reply = PermitReply.decode(data)
         except InvalidRecord as exc:
-            log.warning("reply passed over", extra={"cause": str(exc)})
+            log.warning("invalid permit reply ignored", extra={"cause": str(exc)})
             return
-        # It was late, not lost.
-        self._lost_until.pop(host, None)
+        # The permit server was late, not lost.
+        self._lost_servers.pop(host, None)
         self.replied(reply)
 
     def replied(self, reply: PermitReply) -> None:
-        """Take in a keeper's reply."""
-        waiting = self._waiting.get(reply.number)
-        if waiting is not None:
-            waiting.put_nowait(reply)
-
-    async def _wait(self, journey: RequestContext, queue: str, keeper: str) -> Permit:
-        number = next(self._numbers) % NUMBERS
-        turn = Permit(number, queue, keeper)
-        replies = self._waiting[number] = asyncio.Queue()
+        """Handle a permit server's reply."""
+        replies = self._replies.get(reply.number)
+        if replies is not None:
+            replies.put_nowait(reply)
+
+    async def _acquire_from(
+        self, ctx: RequestContext, queue: str, server: str
+    ) -> Permit:
+        number = next(self._request_numbers) % REQUEST_NUMBERS
+        turn = Permit(number, queue, server)
+        replies = self._replies[number] = asyncio.Queue()
         try:
-            turn.target = await self._told_to_go(journey, turn, replies)
+            turn.target = await self._await_grant(ctx, turn, replies)
             return turn
         finally:
-            del self._waiting[number]
+            del self._replies[number]
             if not turn.target:
-                # Refused, given up, or its caller has left: the place is another's.
+                # Refused or cancelled: the slot or queue position becomes free.
                 self.done(turn)
 
-    async def _told_to_go(
-        self, journey: RequestContext, turn: Permit, replies: asyncio.Queue[PermitReply]
+    async def _await_grant(
+        self, ctx: RequestContext, turn: Permit, replies: asyncio.Queue[PermitReply]
     ) -> int:
-        """Return the checksum of the target to which a request is told to go."""
-        unanswered, measured = 0, False
-        first_asked = now()
+        """Return the checksum of the target for which the permit is granted."""
+        unanswered, is_measured = 0, False
+        first_sent_at = now()
         while True:
-            self.ask(turn.keeper, self._question(journey, turn))
-            answered, timeout = False, self._times.timeout
+            self.ask(turn.server, self._build_request(ctx, turn))
+            is_answered, timeout = False, self._reply_timeout.timeout
             while True:
-                reply = await _next(replies, timeout)
+                reply = await _next_reply(replies, timeout)
                 if reply is None:
                     break
-                if not measured:
-                    measured = True
-                    self._times.took(now() - first_asked)
-                answered, unanswered, timeout = True, 0, RENEWAL
-                if reply.say == Say.GO.value:
+                if not is_measured:
+                    is_measured = True
+                    self._reply_timeout.record(now() - first_sent_at)
+                is_answered, unanswered, timeout = True, 0, RENEWAL_SECONDS
+                if reply.status == PermitStatus.GRANTED.value:
                     return reply.target
-                if reply.say == Say.REFUSED.value:
-                    raise PermitRefused(reply.seconds, turn.describe())
-                if reply.say == Say.ELSEWHERE.value:
-                    raise _Lost
-            if journey.left(now()) <= 0:
+                if reply.status == PermitStatus.REFUSED.value:
+                    raise PermitRefused(reply.retry_after, turn.describe())
+                if reply.status == PermitStatus.QUEUE_CLOSED.value:
+                    raise _ServerLost
+            if ctx.left(now()) <= 0:
                 raise PermitRefused(0.0, turn.describe())
-            if not answered:
+            if not is_answered:
                 unanswered += 1
-            if unanswered >= ASKED:
-                if not measured:
-                    self._times.took(now() - first_asked)
-                raise _Lost
+            if unanswered >= MAX_ATTEMPTS:
+                if not is_measured:
+                    self._reply_timeout.record(now() - first_sent_at)
+                raise _ServerLost
 
-    def _question(self, journey: RequestContext, turn: Permit) -> PermitRequest:
+    def _build_request(self, ctx: RequestContext, turn: Permit) -> PermitRequest:
         moment = now()
-        route = journey.route
+        route = ctx.route
         return PermitRequest(
             turn.number,
             checksum(turn.queue),
             checksum(route.name),
-            journey.wanted - moment,
+            ctx.wanted - moment,
             route.objective,
-            journey.left(moment),
+            ctx.left(moment),
             route.priority,
         )
 
     @property
     def revision(self) -> int:
-        """Grows with each change of who may keep queues."""
-        self._look()
+        """Revision that grows with each change of the eligible permit servers."""
+        self._refresh_servers()
         return self._revision
 
-    def keeps(self, queue: str, data_centre: str = "") -> bool:
-        """Tell whether a queue falls to this VM.
+    def serves(self, queue: str, data_centre: str = "") -> bool:
+        """Tell whether this VM is the permit server of a queue.
 
         Parameters
         ----------
         queue, data_centre : str
             As for :meth:`take`.
         """
-        # Before any VM is known, each asks for itself.
-        return self._keepers_of(queue, data_centre)[:1] in ([], [self._host])
+        # Until any VM is known, each VM serves its own requests.
+        return self._servers_for(queue, data_centre)[:1] in ([], [self._host])
 
-    def _keepers_of(self, queue: str, data_centre: str) -> list[str]:
-        self._look()
-        known = self._keepers.get(queue)
+    def _servers_for(self, queue: str, data_centre: str) -> list[str]:
+        self._refresh_servers()
+        known = self._servers.get(queue)
         if known is None:
-            hosts = self._able.get(data_centre) or self._able[EVERYWHERE]
-            known = self._keepers[queue] = first_for(queue, hosts)
+            hosts = (
+                self._eligible_hosts.get(data_centre)
+                or self._eligible_hosts[ALL_DATA_CENTRES]
+            )
+            known = self._servers[queue] = rank_servers(queue, hosts)
         return known
 
-    def _look(self) -> None:
-        """Take over who may keep queues, when the known VMs have changed.
+    def _refresh_servers(self) -> None:
+        """Update the eligible permit servers after a change of the known VMs.
 
-        Of hundreds of VMs most are too small for it. When some of these start or are
-        lost, queues stay where they are, and nothing has to be worked out anew for each
-        of hundreds of targets.
+        Of hundreds of VMs most are too small to be eligible. When some of these start
+        or are lost, no queue moves, and the assignments of hundreds of queues need not
+        be computed again.
         """
         if self._members_revision == self._membership.revision:
             return
         self._members_revision = self._membership.revision
-        by_centre: dict[str, list[Candidate]] = {EVERYWHERE: []}
+        by_data_centre: dict[str, list[Candidate]] = {ALL_DATA_CENTRES: []}
         for member in self._membership.members():
             candidate = Candidate(member.host, member.power)
-            by_centre[EVERYWHERE].append(candidate)
-            by_centre.setdefault(member.data_centre, []).append(candidate)
-        hosts = {centre: able(found) for centre, found in by_centre.items()}
-        if hosts != self._able:
-            self._able = hosts
-            self._keepers.clear()
+            by_data_centre[ALL_DATA_CENTRES].append(candidate)
+            by_data_centre.setdefault(member.data_centre, []).append(candidate)
+        hosts = {centre: eligible_vms(vms) for centre, vms in by_data_centre.items()}
+        if hosts != self._eligible_hosts:
+            self._eligible_hosts = hosts
+            self._servers.clear()
             self._revision += 1
 
 
-async def _next(
+async def _next_reply(
     replies: asyncio.Queue[PermitReply], timeout: float
 ) -> PermitReply | None:
     try:
--- a/packages/entry/src/berylstage_entry/permit_messages.py
+++ b/packages/entry/src/berylstage_entry/permit_messages.py
@@ -1,4 +1,4 @@
-"""What VMs tell each other about requests that wait for a target's slots."""
+"""Datagrams of the permit protocol between VMs."""
 
 from __future__ import annotations
 
@@ -8,54 +8,62 @@
 from berylstage_entry.errors import InvalidRecord
 from berylstage_entry.targets import LoadReport
 
-# First bytes of the datagrams.
+# First byte of each kind of datagram.
 ASK_FORMAT = 20
 REPLY_FORMAT = 21
 RETURN_FORMAT = 22
-_MS = 1000
-_PACE_UNIT = 20
-_MOST_BYTE = 255
-_MOST_SHORT = 65535
-# Number, queue, kind, milliseconds until its answer is of less use, of its objective
-# and until it is of none, priority.
-_ASK = struct.Struct("<BIIIhHHB")
-# Number, what is said, milliseconds, target.
+_MILLISECONDS = 1000
+_SLOWDOWN_UNITS = 20
+_MAX_BYTE = 255
+_MAX_SHORT = 65535
+# Number, queue, kind, milliseconds to the soft deadline, of the objective and to the
+# deadline, priority.
+_REQUEST = struct.Struct("<BIIIhHHB")
+# Number, status, milliseconds until a retry, target.
 _REPLY = struct.Struct("<BIBHI")
-# Number, queue, target, requests there, its pace in twentieths, and how it went.
-_RETURN = struct.Struct("<BIIIBBB")
+# Number, queue, target, active requests, machine slowdown in twentieths, failed.
+_RELEASE = struct.Struct("<BIIIBBB")
 
 
 def checksum(name: str) -> int:
-    """Return what stands for a name in a datagram."""
+    """Return the checksum that represents a name in a datagram."""
     return crc32(name.encode())
 
 
-def _read(layout: struct.Struct, data: bytes) -> tuple:
+def _unpack(layout: struct.Struct, data: bytes) -> tuple:
     try:
         return layout.unpack(data)
     except struct.error as exc:
-        raise InvalidRecord(f"no word about a queue: {exc}") from exc
+        raise InvalidRecord(f"invalid permit datagram: {exc}") from exc
 
 
 class PermitRequest:
-    """A request asks for its turn.
+    """Request for a permit.
 
     Parameters
     ----------
     number : int
-        Of the request, counted by the VM that asks.
+        Number of the request, counted by the requesting VM.
     queue, kind : int
-        Checksums of the queue's name and the route's.
+        Checksums of the names of the queue and the route.
     wanted : float
-        Seconds until its answer is of less use; below 0 when it is already.
+        Seconds until the soft deadline; negative if it has passed.
     objective : float
-        Seconds from its arrival until then.
-    left : float
-        Seconds until its answer is of no use.
+        Seconds from the request's arrival to the soft deadline.
+    deadline : float
+        Seconds until the deadline.
     priority : int
     """
 
-    __slots__ = ("kind", "left", "number", "objective", "priority", "queue", "wanted")
+    __slots__ = (
+        "kind",
+        "deadline",
+        "number",
+        "objective",
+        "priority",
+        "queue",
+        "wanted",
+    )
 
     def __init__(
         self,
@@ -64,7 +72,7 @@
         kind: int,
         wanted: float,
         objective: float,
-        left: float,
+        deadline: float,
         priority: int,
     ):
         self.number = number
@@ -72,79 +80,87 @@
         self.kind = kind
         self.wanted = wanted
         self.objective = objective
-        self.left = left
+        self.deadline = deadline
         self.priority = priority
 
     def encode(self) -> bytes:
-        """Return the datagram."""
-        wanted = max(-_MOST_SHORT // 2, min(_MOST_SHORT // 2, round(self.wanted * _MS)))
-        return _ASK.pack(
+        """Return the request as a datagram."""
+        wanted = max(
+            -_MAX_SHORT // 2, min(_MAX_SHORT // 2, round(self.wanted * _MILLISECONDS))
+        )
+        return _REQUEST.pack(
             ASK_FORMAT,
             self.number,
             self.queue,
             self.kind,
             wanted,
-            min(_MOST_SHORT, round(self.objective * _MS)),
-            max(0, min(_MOST_SHORT, round(self.left * _MS))),
-            min(_MOST_BYTE, max(0, self.priority)),
+            min(_MAX_SHORT, round(self.objective * _MILLISECONDS)),
+            max(0, min(_MAX_SHORT, round(self.deadline * _MILLISECONDS))),
+            min(_MAX_BYTE, max(0, self.priority)),
         )
 
     @classmethod
     def decode(cls, data: bytes) -> PermitRequest:
-        """Read a datagram.
+        """Parse a datagram.
 
         Raises
         ------
         UnreadableRecord
-            It is none.
+            The datagram is malformed.
         """
-        _, number, queue, kind, wanted, objective, left, priority = _read(_ASK, data)
-        times = wanted / _MS, objective / _MS, left / _MS
+        _, number, queue, kind, wanted, objective, deadline, priority = _unpack(
+            _REQUEST, data
+        )
+        times = (
+            wanted / _MILLISECONDS,
+            objective / _MILLISECONDS,
+            deadline / _MILLISECONDS,
+        )
         return cls(number, queue, kind, *times, priority)
 
 
 class PermitReply:
-    """What the keeper of a queue says to a request.
+    """Reply of the permit server.
 
     Parameters
     ----------
     number : int
-    say : int
-        Value of :class:`berylstage_policy.slot_queue.Say`.
-    seconds : float
-        After which a refused one may come back.
+    status : int
+        Value of :class:`berylstage_policy.slot_queue.PermitStatus`.
+    retry_after : float
+        Seconds after which a refused request may be retried.
     target : int
-        Checksum of the target to which it is to go.
+        Checksum of the target to send the request to.
     """
 
-    __slots__ = ("number", "say", "seconds", "target")
+    __slots__ = ("number", "status", "retry_after", "target")
 
-    def __init__(self, number: int, say: int, seconds: float, target: int):
+    def __init__(self, number: int, status: int, retry_after: float, target: int):
         self.number = number
-        self.say = say
-        self.seconds = seconds
+        self.status = status
+        self.retry_after = retry_after
         self.target = target
 
     def encode(self) -> bytes:
-        """Return the datagram."""
-        ms = min(_MOST_SHORT, round(self.seconds * _MS))
-        return _REPLY.pack(REPLY_FORMAT, self.number, self.say, ms, self.target)
+        """Return the reply as a datagram."""
+        ms = min(_MAX_SHORT, round(self.retry_after * _MILLISECONDS))
+        return _REPLY.pack(REPLY_FORMAT, self.number, self.status, ms, self.target)
 
     @classmethod
     def decode(cls, data: bytes) -> PermitReply:
-        """Read a datagram.
+        """Parse a datagram.
 
         Raises
         ------
         UnreadableRecord
-            It is none.
+            The datagram is malformed.
         """
-        _, number, say, ms, target = _read(_REPLY, data)
-        return cls(number, say, ms / _MS, target)
+        _, number, status, ms, target = _unpack(_REPLY, data)
+        return cls(number, status, ms / _MILLISECONDS, target)
 
 
 class PermitRelease:
-    """A request is done, or was given up.
+    """Release of a permit, or of a queued request.
 
     Parameters
     ----------
@@ -152,11 +168,11 @@
     queue : int
         Checksum of the queue's name.
     target : int
-        Checksum of the target to which it was sent; 0 when it was not.
+        Checksum of the target that received the request; 0 if none did.
     failed : bool
-        Whether the target failed it, or gave no answer.
+        Whether the target failed the request or did not answer.
     load : LoadReport, optional
-        What the target told; ``running`` has all requests beside the answered one.
+        Load reported by the target; ``running`` has all requests but the answered one.
     """
 
     __slots__ = ("failed", "load", "number", "queue", "target")
@@ -176,25 +192,31 @@
         self.load = load
 
     def encode(self) -> bytes:
-        """Return the datagram."""
-        busy, pace = 0, 0
+        """Return the release as a datagram."""
+        active, pace = 0, 0
         if self.load is not None:
-            busy = min(_MOST_BYTE, self.load.running)
-            pace = max(1, min(_MOST_BYTE, round(self.load.pace * _PACE_UNIT)))
-        return _RETURN.pack(
-            RETURN_FORMAT, self.number, self.queue, self.target, busy, pace, self.failed
+            active = min(_MAX_BYTE, self.load.running)
+            pace = max(1, min(_MAX_BYTE, round(self.load.pace * _SLOWDOWN_UNITS)))
+        return _RELEASE.pack(
+            RETURN_FORMAT,
+            self.number,
+            self.queue,
+            self.target,
+            active,
+            pace,
+            self.failed,
         )
 
     @classmethod
     def decode(cls, data: bytes) -> PermitRelease:
-        """Read a datagram.
+        """Parse a datagram.
 
         Raises
         ------
         UnreadableRecord
-            It is none.
+            The datagram is malformed.
         """
-        _, number, queue, target, busy, pace, failed = _read(_RETURN, data)
-        # A pace of 0 stands for a target that told nothing.
-        load = LoadReport(busy, 0, 0, pace / _PACE_UNIT) if pace else None
+        _, number, queue, target, active, pace, failed = _unpack(_RELEASE, data)
+        # A slowdown of 0 means that the target reported no load.
+        load = LoadReport(active, 0, 0, pace / _SLOWDOWN_UNITS) if pace else None
         return cls(number, queue, target, bool(failed), load)
--- a/packages/entry/src/berylstage_entry/router.py
+++ b/packages/entry/src/berylstage_entry/router.py
@@ -1,4 +1,4 @@
-"""The way of one request: its route, its target, and whether it is tried again."""
+"""Routes requests: chooses a target, sends, and retries."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
     Refused,
     Unanswered,
 )
-from berylstage_entry.owners import Owners
+from berylstage_entry.owners import OwnerResolver
 from berylstage_entry.request_context import RequestContext, RoutedAnswer
 from berylstage_entry.target_loads import (
     SERVER_ERROR,
     TargetLoads,
-    has_failed,
-    report_of,
+    build_load_report,
+    is_failure,
 )
 
 if TYPE_CHECKING:
@@ -39,43 +39,43 @@
     from berylstage_entry.target_clients import TargetClients
     from berylstage_entry.targets import LoadReport
 
-# Seconds of a request's time that are kept for the way of the answer to the caller.
+# Seconds of a request's time limit reserved for returning the answer to the caller.
 ANSWER_WAY = 0.02
-# Seconds within which a target's answer must be expected for it to be worth sending.
+# Minimum seconds left for an attempt; a request with less is not sent.
 LEAST_TIME = 0.02
-# Seconds after which a caller may come back when a service has no room. Callers take up
-# to a third of their time for it; the spread keeps them from coming all at once.
-SHORTEST_RETURN = 0.05
-LONGEST_RETURN = 0.25
-# The same for callers whose target turned them away though it had room.
+# Range of the retry delay suggested to callers when a service has no free slots. It
+# uses up to a third of a caller's time; the spread avoids simultaneous retries.
+MIN_RETRY_AFTER_SECONDS = 0.05
+MAX_RETRY_AFTER_SECONDS = 0.25
+# Retry delay in seconds when the target rejected a request although it had free slots.
 RETURN_AT_ONCE = 0.01
-# Times the wait until there is room over which refused callers are spread.
-RETURN_SPREAD = 1.25
-# Share of the bound on repeats that is used; the rest is for the clocks of the VMs,
-# which do not cut time into the same windows.
+# Refused callers are spread from the expected wait to this multiple of it.
+RETRY_AFTER_SPREAD = 1.25
+# Share of the retry bound that is used. The rest allows for the VMs' clocks, which do
+# not divide time into the same windows.
 BUDGET_USE = 0.8
-# Time until the owner of a key would be done with one more request, as a share of the
-# route's objective, above which the request is refused at once. At 1.0 requests were
-# refused that a moment later had room; without a limit those for a key that asks for
-# more than its owner can do were all late.
+# A request is refused if the owner of its key is expected to complete it later than
+# this multiple of the route's objective. With 1.0, requests were refused for which a
+# slot became free a moment later; without a limit, all requests for a key that needs
+# more than its owner's capacity were late.
 OWNER_WAIT = 1.4
 NOT_FOUND = 404
 
 
 class Router:
-    """Serves callers' requests.
+    """Routes callers' requests to targets.
 
     Parameters
     ----------
-    directory : Directory
-    feed : Feed
-    senders : Senders
+    directory : ClusterView
+    feed : StoreWatcher
+    senders : TargetClients
     bounds : Bounds
     rng : Random
     data_centre : str
-        Of this VM.
+        Data centre of this VM.
     vm : str
-        Its name.
+        Name of this VM.
 
     Attributes
     ----------
@@ -94,318 +94,330 @@
         vm: str = "",
     ):
         self._directory = directory
-        self._owners = Owners(feed, directory)
-        self._senders = senders
+        self._owner_resolver = OwnerResolver(feed, directory)
+        self._clients = senders
         self._bounds = bounds
         self._rng = rng
         self._data_centre = data_centre
         self.loads = TargetLoads(directory, rng)
         self.cold = ColdTargets(directory, bounds, vm)
-        self._budgets: dict[str, RetryBudget] = {}
-        self._turns: dict[str, tuple[tuple, WeightedRoundRobin]] = {}
+        self._retry_budgets: dict[str, RetryBudget] = {}
+        self._splits: dict[str, tuple[tuple, WeightedRoundRobin]] = {}
         self._seen_revision = -1
-        # VMs that are known, and some that may be starting.
+        # Number of known VMs, plus some that may be starting.
         self.vms = 10
-        # Gets turns at targets from who keeps the queues before them.
+        # Acquires permits for targets from the permit servers.
         self.turns: PermitClient | None = None
-        # Requests for each key since the last report to the granting VM.
+        # Requests by service and key since the last report to the coordinator.
         self._key_counts: dict[str, dict[int, int]] = {}
-        # Set while there are any.
+        # Set while there are counts to report.
         self.has_counted = asyncio.Event()
 
     async def serve(self, req: CallerRequest) -> RoutedAnswer:
-        """Serve one request.
+        """Route one request and return its answer.
 
         Raises
         ------
         BadRequest, Refused, Unanswered
         """
         if self._seen_revision != self._directory.revision:
-            self._forget_gone()
+            self._drop_removed_targets()
         cfg = self._directory.configuration
         if cfg is None:
-            raise Refused("no-configuration", LONGEST_RETURN)
+            raise Refused("no-configuration", MAX_RETRY_AFTER_SECONDS)
         route = cfg.table.find(req.host, req.path.partition("?")[0])
         if route is None:
             raise BadRequest(
                 NOT_FOUND, "no route; add one for this host and path to the sheet"
             )
-        service = cfg.services.get(self._service_of(route))
+        service = cfg.services.get(self._choose_service(route))
         if service is None:
-            raise Refused("no-service", LONGEST_RETURN)
+            raise Refused("no-service", MAX_RETRY_AFTER_SECONDS)
         wait = min(req.time_left - ANSWER_WAY, route.timeout)
         moment = now() - req.waited
         wanted = moment + route.objective - ANSWER_WAY
-        journey = RequestContext(req, route, service, moment + wait, wanted)
-        self._budget(service.name).earn()
-        self.loads.asked(service.name)
+        ctx = RequestContext(req, route, service, moment + wait, wanted)
+        self._retry_budget(service.name).earn()
+        self.loads.record_request(service.name)
         if service.owns_keys and req.key is not None:
             counts = self._key_counts.setdefault(service.name, {})
             counts[req.key] = counts.get(req.key, 0) + 1
             self.has_counted.set()
-        return await self._travel(journey)
+        return await self._forward(ctx)
 
     def take_key_counts(self) -> dict[str, dict[int, int]]:
-        """Return the requests for each key, by service, since the last call."""
+        """Return the requests by service and key since the last call."""
         counts, self._key_counts = self._key_counts, {}
         self.has_counted.clear()
         return counts
 
-    def _forget_gone(self) -> None:
+    def _drop_removed_targets(self) -> None:
         self._seen_revision = self._directory.revision
         names = set(self._directory.known)
-        self._senders.keep(names)
-        self.cold.keep(names)
+        self._clients.retain(names)
+        self.cold.retain(names)
 
-    async def _travel(self, journey: RequestContext) -> RoutedAnswer:
-        """Send until there is an answer to give, or no way to get one."""
+    async def _forward(self, ctx: RequestContext) -> RoutedAnswer:
+        """Send until there is an answer to return, or no further attempt is allowed."""
         try:
             while True:
-                name = await self._choose(journey)
-                answer = await self._attempt(journey, name)
+                name = await self._choose_target(ctx)
+                answer = await self._attempt(ctx, name)
                 if answer is not None:
-                    attempts, waited = journey.attempts, journey.waited
+                    attempts, waited = ctx.attempts, ctx.waited
                     return RoutedAnswer(answer, name, attempts, waited)
         except (Refused, Unanswered):
-            if journey.failure is None:
+            if ctx.failure is None:
                 raise
-            return journey.failure
+            return ctx.failure
 
-    async def _choose(self, journey: RequestContext) -> str:
+    async def _choose_target(self, ctx: RequestContext) -> str:
         """Return the target for the next attempt."""
-        if journey.left(now()) < LEAST_TIME:
-            raise self._given_up(journey, "no-time")
-        if journey.service.owns_keys and journey.req.key is not None:
-            name = await self._owner(journey)
+        if ctx.left(now()) < LEAST_TIME:
+            raise self._build_error(ctx, "no-time")
+        if ctx.service.owns_keys and ctx.req.key is not None:
+            name = await self._choose_owner(ctx)
         else:
-            name = await self._free(journey)
-        if journey.attempts:
-            self._may_repeat(journey, name)
+            name = await self._choose_without_key(ctx)
+        if ctx.attempts:
+            self._check_retry_limits(ctx, name)
         return name
 
-    def _may_repeat(self, journey: RequestContext, name: str) -> None:
-        if journey.attempts >= journey.route.attempts and name not in journey.tried:
-            raise self._given_up(journey, "attempts")
-        if not self._budget(journey.service.name).spend():
-            raise self._given_up(journey, "budget")
+    def _check_retry_limits(self, ctx: RequestContext, name: str) -> None:
+        if ctx.attempts >= ctx.route.attempts and name not in ctx.tried:
+            raise self._build_error(ctx, "attempts")
+        if not self._retry_budget(ctx.service.name).spend():
+            raise self._build_error(ctx, "budget")
 
-    async def _owner(self, journey: RequestContext) -> str:
-        """Return the owner of the key, unless it has enough to do."""
+    async def _choose_owner(self, ctx: RequestContext) -> str:
+        """Return the owner of the key, unless it is overloaded."""
         while True:
             try:
-                name = await self._owners.find(journey)
+                name = await self._owner_resolver.find(ctx)
             except NoOwner as exc:
-                raise self._given_up(journey, "no-owner", str(exc)) from exc
-            if not self.cold.may_send(name, journey.service):
-                raise self._given_up(journey, "cold")
-            centre = self._directory.known[name].target.data_centre
-            await self._await_turn(journey, name, centre)
-            if not self._owners.holds(journey, name):
-                # The key has moved, or its owner has left, while the request waited.
-                self._end_turn(journey)
+                raise self._build_error(ctx, "no-owner", str(exc)) from exc
+            if not self.cold.may_send(name, ctx.service):
+                raise self._build_error(ctx, "cold")
+            data_centre = self._directory.known[name].target.data_centre
+            await self._acquire_permit(ctx, name, data_centre)
+            if not self._owner_resolver.is_owner(ctx, name):
+                # The key moved, or its owner became unusable, during the wait.
+                self._release_permit(ctx)
                 continue
-            if journey.turn is None:
-                return self._paced(journey, name)
+            if ctx.turn is None:
+                return self._check_owner_load(ctx, name)
             return name
 
-    async def _await_turn(
-        self, journey: RequestContext, queue: str, data_centre: str = ""
+    async def _acquire_permit(
+        self, ctx: RequestContext, queue: str, data_centre: str = ""
     ) -> None:
-        """Wait for the turn of a request in a queue; none when nobody gives any."""
+        """Wait for a permit from a queue; set none if no VM serves the queue."""
         if self.turns is None:
             return
-        began = now()
+        started_at = now()
         try:
-            journey.turn = await self.turns.take(journey, queue, data_centre)
+            ctx.turn = await self.turns.take(ctx, queue, data_centre)
         except PermitRefused as exc:
-            journey.waited += now() - began
+            ctx.waited += now() - started_at
             reason = "owner-busy" if data_centre else "no-room"
-            raise self._given_up(journey, reason, exc.turn, exc.retry_after) from exc
-        journey.waited += now() - began
-        if journey.left(now()) < LEAST_TIME:
-            self._end_turn(journey)
-            raise self._given_up(journey, "no-time")
+            raise self._build_error(ctx, reason, exc.turn, exc.retry_after) from exc
+        ctx.waited += now() - started_at
+        if ctx.left(now()) < LEAST_TIME:
+            self._release_permit(ctx)
+            raise self._build_error(ctx, "no-time")
 
-    def _end_turn(
+    def _release_permit(
         self,
-        journey: RequestContext,
+        ctx: RequestContext,
         failed: bool = False,
         load: LoadReport | None = None,
     ) -> None:
-        if journey.turn is not None and self.turns is not None:
-            self.turns.done(journey.turn, failed, load)
-        journey.turn = None
+        if ctx.turn is not None and self.turns is not None:
+            self.turns.done(ctx.turn, failed, load)
+        ctx.turn = None
 
-    def _paced(self, journey: RequestContext, name: str) -> str:
-        """Let the owner of a key get no more than this VM believes it can bear."""
-        loads = self.loads.of(journey.service.name)
+    def _check_owner_load(self, ctx: RequestContext, name: str) -> str:
+        """Refuse a request if this VM's data shows that the owner is overloaded."""
+        loads = self.loads.for_service(ctx.service.name)
         loads.load(name, self._directory.known[name].target.slots)
-        expected = loads.expected(name, journey.route.name, now())
-        limit = min(OWNER_WAIT * journey.route.objective, journey.left(now()))
+        expected = loads.expected(name, ctx.route.name, now())
+        limit = min(OWNER_WAIT * ctx.route.objective, ctx.left(now()))
         if expected > limit:
             detail = loads.describe(name, now())
-            raise self._given_up(journey, "owner-busy", detail)
+            raise self._build_error(ctx, "owner-busy", detail)
         return name
 
-    async def _free(self, journey: RequestContext) -> str:
-        """Return the target of a request without a key, when it has its turn there."""
-        names = self._fit(journey)
-        cold = [n for n in names if self.cold.pace(n, journey.service) is not None]
-        if journey.attempts or len(cold) == len(names):
-            # Repeats go around what has failed them.
-            return self._free_target(journey, names)
+    async def _choose_without_key(self, ctx: RequestContext) -> str:
+        """Return the target of a request without a key, with a permit if possible."""
+        names = self._eligible_targets(ctx)
+        cold = [n for n in names if self.cold.limiter(n, ctx.service) is not None]
+        if ctx.attempts or len(cold) == len(names):
+            # A retry avoids the targets that have failed it.
+            return self._choose_by_load(ctx, names)
         if cold:
-            # What a cold target may get is shared out among the VMs, without turns.
-            name = self._free_target(journey, names)
+            # Requests to cold targets are limited per VM and need no permit.
+            name = self._choose_by_load(ctx, names)
             if name in cold:
                 return name
-        await self._await_turn(journey, journey.service.name)
+        await self._acquire_permit(ctx, ctx.service.name)
         name = ""
-        if journey.turn is not None:
-            name = self._directory.named(journey.turn.target)
-        # Targets may have left while the request waited.
+        if ctx.turn is not None:
+            name = self._directory.named(ctx.turn.target)
+        # Targets may have become unusable during the wait.
         names = [n for n in names if self._directory.may_use(n)]
         if name in names:
             return name
-        # The keeper does not know yet that it is gone, or knows it before this VM.
-        self._end_turn(journey)
+        # The permit server learns of a removed target later or earlier than this VM.
+        self._release_permit(ctx)
         if not names:
-            raise self._given_up(journey, "no-target")
-        return self._free_target(journey, names)
+            raise self._build_error(ctx, "no-target")
+        return self._choose_by_load(ctx, names)
 
-    def _fit(self, journey: RequestContext) -> list[str]:
-        """Return the targets that a request without a key may go to."""
-        names = self._directory.usable(journey.service.name)
-        loads = self.loads.of(journey.service.name)
+    def _eligible_targets(self, ctx: RequestContext) -> list[str]:
+        """Return the targets that may receive a request without a key."""
+        names = self._directory.usable(ctx.service.name)
+        loads = self.loads.for_service(ctx.service.name)
         known = self._directory.known
-        fit = []
+        eligible = []
         for name in names:
-            if name in journey.tried or not self.cold.may_send(name, journey.service):
+            if name in ctx.tried or not self.cold.may_send(name, ctx.service):
                 continue
             target = known[name].target
             load = loads.load(name, target.slots)
             if target.data_centre != self._data_centre:
                 load.distance = OTHER_DATA_CENTRE
-            fit.append(name)
-        if not fit:
-            raise self._given_up(journey, "no-target")
-        return fit
-
-    def _free_target(self, journey: RequestContext, fit: list[str]) -> str:
-        """Return the target that this VM believes will be done first."""
-        loads = self.loads.of(journey.service.name)
-        kind = journey.route.name
-        name = loads.choose(fit, kind, now())
-        if loads.expected(name, kind, now()) > journey.left(now()):
-            raise self._given_up(journey, "no-room", loads.describe(name, now()))
+            eligible.append(name)
+        if not eligible:
+            raise self._build_error(ctx, "no-target")
+        return eligible
+
+    def _choose_by_load(self, ctx: RequestContext, eligible: list[str]) -> str:
+        """Return the target with the earliest completion by this VM's data."""
+        loads = self.loads.for_service(ctx.service.name)
+        kind = ctx.route.name
+        name = loads.choose(eligible, kind, now())
+        if loads.expected(name, kind, now()) > ctx.left(now()):
+            raise self._build_error(ctx, "no-room", loads.describe(name, now()))
         return name
 
-    async def _attempt(self, journey: RequestContext, name: str) -> TargetAnswer | None:
-        """Send once; None when it may be tried again."""
+    async def _attempt(self, ctx: RequestContext, name: str) -> TargetAnswer | None:
+        """Send once; return None if the request may be sent again."""
         target = self._directory.known[name].target
-        sender = self._senders.to(target, journey.service.connections)
-        loads = self.loads.of(journey.service.name)
+        client = self._clients.get(target, ctx.service.connections)
+        loads = self.loads.for_service(ctx.service.name)
         load = loads.load(name, target.slots)
-        self.cold.sent(name, journey.service)
+        self.cold.record_request(name, ctx.service)
         load.inflight += 1
-        began = now()
-        failed, report, had_turn = True, None, journey.turn is not None
+        started_at = now()
+        failed, report, had_permit = True, None, ctx.turn is not None
         try:
-            answer = await sender.send(journey.req, journey.left(began))
-            failed, report = has_failed(answer), report_of(answer)
+            answer = await client.send(ctx.req, ctx.left(started_at))
+            failed, report = is_failure(answer), build_load_report(answer)
         except asyncio.CancelledError:
-            # Its caller has left, which says nothing about the target.
-            if journey.turn is not None:
-                journey.turn.target = 0
+            # The caller has disconnected, which is no failure of the target.
+            if ctx.turn is not None:
+                ctx.turn.target = 0
             raise
         except NeverSent as exc:
             load.failed(now())
-            journey.tried.add(name)
-            self._owners.turned_away(journey, name)
-            if journey.left(now()) < LEAST_TIME:
-                raise self._given_up(journey, "unreachable") from exc
+            ctx.tried.add(name)
+            self._owner_resolver.turned_away(ctx, name)
+            if ctx.left(now()) < LEAST_TIME:
+                raise self._build_error(ctx, "unreachable") from exc
             return None
         except AnswerLost as exc:
-            self._lost(journey, name, exc)
+            self._handle_lost_answer(ctx, name, exc)
             return None
         finally:
             load.inflight -= 1
-            self._end_turn(journey, failed, report)
-        kind, service = journey.route.name, journey.service.name
-        self.loads.learn(name, kind, service, answer, now() - began)
-        if answer.not_run and not answer.misdirected and had_turn:
-            journey.shed += 1
-        return self._judge(journey, name, answer)
-
-    def _lost(self, journey: RequestContext, name: str, exc: AnswerLost) -> None:
-        journey.attempts += 1
-        journey.tried.add(name)
+            self._release_permit(ctx, failed, report)
+        kind, service = ctx.route.name, ctx.service.name
+        self.loads.record_answer(name, kind, service, answer, now() - started_at)
+        if answer.not_run and not answer.misdirected and had_permit:
+            ctx.shed += 1
+        return self._handle_answer(ctx, name, answer)
+
+    def _handle_lost_answer(
+        self, ctx: RequestContext, name: str, exc: AnswerLost
+    ) -> None:
+        ctx.attempts += 1
+        ctx.tried.add(name)
         moment = now()
-        late = journey.left(moment) < LEAST_TIME
-        journey.lost = "timeout" if late else "answer-lost"
-        self.loads.of(journey.service.name).load(name, 1).failed(moment)
-        if not journey.route.idempotent or late:
-            detail = f"target {name} attempts {journey.attempts}: {exc}"
-            raise Unanswered(journey.lost, late, detail) from exc
+        late = ctx.left(moment) < LEAST_TIME
+        ctx.lost = "timeout" if late else "answer-lost"
+        self.loads.for_service(ctx.service.name).load(name, 1).failed(moment)
+        if not ctx.route.idempotent or late:
+            detail = f"target {name} attempts {ctx.attempts}: {exc}"
+            raise Unanswered(ctx.lost, late, detail) from exc
         # Some targets reset connections when they are full.
-        self._owners.turned_away(journey, name)
+        self._owner_resolver.turned_away(ctx, name)
 
-    def _judge(
-        self, journey: RequestContext, name: str, answer: TargetAnswer
+    def _handle_answer(
+        self, ctx: RequestContext, name: str, answer: TargetAnswer
     ) -> TargetAnswer | None:
-        journey.attempts += 1
+        ctx.attempts += 1
         if answer.misdirected:
-            # The keys have moved, or the address has another target now. The owner may
-            # be asked again once this VM has heard of the move.
-            self._owners.turned_away(journey, name)
+            # The keys have moved, or another target now uses the address. The owner may
+            # be asked again once this VM has learned of the move.
+            self._owner_resolver.turned_away(ctx, name)
             return None
-        journey.tried.add(name)
+        ctx.tried.add(name)
         if answer.not_run:
-            # It is full. Without a pause its owner was asked again within a
-            # millisecond, and repeats ran out for requests that they would have served.
-            # One that turns away a request which has its turn has slots free, and a
-            # pause would only make the answer late.
-            if journey.shed != 1:
-                self._owners.turned_away(journey, name)
+            # The target is full. Without a delay its owner would be asked again within
+            # a millisecond, and the retry budget would be spent on attempts that fail.
+            # A target that rejects a request with a permit has free slots, and a delay
+            # would only make the answer late.
+            if ctx.shed != 1:
+                self._owner_resolver.turned_away(ctx, name)
             return None
         failed = answer.status >= SERVER_ERROR
-        if failed and journey.route.idempotent and self._can_repeat(journey):
-            journey.failure = RoutedAnswer(answer, name, journey.attempts)
+        if failed and ctx.route.idempotent and self._can_retry(ctx):
+            ctx.failure = RoutedAnswer(answer, name, ctx.attempts)
             return None
         return answer
 
-    def _can_repeat(self, journey: RequestContext) -> bool:
-        enough = journey.left(now()) > journey.route.objective / 2
-        return enough and journey.attempts < journey.route.attempts
+    def _can_retry(self, ctx: RequestContext) -> bool:
+        has_time = ctx.left(now()) > ctx.route.objective / 2
+        return has_time and ctx.attempts < ctx.route.attempts
 
-    def _given_up(
-        self, journey: RequestContext, reason: str, detail: str = "", after: float = 0.0
+    def _build_error(
+        self,
+        ctx: RequestContext,
+        reason: str,
+        detail: str = "",
+        expected_wait: float = 0.0,
     ) -> Refused | Unanswered:
-        detail = f"{detail} attempts {journey.attempts} {journey.trace()}".strip()
-        if journey.lost:
-            return Unanswered(journey.lost, False, detail)
-        back = self._rng.uniform(SHORTEST_RETURN, LONGEST_RETURN)
-        if journey.shed:
-            # There is room; waiting would not make the next try any better.
-            back = RETURN_AT_ONCE
-        if after:
-            back = max(SHORTEST_RETURN, after) * self._rng.uniform(1, RETURN_SPREAD)
-        return Refused(reason, back, detail)
-
-    def _service_of(self, route: Route) -> str:
+        detail = f"{detail} attempts {ctx.attempts} {ctx.trace()}".strip()
+        if ctx.lost:
+            return Unanswered(ctx.lost, False, detail)
+        retry_after = self._rng.uniform(
+            MIN_RETRY_AFTER_SECONDS, MAX_RETRY_AFTER_SECONDS
+        )
+        if ctx.shed:
+            # Slots are free, so a delay would not improve the next attempt.
+            retry_after = RETURN_AT_ONCE
+        if expected_wait:
+            retry_after = max(
+                MIN_RETRY_AFTER_SECONDS, expected_wait
+            ) * self._rng.uniform(1, RETRY_AFTER_SPREAD)
+        return Refused(reason, retry_after, detail)
+
+    def _choose_service(self, route: Route) -> str:
         if len(route.shares) == 1:
             return route.shares[0].service
         weights = tuple((s.service, s.weight) for s in route.shares)
-        known = self._turns.get(route.name)
+        known = self._splits.get(route.name)
         if known is None or known[0] != weights:
-            turns = WeightedRoundRobin([w for _, w in weights], self._rng.random())
-            known = self._turns[route.name] = (weights, turns)
+            split = WeightedRoundRobin([w for _, w in weights], self._rng.random())
+            known = self._splits[route.name] = (weights, split)
         return route.shares[known[1].take()].service
 
-    def _budget(self, service: str) -> RetryBudget:
-        budget = self._budgets.get(service)
+    def _retry_budget(self, service: str) -> RetryBudget:
+        budget = self._retry_budgets.get(service)
         if budget is None:
             share = self._bounds.retry_ratio * BUDGET_USE
             reserve = self._bounds.retry_allowance / (2 * self.vms)
-            budget = self._budgets[service] = RetryBudget(share, max(1.0, reserve))
+            budget = self._retry_budgets[service] = RetryBudget(
+                share, max(1.0, reserve)
+            )
         return budget
--- a/packages/entry/src/berylstage_entry/target_clients.py
+++ b/packages/entry/src/berylstage_entry/target_clients.py
@@ -1,4 +1,4 @@
-"""Connections to targets: one client for each life of a target's address."""
+"""HTTP clients of the targets: one for each incarnation of a target."""
 
 from __future__ import annotations
 
@@ -14,51 +14,51 @@
     from berylstage_entry.protocols import CallerRequest, TargetAnswer, TargetProtocol
     from berylstage_entry.targets import Target
 
-# Connections that one VM keeps to a target, at least. With two, 65 VMs could hold 130
-# to targets that accept 95 and reset the rest, requests and all.
-FEWEST_CONNECTIONS = 1
-# Share of a target's connections that all VMs together use; the rest is for VMs that
-# come and go before the others know, and for grants.
+# Minimum number of connections from one VM to a target. With two, 65 VMs could open 130
+# connections to targets that accept 95 and reset the rest together with their requests.
+MIN_CONNECTIONS = 1
+# Share of a target's connections that all VMs use together. The rest is for grants, and
+# for VMs that start or stop before the others know.
 CONNECTION_SHARE = 0.7
-# Seconds after which an idle connection is not used again: below the shortest idle
-# time that a target has told (10 s), by the time that a connection may stand unnoticed.
-MAX_IDLE = 7
+# Idle time after which a connection is not used again: below the shortest idle timeout
+# of a target (10 s) by the time for which a connection may stay idle unnoticed.
+MAX_IDLE_SECONDS = 7
 
 
 class TargetClient:
-    """Sends requests to one life of a target.
+    """Sends requests to one incarnation of a target.
 
     Parameters
     ----------
     target : Target
-    wire : TargetWire
+    wire : TargetProtocol
     connections : int
-        That this VM may hold there.
+        Maximum number of connections of this VM to the target.
     rest : Rest
-        Of the connections to all targets of its service.
+        Learned idle limit of the connections to all targets of the service.
     """
 
-    __slots__ = ("_client", "_is_retired", "_under_way", "_wire", "target")
+    __slots__ = ("_client", "_is_retired", "_in_flight", "_wire", "target")
 
     def __init__(
         self, target: Target, wire: TargetProtocol, connections: int, rest: Rest
     ):
         self.target = target
         self._wire = wire
-        self._client = CallClient(connections, max_idle=MAX_IDLE, rest=rest)
-        self._under_way = 0
+        self._client = CallClient(connections, max_idle=MAX_IDLE_SECONDS, rest=rest)
+        self._in_flight = 0
         self._is_retired = False
 
     async def send(
         self, req: CallerRequest, seconds: float, fresh: bool = False
     ) -> TargetAnswer:
-        """Send a request and return the whole answer.
+        """Send a request and return the complete answer.
 
         Parameters
         ----------
         req : CallerRequest
         seconds : float
-            Until the answer must be there.
+            Seconds until the answer must have arrived.
         fresh : bool
             Whether to open a new connection.
 
@@ -79,109 +79,110 @@
             echo_name=self._wire.echo_header,
             unframed=True,
         )
-        self._under_way += 1
+        self._in_flight += 1
         try:
             answer = self._wire.answer(await self._client.call(call))
         finally:
-            self._under_way -= 1
+            self._in_flight -= 1
             self._close_if_done()
         if not answer.genuine and not answer.not_run and not answer.misdirected:
             raise AnswerLost(
-                f"{self.target.name}: an answer of status {answer.status} without a "
-                "target's mark; look at the target's own logs"
+                f"{self.target.name} sent status {answer.status} without the headers "
+                "of a target; check the target's log"
             )
         return answer
 
     @property
     def is_busy(self) -> bool:
-        """Whether a request is under way."""
-        return self._under_way > 0
+        """Whether a request is in flight."""
+        return self._in_flight > 0
 
     def retire(self) -> None:
-        """Send nothing more, and close all connections when what was sent has ended.
+        """Accept no further requests, and close the connections when all have ended.
 
-        A target may take its record back, or come to life again, before its last
-        answers are out. An order that was cut off then would have run with its outcome
-        unknown.
+        A target may remove its record, or restart, before it has sent its last answers.
+        If an order's connection were cut then, its outcome would be unknown.
         """
         self._is_retired = True
         self._client.refuse_waiting("the target is gone")
         self._close_if_done()
 
     def close(self) -> None:
-        """Close all connections and fail what is under way."""
+        """Close all connections and fail the requests in flight."""
         self._client.close()
 
     def _close_if_done(self) -> None:
-        if self._is_retired and not self._under_way:
-            # The client is still at work on the call that has ended.
+        if self._is_retired and not self._in_flight:
+            # The client is still processing the call that has just ended.
             asyncio.get_running_loop().call_soon(self._client.close)
 
 
 class TargetClients:
-    """The senders of all targets.
+    """Clients of all targets.
 
     Parameters
     ----------
-    wire : TargetWire
+    wire : TargetProtocol
     """
 
-    __slots__ = ("_rests", "_retired", "_senders", "_wire", "vms")
+    __slots__ = ("_idle_limits", "_retired", "_clients", "_wire", "vms")
 
     def __init__(self, wire: TargetProtocol):
         self._wire = wire
-        self._senders: dict[str, TargetClient] = {}
-        self._rests: dict[str, Rest] = {}
-        # Of targets that are gone, with requests still under way.
+        self._clients: dict[str, TargetClient] = {}
+        self._idle_limits: dict[str, Rest] = {}
+        # Clients of removed targets with requests in flight.
         self._retired: list[TargetClient] = []
-        # VMs that share the connections of a target, as far as they are known.
+        # Number of VMs that share a target's connections.
         self.vms = 10
 
-    def to(self, target: Target, connections: int) -> TargetClient:
-        """Return the sender to a target.
+    def get(self, target: Target, connections: int) -> TargetClient:
+        """Return the client of a target.
 
         Parameters
         ----------
         target : Target
         connections : int
-            That the target accepts from all VMs.
+            Number of connections that the target accepts from all VMs.
         """
-        sender = self._senders.get(target.name)
-        if sender is not None:
-            known = sender.target
+        client = self._clients.get(target.name)
+        if client is not None:
+            known = client.target
             if known.life == target.life and known.address == target.address:
-                return sender
-            self._retire(sender)
-        rest = self._rests.setdefault(target.service, Rest())
-        sender = TargetClient(target, self._wire, self.share(connections), rest)
-        self._senders[target.name] = sender
-        return sender
+                return client
+            self._retire(client)
+        rest = self._idle_limits.setdefault(target.service, Rest())
+        client = TargetClient(
+            target, self._wire, self.connection_share(connections), rest
+        )
+        self._clients[target.name] = client
+        return client
 
-    def share(self, connections: int) -> int:
-        """Return how many connections of a target this VM may hold.
+    def connection_share(self, connections: int) -> int:
+        """Return the maximum number of connections of this VM to a target.
 
         Parameters
         ----------
         connections : int
-            That the target accepts from all VMs.
+            Number of connections that the target accepts from all VMs.
         """
-        share = int(connections * CONNECTION_SHARE / self.vms)
-        return max(FEWEST_CONNECTIONS, share)
+        connection_share = int(connections * CONNECTION_SHARE / self.vms)
+        return max(MIN_CONNECTIONS, connection_share)
 
-    def keep(self, names: set[str]) -> None:
-        """Send nothing more to any other target, and close what leads there."""
-        for name in [name for name in self._senders if name not in names]:
-            self._retire(self._senders.pop(name))
+    def retain(self, names: set[str]) -> None:
+        """Retire the clients of all targets except the given ones."""
+        for name in [name for name in self._clients if name not in names]:
+            self._retire(self._clients.pop(name))
 
     def close(self) -> None:
-        """Close all connections and fail what is under way."""
-        for sender in [*self._senders.values(), *self._retired]:
-            sender.close()
-        self._senders.clear()
+        """Close all connections and fail the requests in flight."""
+        for client in [*self._clients.values(), *self._retired]:
+            client.close()
+        self._clients.clear()
         self._retired.clear()
 
-    def _retire(self, sender: TargetClient) -> None:
-        self._retired = [old for old in self._retired if old.is_busy]
-        sender.retire()
-        if sender.is_busy:
-            self._retired.append(sender)
+    def _retire(self, client: TargetClient) -> None:
+        self._retired = [c for c in self._retired if c.is_busy]
+        client.retire()
+        if client.is_busy:
+            self._retired.append(client)
--- a/packages/entry/src/berylstage_entry/target_loads.py
+++ b/packages/entry/src/berylstage_entry/target_loads.py
@@ -1,4 +1,4 @@
-"""What a VM has seen, and been told, of the load of targets."""
+"""Loads of targets, from this VM's own requests and from reports."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
     from berylstage_entry.protocols import TargetAnswer
     from berylstage_entry.targets import Target
 
-# Weight of a new answer in the mean size of its kind.
-SIZE_GAIN = 0.05
-# Status of an answer that tells of the target's own failure.
+# Gain of a new answer in the mean answer size of its kind.
+ANSWER_SIZE_GAIN = 0.05
+# Lowest HTTP status of a server error.
 SERVER_ERROR = 500
 
 
 class TargetLoads:
-    """Loads of the targets of all services, as far as this VM knows them.
+    """Loads of the targets of all services, as known to this VM.
 
     Parameters
     ----------
-    directory : Directory
+    directory : ClusterView
     rng : Random
     """
 
@@ -36,29 +36,31 @@
         self._rng = rng
         self._by_service: dict[str, ServiceLoads] = {}
         self._seen_revision = -1
-        # Mean bytes of the answers to each kind of request.
-        self._sizes: dict[str, float] = {}
-        # When a request for each service came last.
-        self._asked: dict[str, float] = {}
+        # Mean size in bytes of the answers to each request kind.
+        self._answer_sizes: dict[str, float] = {}
+        # Time of the last request for each service.
+        self._last_requested_at: dict[str, float] = {}
 
-    def of(self, service: str) -> ServiceLoads:
-        """Return the loads of the targets of a service."""
+    def for_service(self, service: str) -> ServiceLoads:
+        """Return the loads of a service's targets."""
         if self._seen_revision != self._directory.revision:
             self._seen_revision = self._directory.revision
             names = set(self._directory.known)
             for loads in self._by_service.values():
-                loads.keep(names)
+                loads.retain(names)
         found = self._by_service.get(service)
         if found is None:
             found = self._by_service[service] = ServiceLoads(self._rng)
         return found
 
-    def asked(self, service: str) -> None:
-        """Note that a request for a service has come."""
-        self._asked[service] = now()
+    def record_request(self, service: str) -> None:
+        """Record that a request for a service has arrived."""
+        self._last_requested_at[service] = now()
 
-    def ages(self, target: Target, moment: float) -> tuple[float, float]:
-        """Return the seconds since a target told its load, and since it mattered.
+    def report_and_request_ages(
+        self, target: Target, moment: float
+    ) -> tuple[float, float]:
+        """Return the age of a target's load report and of its service's last request.
 
         Parameters
         ----------
@@ -69,44 +71,47 @@
         Returns
         -------
         tuple of float
-            Since its last report, and since this VM had a request for its service.
+            Seconds since the last report, and since this VM's last request for the
+            target's service.
         """
-        loads = self.of(target.service)
+        loads = self.for_service(target.service)
         load = loads.load(target.name, target.slots)
-        asked = self._asked.get(target.service, float("-inf"))
-        return moment - load.reported, moment - asked
+        record_request = self._last_requested_at.get(target.service, float("-inf"))
+        return moment - load.reported, moment - record_request
 
-    def heard(self, target: Target, busy: int, report: LoadReport) -> None:
-        """Take in what a target has told this VM of its load.
+    def apply_report(self, target: Target, active: int, report: LoadReport) -> None:
+        """Apply a load report that this VM received from the target.
 
         Parameters
         ----------
         target : Target
-        busy : int
-            Requests that run or wait there, one that was just answered not counted.
+        active : int
+            Requests running or queued at the target, without an answered one.
         report : LoadReport
         """
-        loads = self.of(target.service)
+        loads = self.for_service(target.service)
         load = loads.load(target.name, target.slots)
-        load.told(busy, report.slots, report.pace, now())
+        load.told(active, report.slots, report.pace, now())
         loads.told(load)
 
-    def unheard(self, target: Target) -> None:
-        """Note that a target did not answer when it was asked for its load."""
-        loads = self.of(target.service)
+    def record_probe_failure(self, target: Target) -> None:
+        """Record that a target did not answer a load probe."""
+        loads = self.for_service(target.service)
         loads.load(target.name, target.slots).failed(now())
 
-    def told_of(self, name: str, busy: int, pace: float, at: float) -> None:
-        """Take in what another VM has heard of the load of a target.
+    def apply_remote_report(
+        self, name: str, active: int, pace: float, at: float
+    ) -> None:
+        """Apply a target's load that another VM received.
 
         Parameters
         ----------
         name : str
-        busy : int
-            Requests that run or wait there.
+        active : int
+            Requests running or queued at the target.
         pace : float
         at : float
-            When it was heard. What is older than what this VM knows is passed over.
+            Monotonic time of the report; ignored if older than the known report.
         """
         known = self._directory.known.get(name)
         loads = self._by_service.get(known.target.service) if known else None
@@ -115,21 +120,21 @@
         load = loads.load(name, known.target.slots)
         if at <= load.reported:
             return
-        load.told(busy, known.target.slots, pace, at)
+        load.told(active, known.target.slots, pace, at)
         loads.told(load)
 
     def answer_size(self, kind: str) -> float:
-        """Return the mean bytes of the answers to a kind of request.
+        """Return the mean size in bytes of the answers to a request kind.
 
         Parameters
         ----------
         kind : str
             Name of the route.
         """
-        return self._sizes.get(kind, 0.0)
+        return self._answer_sizes.get(kind, 0.0)
 
-    def told_how(self, name: str, failed: bool) -> None:
-        """Take in how a request of some VM went at a target.
+    def record_outcome(self, name: str, failed: bool) -> None:
+        """Record the outcome of a request of any VM at a target.
 
         Parameters
         ----------
@@ -139,46 +144,46 @@
         known = self._directory.known.get(name)
         if known is None:
             return
-        loads = self.of(known.target.service)
+        loads = self.for_service(known.target.service)
         load = loads.load(name, known.target.slots)
         if failed:
-            load.struck(now())
+            load.record_shared_failure(now())
         else:
-            load.praised()
+            load.record_shared_success()
 
-    def sound(self, service: str, names: list[str]) -> list[str]:
-        """Return the targets that are not left out for having failed.
+    def non_ejected(self, service: str, names: list[str]) -> list[str]:
+        """Return the targets that are not ejected for failures.
 
         Parameters
         ----------
         service : str
         names : list of str
-            Targets of it.
+            Targets of the service.
         """
-        loads, known = self.of(service), self._directory.known
+        loads, known = self.for_service(service), self._directory.known
         return [
             name
             for name in names
-            if loads.load(name, known[name].target.slots).shunned_until <= now()
+            if loads.load(name, known[name].target.slots).ejected_until <= now()
         ]
 
     def seen(self, service: str) -> ServiceLoads | None:
-        """Return what this VM has seen of a service; None before its first request."""
+        """Return the loads of a service, or None before its first request."""
         return self._by_service.get(service)
 
-    def work(self, service: str, name: str, kind: str) -> float:
-        """Return the seconds that a target takes for a request of a kind.
+    def service_seconds(self, service: str, name: str, kind: str) -> float:
+        """Return a target's expected service time in seconds for a request kind.
 
         Parameters
         ----------
         service, name : str
-            Of the target.
+            Service and name of the target.
         kind : str
             Name of the request's route.
         """
-        return self.of(service).work(name, kind, now())
+        return self.for_service(service).service_seconds(name, kind, now())
 
-    def learn(
+    def record_answer(
         self,
         target: str,
         kind: str,
@@ -186,7 +191,7 @@
         answer: TargetAnswer,
         seconds: float,
     ) -> None:
-        """Take in what an answer tells of the target that gave it.
+        """Record the outcome, service time and load report of an answer.
 
         Parameters
         ----------
@@ -196,35 +201,35 @@
         service : str
         answer : TargetAnswer
         seconds : float
-            From sending to the answer.
+            Seconds from sending the request to the answer.
         """
-        loads = self.of(service)
+        loads = self.for_service(service)
         load = loads.load(target, 1)
         moment = now()
         known = self._directory.known.get(target)
-        report = report_of(answer)
+        report = build_load_report(answer)
         if answer.load is not None and report is not None and known is not None:
-            self.heard(known.target, report.running, answer.load)
-        if has_failed(answer):
+            self.apply_report(known.target, report.running, answer.load)
+        if is_failure(answer):
             load.failed(moment)
             return
         load.worked(moment)
-        size = self._sizes.get(kind, float(len(answer.body)))
-        self._sizes[kind] = size + SIZE_GAIN * (len(answer.body) - size)
+        size = self._answer_sizes.get(kind, float(len(answer.body)))
+        self._answer_sizes[kind] = size + ANSWER_SIZE_GAIN * (len(answer.body) - size)
         if answer.load is None or not answer.load.waiting:
             loads.answered(target, kind, seconds / load.pace)
 
 
-def has_failed(answer: TargetAnswer) -> bool:
-    """Tell whether an answer speaks against the target that gave it."""
+def is_failure(answer: TargetAnswer) -> bool:
+    """Tell whether an answer counts as a failure of its target."""
     return answer.not_run or answer.misdirected or answer.status >= SERVER_ERROR
 
 
-def report_of(answer: TargetAnswer) -> LoadReport | None:
-    """Return what a target has to do beside the request that it answered."""
-    told = answer.load
-    if told is None:
+def build_load_report(answer: TargetAnswer) -> LoadReport | None:
+    """Return the load reported with an answer, without the answered request."""
+    report = answer.load
+    if report is None:
         return None
-    # Its target counts the answered request as still running.
-    busy = max(0, told.running + told.waiting - 1)
-    return LoadReport(busy, 0, told.slots, told.pace)
+    # The target counts the answered request as still running.
+    active = max(0, report.running + report.waiting - 1)
+    return LoadReport(active, 0, report.slots, report.pace)
