--- a/packages/transfers/src/berylstage_transfers/__init__.py
+++ b/packages/transfers/src/berylstage_transfers/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP calls by tornado's curl client: sent once, cancelled at once."""
+"""HTTP calls over tornado's curl client, sent at most once and cancellable."""
--- a/packages/transfers/src/berylstage_transfers/call.py
+++ b/packages/transfers/src/berylstage_transfers/call.py
@@ -1,4 +1,4 @@
-"""One HTTP call and the answer to it."""
+"""An HTTP call and its answer."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 from berylstage_transfers.errors import NeverSent
 
-# First status that ends an exchange; lower ones are interim.
+# Lowest status of a final answer; lower ones are interim.
 MIN_FINAL_STATUS = 200
-# Statuses whose answers have no body, so that nothing needs to frame one.
+# Statuses whose answers have no body and therefore need no framing.
 BODILESS_STATUSES = frozenset({204, 304})
 
 
 class Call:
-    """One HTTP call, as it is asked for and as it goes.
+    """An HTTP call and the state of its transfer.
 
     Parameters
     ----------
@@ -21,20 +21,20 @@
     url : str
         Percent-encoded.
     headers : dict of str to str
-        Empty values are left out. Nothing is added but ``Host`` and
-        ``Content-Length``.
+        Empty values are omitted. Only ``Host`` and ``Content-Length`` are added.
     body : bytes or None
         None for a method without a body.
     timeout : float
-        Seconds for everything, waiting for a connection included.
+        Seconds for the whole call, including the wait for a connection.
     echo : str
-        Value of the header ``echo_name`` that the answer must carry; empty for none.
+        Value that the answer must have in the header ``echo_name``; empty if the
+        answer is not checked.
     fresh : bool
         Whether to open a new connection.
     echo_name : bytes
-        Lower-case name of the header that echoes ``echo``.
+        Lower-case name of the answer's header with the value ``echo``.
     unframed : bool
-        Whether an answer without a length may end with its connection.
+        Whether an answer without a length may end by closing its connection.
 
     Attributes
     ----------
@@ -43,18 +43,19 @@
     sent : bool
         Whether a byte of the call may have been sent.
     opened_connection : bool
-        Whether the call opened its connection, rather than took a kept one.
+        Whether the call opened a new connection instead of reusing one.
     stale : bool
-        Whether the call met a kept connection that had ended, before it was sent.
+        Whether the reused connection was found to be unusable before the call was
+        sent.
     status : int
-        Status of the answer; 0 before it comes.
+        Status of the answer; 0 before it arrives.
     answer_headers : dict of bytes to bytes
         Headers of the answer by lower-case name.
 
     Raises
     ------
     NeverSent
-        A header holds a line break.
+        A header contains a line break.
     """
 
     __slots__ = (
@@ -106,8 +107,8 @@
         self.echo_name = echo_name
         self.unframed = unframed
         self.deadline = 0.0
-        # When its connection must have come about; until when what has come in time is
-        # read, once its time is over; and what looks at the clock.
+        # Monotonic times: ``connect_deadline`` for establishing the connection, and
+        # ``read_deadline`` for reading data received before the call's deadline.
         self.connect_deadline = 0.0
         self.read_deadline = 0.0
         self.timer: asyncio.TimerHandle | None = None
@@ -124,10 +125,10 @@
         self.fut: asyncio.Future[Answer] | None = None
 
     def parse_headers(self) -> bool:
-        """Read the header lines that came; False when they are another call's."""
+        """Parse the received header lines; False if they answer another call."""
         lines, self.header_lines = self.header_lines, []
         if not lines[0].startswith(b"HTTP/"):
-            # These are trailers, which follow a chunked body.
+            # The lines are trailers, which follow a chunked body.
             return True
         self.status = int(lines[0].split(None, 2)[1])
         headers = {}
@@ -141,9 +142,9 @@
         return not self.answers_other_call
 
     def is_framed(self) -> bool:
-        """Tell whether the end of the body could be told from a broken connection."""
-        # libcurl reports a reset in the midst of a body as an error, and a clean end
-        # of the connection as the end of the answer.
+        """Return whether a complete body is distinguishable from a truncated one."""
+        # libcurl reports a reset within a body as an error, but a clean close of the
+        # connection as the end of the answer.
         if self.status in BODILESS_STATUSES or self.unframed:
             return True
         headers = self.answer_headers
@@ -151,7 +152,7 @@
 
 
 class Answer:
-    """The whole answer to one call.
+    """The complete answer to a call.
 
     Parameters
     ----------
@@ -169,23 +170,23 @@
         self.body = body
 
     def header(self, name: bytes) -> str:
-        """Return a header by its lower-case name; empty when it is missing."""
+        """Return the header with this lower-case name, or an empty string."""
         return self.headers.get(name, b"").decode("latin-1")
 
 
 def _header_lines(headers: dict[str, str]) -> list[bytes]:
-    """Return the header lines as libcurl takes them.
+    """Return the header lines in the form that libcurl expects.
 
     Raises
     ------
     NeverSent
-        A value holds a line break: it would let a caller add headers of its own.
+        A value contains a line break, which would let a caller inject headers.
     """
     lines = [f"{name}: {value}" for name, value in headers.items() if value]
     if not headers.get("Content-Type"):
-        # A name without a value keeps libcurl from adding a header by itself.
+        # A name without a value stops libcurl from adding the header itself.
         lines.append("Content-Type:")
     text = "".join(lines)
     if "\r" in text or "\n" in text or "\0" in text:
-        raise NeverSent("a header holds a line break; remove it from the value")
+        raise NeverSent("a header value has a line break; remove it from the value")
     return [line.encode() for line in lines]
--- a/packages/transfers/src/berylstage_transfers/client.py
+++ b/packages/transfers/src/berylstage_transfers/client.py
@@ -1,4 +1,4 @@
-"""Tornado's curl client with calls that are sent once and cancelled at once."""
+"""Tornado's curl client with calls sent at most once and cancelled immediately."""
 
 from __future__ import annotations
 
@@ -21,72 +21,71 @@
 if TYPE_CHECKING:
     from typing import Any
 
-# Seconds to wait for a new connection. One takes about 1 ms today (the brief's sizes);
-# within this time a lost SYN is not sent again (1 s in Linux), so longer waits
-# only help where another connection would help more.
+# A connection takes about 1 ms. Linux retransmits a lost SYN only after 1 s, so a
+# longer timeout helps less than another attempt.
 CONNECT_TIMEOUT_SECONDS = 0.25
-# Seconds beyond a call's time in which an answer that is there is read on, piece by
-# piece.
+# Time after a call's deadline during which an answer already received is still read,
+# piece by piece.
 READ_GRACE_SECONDS = 0.1
-# Seconds after a call's time at which libcurl would give it up by itself, should that
-# not have been done here.
+# Time after a call's deadline at which libcurl ends the call, in case the client has
+# not done so.
 BACKSTOP_SECONDS = 30.0
-# Seconds after which an idle connection is not used again: something between the two
-# ends may have lost track of it (the brief's "What fails"), and a call on it would
-# be lost. Middleboxes forget idle flows after 30 s or more.
+# An idle connection is not reused after this time, because a middlebox may have lost
+# its state and a call on it would be lost. Middleboxes forget idle flows after 30 s or
+# more.
 MAX_IDLE_SECONDS = 10
 # Milliseconds that sent bytes may stay without a TCP acknowledgement. A connection
-# that something lost track of acknowledges nothing, while a slow or frozen process
-# still does, by its kernel.
+# whose state a middlebox lost acknowledges nothing, whereas the kernel of a slow or
+# frozen process still does.
 UNACKNOWLEDGED_MS = 2000
-# Seconds of idleness before the first TCP keepalive, and between two.
+# Idle time before the first TCP keepalive probe, and the time between probes.
 KEEPALIVE_IDLE_SECONDS = 5
 KEEPALIVE_INTERVAL_SECONDS = 2
-# Local ports remembered for one server. Beyond, all are forgotten and the kept
-# connections are replaced one by one, which bounds the memory at little cost.
+# Number of local ports stored for one server, which bounds the memory. When it is
+# reached all are discarded, and the kept connections are replaced one by one.
 MAX_REMEMBERED_PORTS = 4096
-# Bytes of the buffer that each call under way has for sending. libcurl's own 64 KB
-# would be most of what a connection costs in memory, and bodies are mostly small.
+# Send buffer of each active call. libcurl's default of 64 KB would be most of a
+# connection's memory, and bodies are mostly small.
 UPLOAD_BUFFER_BYTES = 16 * 1024
-# Bytes of an answer's body at most.
+# Limit for the body of an answer.
 MAX_BODY_BYTES = 16 * 1024 * 1024
 
-# Headers that libcurl would add by itself. ``Expect: 100-continue`` would cost
-# larger bodies a round trip.
+# Headers that libcurl adds by default. ``Expect: 100-continue`` would cost larger
+# bodies a round trip.
 _SUPPRESSED_HEADERS = [b"Expect:", b"Accept:", b"User-Agent:"]
 _MS_PER_SECOND = 1000
-# What libcurl says when a server resets or closes without an answer.
+# libcurl's errors if a server resets or closes the connection without an answer.
 _RESET_ERRORS = (pycurl.E_GOT_NOTHING, pycurl.E_SEND_ERROR, pycurl.E_RECV_ERROR)
-# What tells of a kept connection that it has ended, or brings bytes out of turn.
+# Poll events of a kept connection that was closed or has unexpected data to read.
 _UNUSABLE_EVENTS = select.POLLIN | select.POLLRDHUP | select.POLLERR | select.POLLHUP
 
 
 class CallClient(CurlAsyncHTTPClient):
-    """Calls to one server over a bounded number of connections.
+    """HTTP client for one server with a bounded number of connections.
 
-    It keeps tornado's way of driving libcurl from the event loop and replaces what
-    happens around a transfer: handles keep their settings between calls, headers are
-    read only as far as they are needed, a call is sent once, and a cancelled one
-    is broken off at once.
+    It uses tornado's integration of libcurl with the event loop and replaces the
+    handling of transfers: handles keep their settings between calls, only the needed
+    headers are parsed, a call is sent at most once, and cancelling a call aborts its
+    transfer immediately.
 
     Parameters
     ----------
     max_clients : int
-        Calls under way at once, and connections held at once.
+        Limit for concurrent calls, and for open connections.
     max_kept : int or None
-        Connections kept for later calls; beyond, the one idle for longest closes.
-        None keeps all.
-    age_limit : Trust, optional
+        Limit for connections kept for later calls; above it, the connection that has
+        been idle longest is closed. None keeps all.
+    age_limit : ConnectionAgeLimit, optional
         Shared by the clients of one server.
     max_idle : int
-        Seconds after which an idle connection is not used again.
+        Seconds after which an idle connection is not reused.
     reset_on_close : bool
-        Whether closing a connection throws away what it has not delivered yet, so that
-        a call that was given up cannot arrive later.
+        Whether closing a connection discards undelivered data, so that an abandoned
+        call cannot arrive later.
     rest : Rest, optional
-        Shared by the clients of servers of one kind.
+        Shared by the clients of all servers of one kind.
     connect_timeout : float
-        Seconds to wait for a new connection.
+        Seconds to wait for a new connection to be established.
     """
 
     def __new__(
@@ -99,7 +98,7 @@
         rest: Rest | None = None,
         connect_timeout: float = CONNECT_TIMEOUT_SECONDS,
     ) -> CallClient:
-        """Return an instance of its own, never tornado's shared one."""
+        """Return a new instance instead of tornado's shared one."""
         client = super().__new__(
             cls,
             force_instance=True,
@@ -136,7 +135,7 @@
         rest: Rest | None = None,
         connect_timeout: float = CONNECT_TIMEOUT_SECONDS,
     ) -> None:
-        """Set up without any handle; they are made when calls need them."""
+        """Initialize without curl handles, which are created on demand."""
         self._timer_due = 0.0
         super().initialize(max_clients=0)
         self._max_clients = max_clients
@@ -147,21 +146,21 @@
         self._handles: dict[pycurl.Curl, _Handle] = {}
         self._fds_by_port: dict[int, int] = {}
         self._rest = rest or Rest()
-        # When each kept connection was used last, by its local port.
+        # Monotonic time of each connection's last use, by its local port.
         self._last_used: dict[int, float] = {}
         self._multi.setopt(pycurl.M_MAXCONNECTS, max_kept or max_clients)
         self._multi.setopt(pycurl.M_MAX_TOTAL_CONNECTIONS, max_clients)
 
     async def call(self, call: Call) -> Answer:
-        """Make a call and return the whole answer to it.
+        """Make a call and return its complete answer.
 
-        When the awaiting task is cancelled, the transfer ends and its connection
-        closes at once; ``call.sent`` then tells whether the server may have seen it.
+        Cancelling the awaiting task aborts the transfer and closes its connection
+        immediately; ``call.sent`` then says whether the server may have received it.
 
         Parameters
         ----------
         call : Call
-            Used once.
+            A new call; it cannot be reused.
 
         Returns
         -------
@@ -172,10 +171,10 @@
         NeverSent
             Nothing was sent.
         AnswerLost
-            It was sent, and no whole answer of its own came.
+            It was sent, and no complete answer to it arrived.
         """
         if self._closed:
-            raise NeverSent(f"{call.url}: the client is closed; open another one")
+            raise NeverSent(f"{call.url}: the client is closed; create another one")
         fut: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         call.fut = fut
         call.deadline = time.monotonic() + call.timeout
@@ -192,7 +191,7 @@
             raise
 
     def close(self) -> None:
-        """Fail what is under way and close all connections."""
+        """Fail active and queued calls and close all connections."""
         if self._closed:
             return
         for curl, handle in self._handles.items():
@@ -202,12 +201,12 @@
         super().close()
 
     def refuse_waiting(self, cause: str) -> None:
-        """Fail the calls that wait for a connection; those under way go on.
+        """Fail the calls that wait for a connection; active calls continue.
 
         Parameters
         ----------
         cause : str
-            For the error.
+            Cause named in the error.
         """
         while self._requests:
             call: Any = self._requests.popleft()
@@ -215,7 +214,7 @@
 
     def _expire_queued(self, call: Call) -> None:
         if not call.started:
-            _fail(call, "no connection came free in time")
+            _fail(call, "no connection became available in time")
 
     def _cancel_transfer(self, call: Call) -> None:
         for curl, handle in self._handles.items():
@@ -225,10 +224,10 @@
                 return
 
     def _set_timeout(self, msecs: int) -> None:
-        # libcurl moves its timer several times in each transfer, mostly to later, and
-        # moving a timer of the event loop costs more than one that rings too early:
-        # the handler asks libcurl for the right time anyway. So only an earlier
-        # time moves the timer.
+        # libcurl reschedules its timer several times per transfer, mostly to a later
+        # time. Rescheduling a timer of the event loop costs more than one that fires
+        # too early, because the handler asks libcurl for the right time anyway. So
+        # only an earlier time reschedules the timer.
         if msecs < 0:
             return
         loop = self.io_loop.asyncio_loop  # type: ignore[attr-defined]
@@ -253,12 +252,12 @@
             self._start_timer(call, curl)
 
     def _start_timer(self, call: Call, curl: pycurl.Curl) -> None:
-        """Have a call end in time, though not before what has come is read.
+        """Start the timer that ends a call at its deadline.
 
-        libcurl looks at its clock before it looks at its sockets. Once the event loop
-        has stood still it would give up calls whose answers are there, also those of
-        work that may not be repeated. A timer of the loop runs after the loop's
-        sockets were read.
+        libcurl checks its clock before its sockets. After the event loop was blocked
+        it would time out calls whose answers have already arrived, including those of
+        work that may not be repeated. A timer of the event loop runs after the sockets
+        have been read.
         """
         now = time.monotonic()
         call.connect_deadline = min(call.deadline, now + self._connect_timeout)
@@ -274,7 +273,7 @@
         )
 
     def _check_deadline(self, call: Call, curl: pycurl.Curl) -> None:
-        """End a call whose time is over, unless it goes on for good reason."""
+        """End a call after its deadline unless received data remains to be read."""
         handle = self._handles[curl]
         if handle.call is not call:
             return
@@ -297,7 +296,7 @@
         return curl
 
     def _max_age_seconds(self, call: Call) -> int:
-        """Return the most seconds that a kept connection may be old; 0 for none."""
+        """Return the maximum age of a reused connection; 0 for a new connection."""
         if call.fresh:
             return 0
         return self._age_limit.max_age_seconds(time.monotonic())
@@ -324,7 +323,7 @@
             refused = curl.getinfo(pycurl.OS_ERRNO) == errno.ECONNREFUSED
             _fail(call, curl_message or f"curl error {curl_error}", refused)
         elif not call.is_framed():
-            _fail(call, "nothing says where the body ends")
+            _fail(call, "the answer has neither a length nor chunks")
         elif call.fut is not None and not call.fut.done():
             body = b"".join(call.body_chunks)
             call.fut.set_result(Answer(call.status, call.answer_headers, body))
@@ -348,8 +347,8 @@
         self._requests.appendleft(call)  # type: ignore[arg-type]
 
     def _record_lost_answer(self, call: Call) -> None:
-        # A call on a kept connection that brings not a byte back may have met one that
-        # went silent. A call that was cancelled proves nothing.
+        # A call on a reused connection without a byte of an answer may mean that the
+        # connection no longer works. A cancelled call is no evidence of this.
         assert call.fut is not None
         unanswered = not call.status and not call.fut.cancelled()
         if call.sent and not call.opened_connection and unanswered:
@@ -357,7 +356,7 @@
 
 
 class _Handle:
-    """A curl handle that keeps its settings from call to call."""
+    """A curl handle that keeps its settings between calls."""
 
     __slots__ = (
         "_reset_on_close",
@@ -383,10 +382,10 @@
         self._fds_by_port = client._fds_by_port
         self._rest = client._rest
         self._last_used = client._last_used
-        # Local port of the connection in use, and for how long it had rested.
+        # Local port of the current connection, and its idle time before this call.
         self.port = 0
         self.idle_seconds = 0.0
-        # Whether libcurl wanted to send the call again after a reset.
+        # Whether libcurl tried to send the call again after a reset.
         self.saw_reset = False
         curl.setopt(pycurl.PROTOCOLS, pycurl.PROTO_HTTP)
         curl.setopt(pycurl.PROXY, "")
@@ -403,7 +402,7 @@
         curl.setopt(pycurl.WRITEFUNCTION, self._on_body)
 
     def prepare(self, call: Call, max_age_seconds: int) -> None:
-        """Set what differs from call to call."""
+        """Apply the settings that depend on the call."""
         self.call = call
         self._opened_fd = -1
         self.saw_reset = False
@@ -443,10 +442,10 @@
     def _before_sending(
         self, _remote: str, _local: str, _remote_port: int, local_port: int
     ) -> int:
-        # libcurl sends a call again, on another connection, when a kept one closes
-        # before any answer. The server may have acted on the first by then: a
-        # ledger would show the work twice, a store a conflict with itself. So
-        # the second sending is refused, and the answer counts as lost.
+        # libcurl sends a call again on another connection if a reused one closes
+        # before any answer. The server may have processed the first one: work would
+        # run twice, and a conditional write to a store would conflict with itself. So
+        # the second attempt is aborted and the answer is treated as lost.
         assert self.call is not None
         if self.call.sent:
             self.saw_reset = True
@@ -465,11 +464,11 @@
         return pycurl.PREREQFUNC_OK
 
     def _is_usable(self, local_port: int) -> bool:
-        # libcurl takes a connection that was used a moment ago for a good one without
-        # a look at it. If the server has closed it since, as it does when it
-        # restarts, the call would be lost with its outcome unknown; if a late
-        # answer waits on it, that would be read as this call's. A look before the
-        # first byte is sent leaves the call free to go out on another connection.
+        # libcurl reuses a recently used connection without checking it. If the server
+        # has closed it since, for example by restarting, the call would be lost with
+        # its outcome unknown. If an overdue answer is waiting on it, it would be read
+        # as the answer to this call. A check before the first byte is sent allows the
+        # call to use another connection.
         fd = self._fds_by_port.get(local_port)
         if fd is None:
             return False
@@ -479,7 +478,7 @@
         return not events
 
     def has_progress(self) -> bool:
-        """Tell whether a connection has come about, or bytes of an answer wait."""
+        """Return whether the connection is established or data waits to be read."""
         assert self.call is not None
         if self.call.sent:
             fd, events = self._fds_by_port.get(self.port, -1), select.POLLIN
@@ -493,8 +492,8 @@
         return bool(ready)
 
     def _is_idle_too_long(self, local_port: int) -> bool:
-        # A server that forgets idle connections lets nothing show it: what is sent next
-        # is reset, and a call that may not be repeated is lost.
+        # A server that drops idle connections gives no sign of it: the next call is
+        # reset, and the outcome of a call that may not be repeated is unknown.
         now = time.monotonic()
         self.idle_seconds = now - self._last_used.get(local_port, now)
         return self.idle_seconds > self._rest.max_idle_seconds(now)
@@ -504,10 +503,10 @@
         if line != b"\r\n":
             self.call.header_lines.append(line)
             return None
-        # An answer to another call means that the two ends disagree on whose turn it
-        # is, and every later answer on this connection would reach the wrong caller.
-        # Refusing the header makes libcurl close the connection before another call
-        # could be sent on it.
+        # An answer to another call means that requests and answers on this connection
+        # are out of step, and every later answer would reach the wrong caller.
+        # Rejecting the header makes libcurl close the connection before another call
+        # is sent on it.
         return None if self.call.parse_headers() else 0
 
     def _on_body(self, chunk: bytes) -> int | None:
@@ -520,7 +519,7 @@
 
 
 def _timeout_message(call: Call, now: float) -> str:
-    """Return how far a call came in its time."""
+    """Describe how far a call got before its timeout."""
     what = "Operation" if call.sent else "Connection"
     spent = int((call.timeout + now - call.deadline) * _MS_PER_SECOND)
     received = call.body_size
@@ -528,21 +527,24 @@
 
 
 def _fail(call: Call, cause: str, refused: bool = False) -> None:
-    """End a call with the error that says whether it was sent."""
+    """Fail a call with the error that says whether it was sent."""
     if call.fut is None or call.fut.done():
         return
     subject = f"{call.method} {call.url}"
     if call.answers_other_call:
-        cause = "the answer is another call's"
+        cause = "the answer belongs to another call"
     if call.sent:
-        remedy = "find out whether it took effect before sending it again"
+        remedy = "check whether it took effect before sending it again"
         if call.method == "GET":
             remedy = "send it again"
         exc: Exception = AnswerLost(
-            f"{subject}: sent, but no whole answer came ({cause}); {remedy}"
+            f"{subject}: sent, but no complete answer arrived ({cause}); {remedy}"
         )
     elif refused:
-        exc = NothingListens(f"{subject}: nothing listens there ({cause}); look for it")
+        exc = NothingListens(
+            f"{subject}: connection refused ({cause}); "
+            "check that the server runs at this address"
+        )
     else:
         exc = NeverSent(f"{subject}: nothing was sent ({cause}); send it again")
     call.fut.set_exception(exc)
--- a/packages/transfers/src/berylstage_transfers/connection_age.py
+++ b/packages/transfers/src/berylstage_transfers/connection_age.py
@@ -1,18 +1,18 @@
-"""Trust in the open connections to one server."""
+"""Age limit for reusing the open connections to one server."""
 
 from __future__ import annotations
 
-# Seconds after which a connection is replaced even if it is in steady use.
+# Age at which a connection is replaced even if it is in steady use.
 MAX_CONNECTION_AGE_SECONDS = 3600
 
 
 class ConnectionAgeLimit:
-    """Since when connections to a server are known to work.
+    """Limits the age of connections that may be reused.
 
-    Something between the two ends may lose track of all open connections at once while
-    new ones work. Each call on an old one would wait out its whole time in vain, one
-    after the other. So the first such loss ends the trust in every connection that was
-    open by then, for all clients that share this object.
+    A middlebox may lose the state of all open connections at once while new ones work.
+    Each call on an old connection would then time out, one after the other. The first
+    such loss therefore retires every connection that was open at that time, for all
+    clients that share this object.
     """
 
     __slots__ = ("_retired_at",)
@@ -21,7 +21,7 @@
         self._retired_at = float("-inf")
 
     def retire_open_connections(self, now: float) -> None:
-        """End the trust in all connections that are open now.
+        """Stop the reuse of all connections that are open now.
 
         Parameters
         ----------
@@ -31,7 +31,7 @@
         self._retired_at = now
 
     def max_age_seconds(self, now: float) -> int:
-        """Return the most whole seconds that a connection may be old.
+        """Return the maximum age of a connection that may be reused.
 
         Parameters
         ----------
@@ -41,6 +41,6 @@
         Returns
         -------
         int
-            0 when no open connection is to be used.
+            Whole seconds; 0 if no open connection may be reused.
         """
         return int(min(now - self._retired_at, MAX_CONNECTION_AGE_SECONDS))
--- a/packages/transfers/src/berylstage_transfers/errors.py
+++ b/packages/transfers/src/berylstage_transfers/errors.py
@@ -1,19 +1,19 @@
-"""Errors of HTTP calls: whether anything was sent is what tells them apart."""
+"""Errors of HTTP calls, distinguished by whether anything was sent."""
 
 from __future__ import annotations
 
 
 class CallFailed(Exception):
-    """A call that brought no whole answer."""
+    """The call returned no complete answer."""
 
 
 class NeverSent(CallFailed):
-    """The call failed before any byte of it was sent; send it again or elsewhere."""
+    """The call failed before any byte was sent, so it can safely be retried."""
 
 
 class NothingListens(NeverSent):
-    """The host refused the connection: no process listens at the address now."""
+    """The host refused the connection because no process listens at the address."""
 
 
 class AnswerLost(CallFailed):
-    """The call was sent and no whole answer came; it may have taken effect."""
+    """The call was sent without a complete answer, so it may have taken effect."""
--- a/packages/transfers/src/berylstage_transfers/rest.py
+++ b/packages/transfers/src/berylstage_transfers/rest.py
@@ -1,34 +1,34 @@
-"""For how long a kept connection may have rested to be used again."""
+"""Limit on the idle time after which a connection may be reused."""
 
 from __future__ import annotations
 
 from math import inf
 
-# Seconds of rest below which a reset tells nothing of resting: servers that are full
-# reset connections as well.
+# A reset after a shorter idle time is ignored, because overloaded servers reset
+# connections as well.
 MIN_IDLE_SECONDS = 0.2
-# Share of the shortest rest after which a connection was found reset that others may
-# still rest.
+# Connections may be idle for this fraction of the shortest idle time that led to a
+# reset.
 SAFETY_FACTOR = 0.8
-# Suspicion that one reset adds and that one answer after as long a rest takes away.
-# Where one in five or more are reset it stays, where a full server resets one in ten it
-# does not.
+# Suspicion that a reset adds, and that an answer after an equally long idle time
+# removes. It persists if one call in five or more is reset, but not if an overloaded
+# server resets one in ten.
 RESET_WEIGHT = 1.0
 ANSWER_WEIGHT = 0.25
-# Suspicion from which on connections are not trusted, and most of it.
+# Suspicion at which idle connections are no longer reused, and its upper bound.
 SUSPICION_THRESHOLD = 0.5
 MAX_SUSPICION = 4.0
-# Seconds in which suspicion halves, so that a trouble that has passed is found out.
+# Suspicion halves in this time, so that the limit ends once resets have stopped.
 HALF_LIFE_SECONDS = 5.0
 
 
 class Rest:
-    """Learns after which rest the servers of one kind drop connections unnoticed.
+    """Learns the idle time after which servers of one kind silently drop connections.
 
-    A server that forgets idle connections resets what is sent on one, and a call that
-    may not be repeated is lost with its outcome unknown. Nothing shows it before. So
-    the first such loss on a connection to any of the servers ends the use of those that
-    have rested for as long, to all of them.
+    A server that drops idle connections resets the next call on one of them, and the
+    outcome of a call that may not be repeated stays unknown. No earlier sign exists.
+    The first such reset by any of the servers therefore stops the reuse of connections
+    to all of them that have been idle for as long.
     """
 
     __slots__ = ("_decayed_at", "_shortest_reset", "_suspicion")
@@ -39,7 +39,7 @@
         self._decayed_at = 0.0
 
     def record_reset(self, idle_seconds: float, now: float) -> None:
-        """Note a call that met a reset and brought not a byte back.
+        """Record a call that was reset before any byte of an answer arrived.
 
         Parameters
         ----------
@@ -55,13 +55,13 @@
         self._shortest_reset = min(self._shortest_reset, idle_seconds)
 
     def record_answer(self, idle_seconds: float, now: float) -> None:
-        """Note a call that was answered on a connection that had rested."""
+        """Record an answer to a call on a connection that had been idle."""
         if idle_seconds >= self._shortest_reset * SAFETY_FACTOR:
             self._decay(now)
             self._suspicion = max(0.0, self._suspicion - ANSWER_WEIGHT)
 
     def max_idle_seconds(self, now: float) -> float:
-        """Return the seconds of rest after which a connection is not to be used."""
+        """Return the seconds of idle time after which a connection is not reused."""
         self._decay(now)
         if self._suspicion < SUSPICION_THRESHOLD:
             return inf
--- a/packages/transfers/tests/conftest.py
+++ b/packages/transfers/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A server that answers with bytes given in the test."""
+"""A server that sends the answers given by a test."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class Script:
-    """What the server does, and what it saw.
+    """The answers that the server sends, and the requests that it received.
 
-    ``answers`` holds the bytes for each request in turn, over all connections; None
-    leaves the request without an answer, and ``CLOSE`` at the end of the bytes closes
-    the connection after them.
+    ``answers`` holds the bytes for each request in order, across all connections. None
+    leaves a request unanswered, and ``CLOSE`` at the end closes the connection after
+    the answer.
     """
 
     CLOSE = b"<close>"
@@ -40,7 +40,7 @@
             self.ended += 1
 
     async def write(self, raw):
-        """Send bytes on the newest connection, out of turn."""
+        """Send unrequested bytes on the newest connection."""
         self._writer.write(raw)
         await self._writer.drain()
 
@@ -61,7 +61,7 @@
 
 @asynccontextmanager
 async def serve(*answers):
-    """Run a server on the answers given."""
+    """Run a server that sends the given answers."""
     script = Script(answers)
     server = await asyncio.start_server(script.serve, "127.0.0.1", 0)
     script.base = "http://127.0.0.1:{}".format(server.sockets[0].getsockname()[1])
@@ -73,5 +73,5 @@
 
 @pytest.fixture
 def open_server():
-    """Return how to run a server on given answers."""
+    """Return a function that runs a server with given answers."""
     return serve
--- a/packages/transfers/tests/test_client.py
+++ b/packages/transfers/tests/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP client against answers byte by byte."""
+"""Tests of the HTTP client against a server with scripted answers."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 CLOSE = b"<close>"
 OK = b"HTTP/1.1 200 OK\r\nRequest-Id: 1\r\nContent-Length: 4\r\n\r\nbody"
 
-# Answers to request 1 that are whole, with their status and body.
+# Complete answers to request 1, with the expected status and body.
 COMPLETE_ANSWERS = {
     "length": (OK, 200, b"body"),
     "chunks": (
@@ -50,7 +50,7 @@
     "id in other case": (OK.replace(b"Request-Id", b"REQUEST-ID"), 200, b"body"),
 }
 
-# Answers to request 1 that are broken.
+# Answers to request 1 that are incomplete or belong to another request.
 BROKEN_ANSWERS = {
     "none": CLOSE,
     "no HTTP": b"body" + CLOSE,
@@ -64,12 +64,12 @@
 
 
 def run(scenario):
-    """Run a test's coroutine to its end."""
+    """Run a test's coroutine to completion."""
     return asyncio.run(asyncio.wait_for(scenario(), 30))
 
 
 def make_call(script, echo="1", timeout=10.0, fresh=False, body=b""):
-    """Return a call to a server."""
+    """Return a call to the scripted server."""
     headers = {"Request-Id": echo}
     url = script.base + "/work"
     return Call("POST", url, headers, body, timeout, echo=echo, fresh=fresh)
@@ -94,9 +94,9 @@
     @pytest.mark.parametrize("name", BROKEN_ANSWERS)
     @pytest.mark.parametrize("warm", [True, False], ids=["kept", "new"])
     def test_an_incomplete_answer_raises_answer_lost(self, open_server, name, warm):
-        # The server crashes in the middle of its answer, or answers something else.
-        # The caller must not take a part for the whole, and the call must not be
-        # sent again, as the server may have acted on it.
+        # The server crashes while sending its answer, or answers another request. The
+        # caller must not accept a partial answer, and the call must not be sent again
+        # because the server may have processed it.
         async def scenario():
             first = [OK] if warm else []
             async with open_server(*first, BROKEN_ANSWERS[name], OK, OK) as script:
@@ -115,8 +115,8 @@
 
     @pytest.mark.parametrize("late", [True, False], ids=["late", "at once"])
     def test_bytes_after_the_answer_are_discarded(self, open_server, late):
-        # The server sends an answer that nobody asked for behind the right one. The
-        # next call on the same connection would read it as its own.
+        # The server sends an unrequested answer after the right one. The next call on
+        # the same connection would read it as its own.
         async def scenario():
             stray = OK.replace(b"body", b"mine")
             first = OK if late else OK + stray
@@ -132,7 +132,8 @@
         run(scenario)
 
     def test_a_body_over_the_limit_raises_answer_lost(self, open_server, monkeypatch):
-        # A server streams without end. The client must not grow until the VM dies.
+        # A server streams an endless body. The client must not use memory without
+        # bound.
         monkeypatch.setattr(client_module, "MAX_BODY_BYTES", 3)
 
         async def scenario():
@@ -147,8 +148,8 @@
 
 class TestRequests:
     def test_a_large_body_is_sent_without_expect_continue(self, open_server):
-        # curl asks before it sends a large body and waits up to a second for the
-        # server's word, which many servers never give.
+        # Before a large body curl sends ``Expect: 100-continue`` and waits up to a
+        # second for the interim answer, which many servers never send.
         async def scenario():
             async with open_server(OK) as script:
                 client = CallClient(1)
@@ -181,15 +182,15 @@
 
     @pytest.mark.parametrize("value", ["a\r\nFence: 9", "a\nb", "a\rb", "a\0b"])
     def test_a_line_break_in_a_header_is_rejected(self, value):
-        # A caller's header holds a line break, and would add a header of its own.
+        # A line break in a caller's header would inject another header.
         with pytest.raises(NeverSent):
             Call("GET", "http://127.0.0.1:1/", {"Caller": value}, None, 1.0)
 
 
 class TestRefusals:
     def test_refused_connection_has_its_own_error(self):
-        # Nothing listens at the address of a target. Its keys can go to others at once,
-        # which they can't when it is only cut off or full.
+        # No process listens at a target's address, so its keys can be reassigned at
+        # once. They cannot if the target is only unreachable or overloaded.
         async def scenario():
             with socket.socket() as sock:
                 sock.bind(("127.0.0.1", 0))
@@ -202,7 +203,7 @@
         run(scenario)
 
     def test_connection_closed_after_accept_is_not_a_refusal(self):
-        # A target that is full accepts connections and resets them.
+        # An overloaded target accepts connections and resets them.
         async def scenario():
             async def full(reader, writer):
                 writer.close()
@@ -221,7 +222,7 @@
 
 class TestFailures:
     def test_a_refused_connection_was_never_sent(self, open_server):
-        # The server's process is gone.
+        # The server's process has ended.
         async def scenario():
             async with open_server() as script:
                 script.base = "http://127.0.0.1:1"
@@ -236,13 +237,13 @@
 
     @pytest.mark.parametrize("seconds", [0.1, 0.5])
     def test_connecting_takes_at_most_the_connect_timeout(self, seconds):
-        # Guards against a server that cannot be reached over a link on which packets
-        # wait for longer than a connection usually takes.
+        # Guards against a server that is unreachable over a link whose queueing delay
+        # exceeds the usual time to connect.
         async def scenario():
             with socket.create_server(("127.0.0.1", 0), backlog=0) as listener:
                 address = listener.getsockname()
                 with socket.create_connection(address):
-                    # Nobody accepts; what comes now is dropped.
+                    # The backlog is full, so further SYNs are dropped.
                     url = "http://{}:{}/work".format(*address)
                     client = CallClient(1, connect_timeout=seconds)
                     started_at = time.monotonic()
@@ -254,7 +255,7 @@
         run(scenario)
 
     def test_a_timeout_after_sending_raises_answer_lost(self, open_server):
-        # The server froze. The call ends at its time, and nobody knows its effect.
+        # The server is frozen. The call times out with its effect unknown.
         async def scenario():
             async with open_server(None) as script:
                 client = CallClient(1)
@@ -270,8 +271,8 @@
         ("method", "remedy"), [("GET", "; send it again"), ("PUT", "took effect")]
     )
     def test_the_remedy_depends_on_the_method(self, open_server, method, remedy):
-        # An operator asks for the status while the platform is down. Told to find out
-        # whether the reading took effect, they would look for harm that cannot be.
+        # A lost read has no effect. Advice to check whether it took effect would
+        # mislead an operator who reads the status during an outage.
         async def scenario():
             async with open_server(None) as script:
                 client = CallClient(1)
@@ -284,7 +285,7 @@
         run(scenario)
 
     def test_a_timeout_in_the_queue_raises_never_sent(self, open_server):
-        # Another call holds the only connection for longer than this one's time.
+        # Another call uses the only connection for longer than this call's timeout.
         async def scenario():
             async with open_server(None) as script:
                 client = CallClient(1)
@@ -302,8 +303,8 @@
         run(scenario)
 
     def test_a_cancelled_call_closes_its_connection_at_once(self, open_server):
-        # The caller goes away. Were the transfer left to its time, it would hold the
-        # connection, and the server would go on for nobody.
+        # The caller disconnects. A transfer that ran until its timeout would occupy
+        # the connection, and the server would continue useless work.
         async def scenario():
             async with open_server(None, OK) as script:
                 client = CallClient(1)
@@ -322,7 +323,7 @@
         run(scenario)
 
     def test_a_call_cancelled_in_the_queue_is_never_sent(self, open_server):
-        # The caller goes away while its call still waits for a connection.
+        # The caller disconnects while its call still waits for a connection.
         async def scenario():
             async with open_server(None, OK) as script:
                 client = CallClient(1)
@@ -342,7 +343,7 @@
         run(scenario)
 
     def test_closing_fails_active_and_queued_calls(self, open_server):
-        # The VM shuts down while calls are out. Each of them gets an end.
+        # The VM shuts down with calls active and queued. Each of them must fail.
         async def scenario():
             async with open_server(None) as script:
                 client = CallClient(1)
@@ -361,7 +362,7 @@
 
 
 class _ThreadServer:
-    """A server in a thread, which goes on while the event loop stands still."""
+    """A server in a thread, which runs while the event loop is blocked."""
 
     def __init__(self, answer):
         self._answer = answer
@@ -391,7 +392,7 @@
 
 @pytest.fixture
 def thread_server():
-    """Return how to run a server in a thread."""
+    """Return a function that runs a server in a thread."""
     servers = []
 
     def start(answer):
@@ -409,15 +410,15 @@
 
 
 class TestLoopThatStandsStill:
-    """A process that waits for its disk or for a core, while its servers answer."""
+    """The process is blocked by its disk or lacks CPU while its servers answer."""
 
     @pytest.mark.parametrize("size", [4, 90_000, 400_000])
     @pytest.mark.parametrize("calls", [1, 3])
     def test_answer_received_before_the_deadline_is_read_after_it(
         self, thread_server, size, calls
     ):
-        # Guards against an order that ran, whose answer waits in the socket, and whose
-        # caller is told 504.
+        # Guards against a 504 for a request that ran and whose answer is already in
+        # the socket buffer.
         async def scenario():
             server = thread_server(_complete_answer(size))
             client = CallClient(calls)
@@ -433,7 +434,7 @@
         run(scenario)
 
     def test_connection_established_while_blocked_is_used(self, thread_server):
-        # Guards against calls that fail one and all because the process stood still.
+        # Guards against failing every pending call because the process was blocked.
         async def scenario():
             server = thread_server(OK)
             client = CallClient(2)
@@ -448,7 +449,7 @@
         run(scenario)
 
     def test_incomplete_answer_times_out(self, thread_server):
-        # Guards against a server that begins to answer and keeps its caller for ever.
+        # Guards against waiting forever for a server that never completes its answer.
         async def scenario():
             server = thread_server(_complete_answer(1_000_000)[:100])
             client = CallClient(1)
@@ -463,8 +464,8 @@
 
 class TestConnections:
     def test_a_lost_answer_retires_all_older_connections(self, open_server):
-        # Something on the way loses track of all open connections at once. The first
-        # call pays with its time; the next ones must open new connections.
+        # A middlebox loses the state of all open connections at once. The first call
+        # times out; the next ones must open new connections.
         async def scenario():
             answers = [OK, OK, OK, None, OK, OK]
             async with open_server(*answers) as script:
@@ -481,8 +482,8 @@
         run(scenario)
 
     def test_a_cancelled_call_keeps_the_other_connections(self, open_server):
-        # Callers go away all the time. Were every kept connection replaced each time,
-        # a busy VM would spend its time opening connections.
+        # Callers disconnect frequently. Replacing every kept connection each time
+        # would make a busy VM open connections constantly.
         async def scenario():
             async with open_server(OK, OK, None, OK) as script:
                 client = CallClient(2)
@@ -500,8 +501,8 @@
         run(scenario)
 
     def test_a_connection_closed_by_the_server_loses_no_call(self, open_server):
-        # The server restarts and closes its connections while no call is out. Were the
-        # next call sent on such a connection, nobody would know whether it ran.
+        # The server restarts and closes its connections while no call is active. The
+        # outcome of a call sent on such a connection would be unknown.
         async def scenario():
             async with open_server(OK + CLOSE, OK) as script:
                 client = CallClient(1)
@@ -526,8 +527,8 @@
         run(scenario)
 
     def test_open_connections_stay_within_the_limit(self, open_server):
-        # A target accepts 50 connections and closes the others. Kept ones plus new
-        # ones together must not exceed the bound, or calls would fail at random.
+        # A target accepts 50 connections and closes further ones. Kept and new
+        # connections together must not exceed the limit, or calls would fail at random.
         async def scenario():
             async with open_server(*[OK] * 20) as script:
                 client = CallClient(2)
@@ -542,9 +543,9 @@
 
 class TestRest:
     def test_a_server_that_drops_idle_connections_loses_one_call(self):
-        # A server forgets connections that rested for a third of a second, and resets
-        # what is sent on them. Nothing shows it before; every call after such a rest
-        # would be lost, with nobody knowing whether it was carried out.
+        # A server drops connections that were idle for a third of a second and resets
+        # the next call on them. Without a limit on the idle time, every call after
+        # such a pause would be lost with its outcome unknown.
         async def serve_forgetting_idle(reader, writer):
             last = None
             loop = asyncio.get_running_loop()
--- a/packages/transfers/tests/test_rest.py
+++ b/packages/transfers/tests/test_rest.py
@@ -1,4 +1,4 @@
-"""Tests of how long a kept connection may have rested."""
+"""Tests of the limit on the idle time of reused connections."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
         assert Rest().max_idle_seconds(0.0) == inf
 
     def test_first_reset_limits_the_idle_time(self):
-        # Targets begin to forget connections that rested 0.3 s. Each order that is sent
-        # on one is lost, with nobody knowing whether it was carried out.
+        # Targets start to drop connections idle for 0.3 s. Each request sent on one is
+        # lost with its outcome unknown.
         rest = Rest()
         rest.record_reset(0.9, 10.0)
         assert rest.max_idle_seconds(10.0) == 0.9 * SAFETY_FACTOR
@@ -34,8 +34,8 @@
         assert rest.max_idle_seconds(now) < 0.5
 
     def test_resets_of_overloaded_targets_set_no_limit(self):
-        # A full target resets one connection in ten, whatever it has rested. Opening a
-        # new one for each call would only add to its load.
+        # An overloaded target resets one connection in ten regardless of its idle time.
+        # A new connection for each call would only increase its load.
         rest, now = Rest(), 10.0
         for _ in range(20):
             now += 0.1
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""Tests of the adapter, which decodes the platform's formats into the router's types."""
+"""Tests of the adapter, which decodes the platform's formats."""
 
 from __future__ import annotations
 
