--- a/packages/platform/src/berylstage_platform/errors.py
+++ b/packages/platform/src/berylstage_platform/errors.py
@@ -4,20 +4,20 @@
 
 
 class PlatformError(Exception):
-    """Any fault of the platform as the client sees it."""
+    """Base class of the platform client's errors."""
 
 
 class StoreUnavailable(PlatformError):
-    """The store gave no answer; a write may or may not have taken effect."""
+    """The store did not answer, so a write may or may not have taken effect."""
 
 
 class VersionConflict(PlatformError):
-    """Somebody else wrote first; read again and decide anew."""
+    """The key has another version than expected; read it again before writing."""
 
 
 class RateLimited(PlatformError):
-    """The store refused the call, which did nothing; try again later."""
+    """The store rejected the call without any effect; retry after a delay."""
 
 
 class ValueTooLarge(PlatformError):
-    """The value is over the store's limit; split it or make it smaller."""
+    """The value exceeds the store's size limit; split or shorten it."""
--- a/packages/platform/src/berylstage_platform/http.py
+++ b/packages/platform/src/berylstage_platform/http.py
@@ -1,4 +1,4 @@
-"""The store and the VM list over HTTP."""
+"""HTTP clients of the platform's store and VM list."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 )
 from berylstage_platform.store import Entry, Store, VmList, VmRecord
 
-# Calls of one VM that are under way at once; further ones wait their turn.
+# Concurrent calls of one VM; further calls are queued.
 MAX_CALLS = 8
-# Watches of one VM that wait at once. They have connections of their own, so that
-# waiting watches never hold up a read or a write.
+# Concurrent watches of one VM. They have their own connections, so that waiting
+# watches never delay a read or a write.
 MAX_WATCHES = 8
-# Seconds that a watch waits beyond its own time before it counts as silent.
+# Time beyond a watch's own wait after which it is considered unanswered.
 WATCH_GRACE_SECONDS = 1.0
 
 _OK = 200
@@ -37,7 +37,7 @@
 
 
 class _PlatformClient:
-    """Sends calls to the platform and turns its failures into typed errors."""
+    """Sends calls to the platform and converts failures into typed errors."""
 
     def __init__(
         self, address: str, max_calls: int, age_limit: ConnectionAgeLimit | None = None
@@ -53,7 +53,7 @@
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
     ) -> Answer:
-        """Make one call and return its answer of any status below 500.
+        """Make a call and return its answer if the status is below 500 and not 429.
 
         Parameters
         ----------
@@ -72,9 +72,9 @@
         Raises
         ------
         StoreUnavailable
-            No whole answer came in time, or the platform reported its own failure.
+            No complete answer arrived in time, or the platform reported a server error.
         RateLimited
-            The platform refused the call.
+            The platform rejected the call because of its rate limit.
         """
         try:
             call = Call(method, self.base + path, headers or {}, body, timeout)
@@ -83,8 +83,8 @@
             raise StoreUnavailable(str(exc)) from exc
         if answer.status == _TOO_MANY_REQUESTS:
             raise RateLimited(
-                f"{method} {path}: the platform's rate limit is reached; nothing was "
-                "done, call again after a pause"
+                f"{method} {path}: the platform's rate limit is exceeded and the call "
+                "had no effect; retry after a delay"
             )
         if answer.status >= _SERVER_ERROR:
             raise _unavailable_error(method, path, f"status {answer.status}")
@@ -96,18 +96,18 @@
 
 
 def _unavailable_error(method: str, path: str, cause: str) -> StoreUnavailable:
-    """Return the error for a call without a usable answer."""
-    remedy = "; read back to see whether it took effect" if method != "GET" else ""
-    return StoreUnavailable(f"{method} {path}: no usable answer ({cause}){remedy}")
+    """Return the error for a call without a valid answer."""
+    remedy = "; read again to check whether it took effect" if method != "GET" else ""
+    return StoreUnavailable(f"{method} {path}: no valid answer ({cause}){remedy}")
 
 
 def _kv_path(key: str) -> str:
-    """Return the path of a key; every reserved character is percent-encoded."""
+    """Return the path of a key with every reserved character percent-encoded."""
     return f"/kv/{quote(key, safe='')}"
 
 
 class HttpStore(Store):
-    """The platform's key-value service over HTTP.
+    """HTTP client of the platform's key-value service.
 
     The calls and answers are listed in ``docs/internals/platform-contract.md``.
 
@@ -116,7 +116,7 @@
     address : str
         ``host:port`` of the platform.
     timeout : float
-        Seconds that a read or a write waits at most.
+        Seconds until a read or a write times out.
     """
 
     def __init__(self, address: str, timeout: float = 2.0):
@@ -139,12 +139,12 @@
         if answer.status == _CONFLICT:
             raise VersionConflict(
                 f"{key}: expected version {expected_version}, the store has "
-                f"{answer.header(b'version') or 'another'}; read again and decide "
-                "anew"
+                f"{answer.header(b'version') or 'another'}; read it again before "
+                "writing"
             )
         if answer.status == _TOO_LARGE:
             raise ValueTooLarge(
-                f"{key}: {len(value)} bytes are over the store's limit; split the value"
+                f"{key}: {len(value)} bytes exceed the store's limit; split the value"
             )
         if answer.status != _OK:
             raise _unexpected_status_error("PUT", key, answer)
@@ -165,14 +165,14 @@
 
 
 class HttpVmList(VmList):
-    """The platform's list of VMs over HTTP.
+    """HTTP client of the platform's list of VMs.
 
     Parameters
     ----------
     address : str
         ``host:port`` of the platform.
     timeout : float
-        Seconds that a call waits at most.
+        Seconds until a call times out.
     """
 
     def __init__(self, address: str, timeout: float = 2.0):
@@ -186,7 +186,7 @@
         try:
             return [VmRecord(**doc) for doc in json.loads(answer.body)]
         except (ValueError, TypeError) as exc:
-            raise _unavailable_error("GET", "/vms", f"unreadable list: {exc}") from exc
+            raise _unavailable_error("GET", "/vms", f"invalid list: {exc}") from exc
 
     async def close(self) -> None:
         """Close all connections."""
@@ -194,7 +194,7 @@
 
 
 def _parse_entry(key: str, answer: Answer) -> Entry:
-    """Return the entry that an answer to a read carries."""
+    """Decode the entry in the answer to a read."""
     if answer.status == _NOT_FOUND:
         return Entry(key, b"", 0)
     if answer.status != _OK:
@@ -203,16 +203,16 @@
 
 
 def _parse_version(method: str, key: str, answer: Answer) -> int:
-    """Return the version that an answer names."""
+    """Decode the version in an answer's header."""
     try:
         return int(answer.header(b"version"))
     except ValueError as exc:
-        raise _unavailable_error(method, key, "the answer names no version") from exc
+        raise _unavailable_error(method, key, "the answer has no version") from exc
 
 
 def _unexpected_status_error(method: str, key: str, answer: Answer) -> PlatformError:
-    """Return the error for an answer that the contract does not list."""
+    """Return the error for a status that the contract does not list."""
     return PlatformError(
-        f"{method} {key}: the platform answered {answer.status}, which the contract "
-        "does not list; check that the address is the platform's"
+        f"{method} {key}: the platform returned status {answer.status}, which the "
+        "contract does not list; check that the address is the platform's"
     )
--- a/packages/platform/src/berylstage_platform/store.py
+++ b/packages/platform/src/berylstage_platform/store.py
@@ -1,4 +1,4 @@
-"""The interface to the platform's key-value service."""
+"""Interfaces to the platform's key-value service and VM list."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Entry:
-    """A value of the store and its version.
+    """A value in the store and its version.
 
     Parameters
     ----------
@@ -27,12 +27,12 @@
 class Store(ABC):
     """Key-value service with compare-and-swap and watches.
 
-    Every method raises :class:`~berylstage_platform.errors.PlatformError`.
+    Every method may raise :class:`~berylstage_platform.errors.PlatformError`.
     """
 
     @abstractmethod
     async def read(self, key: str) -> Entry:
-        """Return the entry of a key; version 0 and no bytes when there is none."""
+        """Return the entry of a key, with version 0 and no bytes if it is missing."""
 
     @abstractmethod
     async def write(self, key: str, value: bytes, expected_version: int) -> int:
@@ -55,34 +55,34 @@
         VersionConflict
             The key has another version; nothing was written.
         StoreUnavailable
-            No answer came: the write may have taken effect.
+            No answer arrived; the write may have taken effect.
         RateLimited, ValueTooLarge
             Nothing was written.
         """
 
     @abstractmethod
     async def watch(self, key: str, after_version: int, timeout: float) -> Entry | None:
-        """Wait until a key is newer than a version.
+        """Wait until a key has a newer version than the given one.
 
         Parameters
         ----------
         key : str
         after_version : int
         timeout : float
-            Seconds to wait at most.
+            Maximum wait in seconds.
 
         Returns
         -------
         Entry or None
-            None when nothing changed in time.
+            None if the key did not change in time.
         """
 
     async def close(self) -> None:
-        """Let go of connections."""
+        """Close all connections."""
 
 
 class VmRecord:
-    """One VM in the platform's lagging list.
+    """An entry of the platform's VM list, which lags behind.
 
     Parameters
     ----------
@@ -93,7 +93,7 @@
     peer_address : str
         ``host:port`` for other VMs.
     leaving : bool
-        Whether the platform is taking the VM away.
+        Whether the platform is removing the VM.
     """
 
     __slots__ = ("name", "data_centre", "http_address", "peer_address", "leaving")
@@ -114,8 +114,8 @@
 
 
 class VmList(ABC):
-    """The platform's list of live and leaving VMs, which lags."""
+    """The platform's list of live and leaving VMs, which lags behind."""
 
     @abstractmethod
     async def vms(self) -> list[VmRecord]:
-        """Return the list as the platform has it now."""
+        """Return the platform's current list."""
--- a/packages/platform/tests/conftest.py
+++ b/packages/platform/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The implementations of the store that its contract tests run against."""
+"""Store implementations that the contract tests run against."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from berylstage_standins.platform_server import make_server
 from tornado.netutil import bind_sockets
 
-# Seconds that a call waits at most: far longer than a call on a busy machine takes,
-# since no test waits it out but those of silence.
-TIMEOUT = 0.5
+# Far longer than a call takes on a busy machine. Only tests of an unresponsive platform
+# wait until it ends.
+TIMEOUT_SECONDS = 0.5
 
 
 class Rig:
-    """A store, and the platform behind it whose faults a test switches."""
+    """A store and the platform stand-in behind it, whose faults a test sets."""
 
     def __init__(self, platform, store, vm_list=None):
         self.platform = platform
@@ -27,14 +27,14 @@
 
 @asynccontextmanager
 async def http_rig(**settings):
-    """Give the HTTP adapters in front of the stand-in."""
+    """Yield the HTTP clients connected to the stand-in."""
     platform = Platform(**settings)
     server = make_server(platform)
     sockets = bind_sockets(0, "127.0.0.1")
     server.add_sockets(sockets)
     address = "127.0.0.1:{}".format(sockets[0].getsockname()[1])
-    store = HttpStore(address, TIMEOUT)
-    vm_list = HttpVmList(address, TIMEOUT)
+    store = HttpStore(address, TIMEOUT_SECONDS)
+    vm_list = HttpVmList(address, TIMEOUT_SECONDS)
     try:
         yield Rig(platform, store, vm_list)
     finally:
@@ -46,18 +46,18 @@
 
 @asynccontextmanager
 async def fake_rig(**settings):
-    """Give the store in memory."""
+    """Yield the in-memory store."""
     platform = Platform(**settings)
     yield Rig(platform, FakeStore(platform))
 
 
 @pytest.fixture(params=[http_rig, fake_rig], ids=["http", "fake"])
 def open_store(request):
-    """Return how to open a store; another implementation is one more parameter."""
+    """Return a function that opens a store; each implementation is a parameter."""
     return request.param
 
 
 @pytest.fixture
 def open_platform():
-    """Return how to open the platform over HTTP."""
+    """Return a function that opens the platform over HTTP."""
     return http_rig
--- a/packages/platform/tests/test_http.py
+++ b/packages/platform/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Contract tests of the platform's interface."""
+"""Contract tests of the platform client."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 KEY = "berylstage/assignment/cell-1"
 
-# Fault switches under which nothing is answered and nothing takes effect.
+# Faults under which no call is answered or takes effect.
 OUTAGES = [{"down": "closed"}, {"down": "error"}, {"down": "silent"}]
 
-# Fault switches under which a write takes effect and its answer is lost.
+# Faults under which a write takes effect and its answer is lost.
 LOST_ANSWERS = [
     {"lose_answers": 1},
     {"lose_answers": 1, "lose_by_close": True},
@@ -26,7 +26,7 @@
 
 
 def run(scenario):
-    """Run a test's coroutine to its end."""
+    """Run a test's coroutine to completion."""
     return asyncio.run(asyncio.wait_for(scenario(), 30))
 
 
@@ -73,9 +73,9 @@
 
     @pytest.mark.parametrize("expected", [0, 99])
     def test_the_second_of_two_writers_gets_a_conflict(self, open_store, expected):
-        # Two operators export a sheet at the same time, both based on the same
-        # revision. If the second write went through, the first operator's sheet
-        # would be gone without a word.
+        # Two operators export a sheet at the same time, based on the same revision. A
+        # second write that succeeded would silently overwrite the first operator's
+        # sheet.
         async def scenario():
             async with open_store() as rig:
                 version = await rig.store.write(KEY, b"first", 0)
@@ -87,8 +87,8 @@
         run(scenario)
 
     def test_of_many_writers_at_once_one_wins(self, open_store):
-        # Eight VMs notice at the same moment that a lead is free and all write the
-        # next assignment. Two winners would be two leaders of one target.
+        # Eight VMs see at the same time that a target has no leader, and all write the
+        # next assignment. Two successful writes would give the target two leaders.
         async def scenario():
             async with open_store() as rig:
                 writes = [rig.store.write(KEY, b"%d" % n, 0) for n in range(8)]
@@ -99,8 +99,8 @@
         run(scenario)
 
     def test_a_value_over_the_limit_is_refused(self, open_store):
-        # A sheet grows day by day until it no longer fits. The operator must learn
-        # that it was not accepted, and the old one must stay in force.
+        # A sheet grows until it exceeds the limit. The operator must get an error, and
+        # the previous sheet must stay in force.
         async def scenario():
             async with open_store() as rig:
                 await rig.store.write(KEY, b"x" * 1_000_000, 0)
@@ -111,8 +111,8 @@
         run(scenario)
 
     def test_a_call_over_the_rate_does_nothing(self, open_store):
-        # The fleet restarts at once and every VM reads and writes the store. Calls
-        # over the rate must be told apart from calls whose effect is unknown.
+        # All VMs restart at the same time and use the store. Calls over the rate limit
+        # must be distinguishable from calls whose effect is unknown.
         async def scenario():
             async with open_store(writes_per_second=2, reads_per_second=2) as rig:
                 version = await rig.store.write(KEY, b"1", 0)
@@ -159,8 +159,8 @@
         run(scenario)
 
     def test_a_deleted_key_is_returned_with_version_0(self, open_store):
-        # A lease lapses while its holder is paused, and what stood under it goes.
-        # A watcher that heard nothing of it would go on trusting the old value.
+        # A lease expires while its holder is paused, and the store deletes its keys. A
+        # watcher that missed the deletion would keep using the old value.
         async def scenario():
             async with open_store() as rig:
                 values = rig.platform.values
@@ -175,8 +175,8 @@
         run(scenario)
 
     def test_waiting_watches_delay_no_read(self, open_store):
-        # A VM watches more values than it has connections for watches. Its reads and
-        # writes must not queue up behind them, or a lead could not be taken.
+        # A VM watches more keys than it has connections for watches. Its reads and
+        # writes must not queue behind them, or the VM could not become a leader.
         async def scenario():
             async with open_store() as rig:
                 watches = [
@@ -194,9 +194,9 @@
         run(scenario)
 
     def test_an_unanswered_watch_times_out(self, open_platform):
-        # Something between VM and platform loses track of the connection on which
-        # the watch waits. Without an end of its own the VM would wait for ever and
-        # serve by an old sheet while operators believe that the new one is in force.
+        # A middlebox loses the state of the connection on which the watch waits.
+        # Without a timeout the VM would wait forever and keep using an old sheet while
+        # operators believe that the new one is in force.
         async def scenario():
             async with open_platform() as rig:
                 rig.platform.faults.set({"watch_silent": True})
@@ -215,9 +215,8 @@
     def test_every_call_fails_as_unavailable_and_works_after(
         self, open_store, faults, warm
     ):
-        # The platform is down, with or without connections that are still open.
-        # Callers of the store must see one kind of error, whatever way it is down,
-        # and the first call after the outage must work.
+        # The platform is down, with or without open connections. Every kind of outage
+        # must raise the same error, and the first call after it must succeed.
         async def scenario():
             async with open_store() as rig:
                 version = await rig.store.write(KEY, b"1", 0) if warm else 0
@@ -237,9 +236,9 @@
     @pytest.mark.parametrize("faults", LOST_ANSWERS)
     @pytest.mark.parametrize("warm", [True, False], ids=["kept", "new"])
     def test_a_lost_answer_is_not_a_conflict(self, open_store, faults, warm):
-        # The write takes effect and its answer is lost. A client that sent the write
-        # again by itself would meet its own effect and report a conflict, which
-        # means "nothing was written": the writer would give up what it holds.
+        # The write takes effect and its answer is lost. A client that retried it would
+        # conflict with its own write. A conflict means that nothing was written, so
+        # the writer would give up what it holds.
         async def scenario():
             async with open_store() as rig:
                 version = await rig.store.write(KEY, b"1", 0) if warm else 0
@@ -255,7 +254,7 @@
         run(scenario)
 
     def test_a_slow_platform_is_unavailable(self, open_store):
-        # The platform answers, but so late that the caller has gone on by then.
+        # The platform answers only after the caller's timeout.
         async def scenario():
             async with open_store() as rig:
                 rig.platform.faults.set({"slow_ms": 60_000})
@@ -265,7 +264,7 @@
         run(scenario)
 
     def test_a_refused_connection_is_unavailable(self, open_platform):
-        # The platform's process is gone, and the VM meets a refused connection.
+        # The platform's process has ended, and the connection is refused.
         async def scenario():
             async with open_platform() as rig:
                 rig.store._calls.base = "http://127.0.0.1:1"
@@ -297,8 +296,8 @@
 
     @pytest.mark.parametrize("faults", OUTAGES)
     def test_an_outage_is_unavailable(self, open_platform, faults):
-        # The list fails together with the store. A VM that took the error for an
-        # empty list would believe that all other VMs are gone.
+        # The list fails together with the store. A VM that treated the error as an
+        # empty list would consider all other VMs gone.
         async def scenario():
             async with open_platform() as rig:
                 rig.platform.faults.set(faults)
