--- a/tests/platform_standin.py
+++ b/tests/platform_standin.py
@@ -16,7 +16,7 @@
     def __init__(self):
         self.revision = 1
         self.items: dict[str, dict] = {}
-        self.log: list[dict] = []
+        self.events: list[dict] = []
         self.leases: dict[int, tuple[float, float]] = {}
         self.changed = asyncio.Condition()
 
@@ -31,14 +31,14 @@
             "lease": lease,
         }
         self.items[key] = item
-        self.log.append(item)
+        self.events.append(item)
 
     def remove(self, key, revision=None):
         if self.items.pop(key, None) is not None:
             self.revision = revision or self.revision + 1
-            self.log.append({"key": key, "rev": self.revision, "tombstone": True})
+            self.events.append({"key": key, "rev": self.revision, "tombstone": True})
 
-    def end(self, lease):
+    def revoke_lease(self, lease):
         self.leases.pop(lease, None)
         for key in [k for k, i in self.items.items() if i["lease"] == lease]:
             self.remove(key)
@@ -46,7 +46,7 @@
     def expire(self):
         for lease, (until, _) in list(self.leases.items()):
             if time.monotonic() > until:
-                self.end(lease)
+                self.revoke_lease(lease)
 
 
 class StoreHandler(RequestHandler):
@@ -77,7 +77,7 @@
             self.state.expire()
             events = [
                 e
-                for e in self.state.log
+                for e in self.state.events
                 if e["rev"] > after and e["key"].startswith(prefix)
             ]
             if events or time.monotonic() > until:
@@ -119,17 +119,20 @@
 
 class RenewLease(StoreHandler):
     def post(self, lease):
-        known = self.state.leases.get(int(lease))
-        if known is None:
+        lease_times = self.state.leases.get(int(lease))
+        if lease_times is None:
             self.respond(404)
             return
-        self.state.leases[int(lease)] = (time.monotonic() + known[1], known[1])
-        self.respond(200, {"ttl_ms": int(known[1] * 1000)})
+        self.state.leases[int(lease)] = (
+            time.monotonic() + lease_times[1],
+            lease_times[1],
+        )
+        self.respond(200, {"ttl_ms": int(lease_times[1] * 1000)})
 
 
 class RevokeLease(StoreHandler):
     def delete(self, lease):
-        self.state.end(int(lease))
+        self.state.revoke_lease(int(lease))
         self.respond(200)
 
 
@@ -169,8 +172,10 @@
         self.server = server
 
     def prepare(self):
-        head = self.request.headers
-        self.set_header("Berylstage-Attempt-Id", head.get("Berylstage-Attempt-Id", ""))
+        req_headers = self.request.headers
+        self.set_header(
+            "Berylstage-Attempt-Id", req_headers.get("Berylstage-Attempt-Id", "")
+        )
         self.set_header("Berylstage-Backend-Id", self.server.name)
         self.set_header("Berylstage-Backend-Load", "1,0,2,100")
 
@@ -220,13 +225,13 @@
 
 
 def server_application(server):
-    own = {"server": server}
+    handler_args = {"server": server}
     return Application(
         [
-            (r"/v1/grant", Grant, own),
-            (r"/v1/release", Release, own),
-            (r"/healthz", Health, own),
-            (r"/.*", Work, own),
+            (r"/v1/grant", Grant, handler_args),
+            (r"/v1/release", Release, handler_args),
+            (r"/healthz", Health, handler_args),
+            (r"/.*", Work, handler_args),
         ],
         log_function=lambda handler: None,
     )
