--- a/packages/transfers/src/berylstage_transfers/client.py
+++ b/packages/transfers/src/berylstage_transfers/client.py
@@ -522,8 +522,10 @@
     """Describe how far a call got before its timeout."""
     what = "Operation" if call.sent else "Connection"
     spent = int((call.timeout + now - call.deadline) * _MS_PER_SECOND)
-    received = call.body_size
-    return f"{what} timed out after {spent} milliseconds with {received} bytes received"
+    return (
+        f"{what} timed out after {spent} milliseconds "
+        f"with {call.body_size} bytes received"
+    )
 
 
 def _fail(call: Call, cause: str, refused: bool = False) -> None:
