--- a/packages/platform/src/berylstage_platform/http.py
+++ b/packages/platform/src/berylstage_platform/http.py
@@ -1,4 +1,4 @@
-"""The store and the VM list over HTTP."""
+"""HTTP clients of the platform's store and VM list."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from berylstage_transfers.call import Answer, Call
 from berylstage_transfers.client import CallClient
-from berylstage_transfers.connection_age import Trust
+from berylstage_transfers.connection_age import ConnectionAgeLimit
 from berylstage_transfers.errors import CallFailed
 
 from berylstage_platform.errors import (
@@ -19,29 +19,31 @@
 )
 from berylstage_platform.store import Entry, Store, VmList, VmRecord
 
-# Calls of one VM that are under way at once; further ones wait their turn.
+# Concurrent calls of one VM; further calls are queued.
 MAX_CALLS = 8
-# Watches of one VM that wait at once. They have connections of their own, so that
-# waiting watches never hold up a read or a write.
+# Concurrent watches of one VM. They have their own connections, so that waiting
+# watches never delay a read or a write.
 MAX_WATCHES = 8
-# Seconds that a watch waits beyond its own time before it counts as silent.
-WATCH_GRACE = 1.0
+# Time beyond a watch's own wait after which it is considered unanswered.
+WATCH_GRACE_SECONDS = 1.0
 
 _OK = 200
 _NO_CONTENT = 204
 _NOT_FOUND = 404
 _CONFLICT = 409
 _TOO_LARGE = 413
-_TOO_MANY = 429
+_TOO_MANY_REQUESTS = 429
 _SERVER_ERROR = 500
 
 
-class _Caller:
-    """Sends calls to the platform and turns its failures into typed errors."""
+class _PlatformClient:
+    """Sends calls to the platform and converts failures into typed errors."""
 
-    def __init__(self, address: str, max_calls: int, trust: Trust | None = None):
+    def __init__(
+        self, address: str, max_calls: int, age_limit: ConnectionAgeLimit | None = None
+    ):
         self.base = f"http://{address}"
-        self._client = CallClient(max_calls, trust=trust)
+        self._client = CallClient(max_calls, age_limit=age_limit)
 
     async def call(
         self,
@@ -51,7 +53,7 @@
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
     ) -> Answer:
-        """Make one call and return its answer of any status below 500.
+        """Make a call and return its answer if the status is below 500 and not 429.
 
         Parameters
         ----------
@@ -70,22 +72,22 @@
         Raises
         ------
         StoreUnavailable
-            No whole answer came in time, or the platform reported its own failure.
+            No complete answer arrived in time, or the platform reported a server error.
         RateLimited
-            The platform refused the call.
+            The platform rejected the call because of its rate limit.
         """
         try:
             call = Call(method, self.base + path, headers or {}, body, timeout)
             answer = await self._client.call(call)
         except CallFailed as exc:
             raise StoreUnavailable(str(exc)) from exc
-        if answer.status == _TOO_MANY:
+        if answer.status == _TOO_MANY_REQUESTS:
             raise RateLimited(
-                f"{method} {path}: the platform's rate limit is reached; nothing was "
-                "done, call again after a pause"
+                f"{method} {path}: the platform's rate limit is exceeded and the call "
+                "had no effect; retry after a delay"
             )
         if answer.status >= _SERVER_ERROR:
-            raise _unavailable(method, path, f"status {answer.status}")
+            raise _unavailable_error(method, path, f"status {answer.status}")
         return answer
 
     def close(self) -> None:
@@ -93,19 +95,19 @@
         self._client.close()
 
 
-def _unavailable(method: str, path: str, cause: str) -> StoreUnavailable:
-    """Return the error for a call without a usable answer."""
-    settle = "; read back to see whether it took effect" if method != "GET" else ""
-    return StoreUnavailable(f"{method} {path}: no usable answer ({cause}){settle}")
+def _unavailable_error(method: str, path: str, cause: str) -> StoreUnavailable:
+    """Return the error for a call without a valid answer."""
+    remedy = "; read again to check whether it took effect" if method != "GET" else ""
+    return StoreUnavailable(f"{method} {path}: no valid answer ({cause}){remedy}")
 
 
 def _kv_path(key: str) -> str:
-    """Return the path of a key; every reserved character is percent-encoded."""
+    """Return the path of a key with every reserved character percent-encoded."""
     return f"/kv/{quote(key, safe='')}"
 
 
 class HttpStore(Store):
-    """The platform's key-value service over HTTP.
+    """HTTP client of the platform's key-value service.
 
     The calls and answers are listed in ``docs/internals/platform-contract.md``.
 
@@ -114,18 +116,18 @@
     address : str
         ``host:port`` of the platform.
     timeout : float
-        Seconds that a read or a write waits at most.
+        Seconds until a read or a write times out.
     """
 
     def __init__(self, address: str, timeout: float = 2.0):
         self.timeout = timeout
-        trust = Trust()
-        self._calls = _Caller(address, MAX_CALLS, trust)
-        self._watches = _Caller(address, MAX_WATCHES, trust)
+        age_limit = ConnectionAgeLimit()
+        self._calls = _PlatformClient(address, MAX_CALLS, age_limit)
+        self._watches = _PlatformClient(address, MAX_WATCHES, age_limit)
 
     async def read(self, key: str) -> Entry:  # noqa: D102
         answer = await self._calls.call("GET", _kv_path(key), self.timeout)
-        return _entry(key, answer)
+        return _parse_entry(key, answer)
 
     async def write(  # noqa: D102
         self, key: str, value: bytes, expected_version: int
@@ -137,25 +139,25 @@
         if answer.status == _CONFLICT:
             raise VersionConflict(
                 f"{key}: expected version {expected_version}, the store has "
-                f"{answer.header(b'version') or 'another'}; read again and decide "
-                "anew"
+                f"{answer.header(b'version') or 'another'}; read it again before "
+                "writing"
             )
         if answer.status == _TOO_LARGE:
             raise ValueTooLarge(
-                f"{key}: {len(value)} bytes are over the store's limit; split the value"
+                f"{key}: {len(value)} bytes exceed the store's limit; split the value"
             )
         if answer.status != _OK:
-            raise _unexpected("PUT", key, answer)
-        return _version("PUT", key, answer)
+            raise _unexpected_status_error("PUT", key, answer)
+        return _parse_version("PUT", key, answer)
 
     async def watch(  # noqa: D102
         self, key: str, after_version: int, timeout: float
     ) -> Entry | None:
         path = f"{_kv_path(key)}?after={after_version}&wait_ms={int(timeout * 1000)}"
-        answer = await self._watches.call("GET", path, timeout + WATCH_GRACE)
+        answer = await self._watches.call("GET", path, timeout + WATCH_GRACE_SECONDS)
         if answer.status == _NO_CONTENT:
             return None
-        return _entry(key, answer)
+        return _parse_entry(key, answer)
 
     async def close(self) -> None:  # noqa: D102
         self._calls.close()
@@ -163,54 +165,54 @@
 
 
 class HttpVmList(VmList):
-    """The platform's list of VMs over HTTP.
+    """HTTP client of the platform's list of VMs.
 
     Parameters
     ----------
     address : str
         ``host:port`` of the platform.
     timeout : float
-        Seconds that a call waits at most.
+        Seconds until a call times out.
     """
 
     def __init__(self, address: str, timeout: float = 2.0):
         self.timeout = timeout
-        self._calls = _Caller(address, 1)
+        self._calls = _PlatformClient(address, 1)
 
     async def vms(self) -> list[VmRecord]:  # noqa: D102
         answer = await self._calls.call("GET", "/vms", self.timeout)
         if answer.status != _OK:
-            raise _unexpected("GET", "/vms", answer)
+            raise _unexpected_status_error("GET", "/vms", answer)
         try:
             return [VmRecord(**doc) for doc in json.loads(answer.body)]
         except (ValueError, TypeError) as exc:
-            raise _unavailable("GET", "/vms", f"unreadable list: {exc}") from exc
+            raise _unavailable_error("GET", "/vms", f"invalid list: {exc}") from exc
 
     async def close(self) -> None:
         """Close all connections."""
         self._calls.close()
 
 
-def _entry(key: str, answer: Answer) -> Entry:
-    """Return the entry that an answer to a read carries."""
+def _parse_entry(key: str, answer: Answer) -> Entry:
+    """Decode the entry in the answer to a read."""
     if answer.status == _NOT_FOUND:
         return Entry(key, b"", 0)
     if answer.status != _OK:
-        raise _unexpected("GET", key, answer)
-    return Entry(key, answer.body, _version("GET", key, answer))
+        raise _unexpected_status_error("GET", key, answer)
+    return Entry(key, answer.body, _parse_version("GET", key, answer))
 
 
-def _version(method: str, key: str, answer: Answer) -> int:
-    """Return the version that an answer names."""
+def _parse_version(method: str, key: str, answer: Answer) -> int:
+    """Decode the version in an answer's header."""
     try:
         return int(answer.header(b"version"))
     except ValueError as exc:
-        raise _unavailable(method, key, "the answer names no version") from exc
+        raise _unavailable_error(method, key, "the answer has no version") from exc
 
 
-def _unexpected(method: str, key: str, answer: Answer) -> PlatformError:
-    """Return the error for an answer that the contract does not list."""
+def _unexpected_status_error(method: str, key: str, answer: Answer) -> PlatformError:
+    """Return the error for a status that the contract does not list."""
     return PlatformError(
-        f"{method} {key}: the platform answered {answer.status}, which the contract "
-        "does not list; check that the address is the platform's"
+        f"{method} {key}: the platform returned status {answer.status}, which the "
+        "contract does not list; check that the address is the platform's"
     )
--- a/packages/transfers/src/berylstage_transfers/connection_age.py
+++ b/packages/transfers/src/berylstage_transfers/connection_age.py
@@ -1,37 +1,37 @@
-"""Trust in the open connections to one server."""
+"""Age limit for reusing the open connections to one server."""
 
 from __future__ import annotations
 
-# Seconds after which a connection is replaced even if it is in steady use.
-MAX_AGE = 3600
+# Age at which a connection is replaced even if it is in steady use.
+MAX_CONNECTION_AGE_SECONDS = 3600
 
 
-class Trust:
-    """Since when connections to a server are known to work.
+class ConnectionAgeLimit:
+    """Limits the age of connections that may be reused.
 
-    Something between the two ends may lose track of all open connections at once while
-    new ones work. Each call on an old one would wait out its whole time in vain, one
-    after the other. So the first such loss ends the trust in every connection that was
-    open by then, for all clients that share this object.
+    A middlebox may lose the state of all open connections at once while new ones work.
+    Each call on an old connection would then time out, one after the other. The first
+    such loss therefore retires every connection that was open at that time, for all
+    clients that share this object.
     """
 
-    __slots__ = ("_lost_at",)
+    __slots__ = ("_retired_at",)
 
     def __init__(self) -> None:
-        self._lost_at = float("-inf")
+        self._retired_at = float("-inf")
 
-    def lose(self, now: float) -> None:
-        """End the trust in all connections that are open now.
+    def retire_open_connections(self, now: float) -> None:
+        """Stop the reuse of all connections that are open now.
 
         Parameters
         ----------
         now : float
             Monotonic time in seconds.
         """
-        self._lost_at = now
+        self._retired_at = now
 
-    def max_age(self, now: float) -> int:
-        """Return the most whole seconds that a connection may be old.
+    def max_age_seconds(self, now: float) -> int:
+        """Return the maximum age of a connection that may be reused.
 
         Parameters
         ----------
@@ -41,6 +41,6 @@
         Returns
         -------
         int
-            0 when no open connection is to be used.
+            Whole seconds; 0 if no open connection may be reused.
         """
-        return int(min(now - self._lost_at, MAX_AGE))
+        return int(min(now - self._retired_at, MAX_CONNECTION_AGE_SECONDS))
