--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""Puts the adapter on the path, as the start script does.
+"""Adds the platform adapter to the import path, as the start script does.
 
-Its tests stand here: under its own folder pytest would make a module of the folder's
-name, and so hide the standard library's.
+The adapter's tests are in this folder: in the adapter's own folder, pytest would create
+a module named ``platform`` that hides the one of the standard library.
 """
 
 from __future__ import annotations
--- a/tests/slow_caller.py
+++ b/tests/slow_caller.py
@@ -1,4 +1,4 @@
-"""Callers on sockets of their own, as slow as told, that note each request's fate."""
+"""Callers with a limited read rate that record the outcome of each request."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 import time
 from collections import deque
 
-# Bytes of one segment on a usual link; loopback would take 64 KiB at a time.
+# Bytes of a TCP segment on a usual link; loopback would send 64 KiB at a time.
 SEGMENT_BYTES = 1460
-# Bytes that a caller's kernel is told to take before the caller reads them.
-WINDOW_BYTES = 16 * 1024
-# Bytes that are read at a time.
-PIECE_BYTES = 8 * 1024
-# Seconds by which a caller that was held up may read faster than its link.
-CATCH_UP_S = 0.25
-# Milliseconds for which callers wait for an answer.
-DEADLINE_MS = 20_000
-BITS = 8
-MEGA = 1_000_000
+# Receive buffer (SO_RCVBUF) of a caller's socket.
+RECEIVE_BUFFER_BYTES = 16 * 1024
+# Maximum bytes of one read.
+READ_BYTES = 8 * 1024
+# Seconds of link time that a delayed caller may catch up by reading faster.
+CATCH_UP_SECONDS = 0.25
+# Deadline that callers send with a request.
+REQUEST_DEADLINE_MS = 20_000
+BITS_PER_BYTE = 8
+BITS_PER_MEGABIT = 1_000_000
 
 
 class Request:
-    """One request, and what came back."""
+    """One request and its answer."""
 
     def __init__(self, number, size, pause_ms=0, method="GET"):
         self.id = f"id-{number}"
@@ -32,166 +32,174 @@
         self.sent_at = None
         self.status = None
         self.body = b""
-        # Whether a part of an answer came, and whether all of it.
+        # Whether a part of the answer was received, and whether all of it was.
         self.has_begun = False
-        self.is_whole = False
-        # Whether the answer before it told that the connection ends.
-        self.is_behind_end = False
+        self.is_complete = False
+        # Whether an earlier answer announced that the connection closes.
+        self.is_after_close = False
 
-    def bytes(self):
+    def encode(self):
         prefix = "/o/" if self.method == "POST" else "/a/"
         lines = (
             f"{self.method} {prefix}{self.size}/{self.pause_ms} HTTP/1.1",
             "Host: h.example",
             f"Berylstage-Attempt-Id: {self.id}",
-            f"Berylstage-Deadline-Ms: {DEADLINE_MS}",
+            f"Berylstage-Deadline-Ms: {REQUEST_DEADLINE_MS}",
             "Content-Length: 0",
         )
         return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
     @property
     def is_served(self):
-        """Whether the target's answer came, and whole."""
-        return self.is_whole and self.status == 200 and self.body == self.expected()
+        """Whether the target's complete answer was received."""
+        return (
+            self.is_complete
+            and self.status == 200
+            and self.body == self.expected_body()
+        )
 
-    def expected(self):
-        return answer_body(self.id, self.size)
+    def expected_body(self):
+        return build_answer_body(self.id, self.size)
 
     def __repr__(self):
-        came = f"{self.status} {len(self.body)} of {self.size}"
-        return f"<{self.id} sent {self.sent_at} {came} whole {self.is_whole}>"
+        received = f"{self.status} {len(self.body)} of {self.size}"
+        return f"<{self.id} sent {self.sent_at} {received} complete {self.is_complete}>"
 
 
-def answer_body(request_id, size):
-    """Return the body of the stand-in's answer to a request."""
+def build_answer_body(request_id, size):
+    """Return the body with which the target stand-in answers a request."""
     return request_id.encode().ljust(size, b".")
 
 
 class Caller:
-    """One connection.
+    """One connection on which requests are sent.
 
     Parameters
     ----------
     address : tuple
+        Host and port of the server.
     link_mbps : float or None
-        None for one that reads as fast as it can.
+        Read rate in Mbit/s; None for no limit.
     reads : bool
+        Whether the caller reads answers at all.
     """
 
     def __init__(self, address, link_mbps=None, reads=True):
         self.address = address
-        self.bytes_per_s = link_mbps * MEGA / BITS if link_mbps else None
+        self.bytes_per_s = (
+            link_mbps * BITS_PER_MEGABIT / BITS_PER_BYTE if link_mbps else None
+        )
         self.reads = reads
         self.requests = []
-        self.has_ended = False
-        # Requests without an answer, in the order of sending.
-        self.waiting = deque()
-        self._end_is_told = False
+        self.is_closed = False
+        # Requests without a complete answer, in the order of sending.
+        self.unanswered = deque()
+        self._is_close_announced = False
         self._buffer = bytearray()
-        self._may_read_at = 0.0
+        self._next_read_at = 0.0
         self._sock = None
-        self._reading = None
+        self._read_task = None
 
     async def connect(self):
         sock = socket.socket()
         sock.setblocking(False)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, WINDOW_BYTES)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, SEGMENT_BYTES)
         self._sock = sock
         try:
             await asyncio.get_running_loop().sock_connect(sock, self.address)
         except OSError:
-            self.has_ended = True
+            self.is_closed = True
             return
         if self.reads:
-            self._reading = asyncio.create_task(self._read())
+            self._read_task = asyncio.create_task(self._read())
 
     async def send(self, *requests):
-        """Send requests in one piece, whatever has become of the connection."""
-        moment = time.monotonic()
+        """Send requests in one write, even if the connection has been closed."""
+        now = time.monotonic()
         for request in requests:
-            request.sent_at = moment
+            request.sent_at = now
             self.requests.append(request)
-            self.waiting.append(request)
-        if self._end_is_told:
-            self._note_end(requests)
-        data = b"".join(request.bytes() for request in requests)
+            self.unanswered.append(request)
+        if self._is_close_announced:
+            self._mark_after_close(requests)
+        data = b"".join(request.encode() for request in requests)
         try:
             await asyncio.get_running_loop().sock_sendall(self._sock, data)
         except OSError:
-            # The other side has closed; what came before is still read.
+            # The server has closed the connection; answers sent before are still read.
             return
 
     @property
     def bytes_buffered(self):
-        """Bytes read of an answer that is not whole."""
+        """Bytes received of an incomplete answer."""
         return len(self._buffer)
 
-    async def answered(self):
-        """Wait until all that was sent is answered or the connection has ended."""
-        while self.waiting and not self.has_ended:
+    async def wait_for_answers(self):
+        """Wait until all requests are answered or the connection is closed."""
+        while self.unanswered and not self.is_closed:
             await asyncio.sleep(0.005)
 
     def close(self):
-        if self._reading is not None:
-            self._reading.cancel()
+        if self._read_task is not None:
+            self._read_task.cancel()
         if self._sock is not None:
             self._sock.close()
 
-    def _note_end(self, requests):
+    def _mark_after_close(self, requests):
         for request in requests:
-            request.is_behind_end = True
-
-    # Reading.
+            request.is_after_close = True
 
     async def _read(self):
         loop = asyncio.get_running_loop()
         while True:
-            await self._keep_pace()
+            await self._limit_read_rate()
             try:
-                data = await loop.sock_recv(self._sock, PIECE_BYTES)
+                data = await loop.sock_recv(self._sock, READ_BYTES)
             except OSError:
                 data = b""
             if not data:
-                self.has_ended = True
+                self.is_closed = True
                 return
             if self.bytes_per_s is not None:
-                self._may_read_at += len(data) / self.bytes_per_s
+                self._next_read_at += len(data) / self.bytes_per_s
             self._buffer += data
-            self._take_answers()
+            self._parse_answers()
 
-    async def _keep_pace(self):
-        moment = time.monotonic()
-        self._may_read_at = max(self._may_read_at, moment - CATCH_UP_S)
-        if self._may_read_at > moment:
-            await asyncio.sleep(self._may_read_at - moment)
+    async def _limit_read_rate(self):
+        now = time.monotonic()
+        self._next_read_at = max(self._next_read_at, now - CATCH_UP_SECONDS)
+        if self._next_read_at > now:
+            await asyncio.sleep(self._next_read_at - now)
 
-    def _take_answers(self):
+    def _parse_answers(self):
         while self._buffer:
-            assert self.waiting, f"an answer to no request: {bytes(self._buffer[:80])}"
-            request = self.waiting[0]
+            assert self.unanswered, (
+                f"received an answer without a request: {bytes(self._buffer[:80])}"
+            )
+            request = self.unanswered[0]
             request.has_begun = True
             end = self._buffer.find(b"\r\n\r\n")
             if end < 0:
                 return
             head = bytes(self._buffer[:end]).decode("latin-1")
-            size = _length(head)
+            size = _parse_content_length(head)
             start = end + 4
             if len(self._buffer) < start + size:
                 return
             request.status = int(head.split()[1])
             request.body = bytes(self._buffer[start : start + size])
-            request.is_whole = True
+            request.is_complete = True
             del self._buffer[: start + size]
-            self.waiting.popleft()
+            self.unanswered.popleft()
             if "connection: close" in head.lower():
-                self._end_is_told = True
-                self._note_end(self.waiting)
+                self._is_close_announced = True
+                self._mark_after_close(self.unanswered)
 
 
-def _length(head):
+def _parse_content_length(head):
     for line in head.split("\r\n")[1:]:
         name, _, value = line.partition(":")
         if name.lower() == "content-length":
             return int(value)
-    raise AssertionError(f"an answer without a length: {head}")
+    raise AssertionError(f"answer has no Content-Length: {head}")
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers behind slow links, who keep their connections and send several requests."""
+"""Callers behind slow links that keep connections alive and pipeline requests."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
     from soak.ledger import Ledger
     from soak.links import Link
 
-# Seconds for which a caller waits for the answers to what it has sent.
-PATIENCE_S = 8.0
-# Bytes that the kernel takes in ahead of a caller, and that a caller reads at a time.
-RECEIVE_BYTES = 32 * 1024
-PIECE_BYTES = 4096
-# Bytes of a segment, as between machines; those of the loopback are larger than what
-# the kernel takes in.
+# Seconds for which a caller waits for the answers to a batch of requests.
+ANSWER_TIMEOUT_SECONDS = 8.0
+# Receive buffer (SO_RCVBUF) of a caller's socket, and maximum bytes of one read.
+RECEIVE_BUFFER_BYTES = 32 * 1024
+READ_BYTES = 4096
+# Bytes of a TCP segment, as between machines; segments of the loopback are larger than
+# the receive buffer.
 SEGMENT_BYTES = 1400
 HEAD_END = b"\r\n\r\n"
 
 
 class Request:
-    """What a caller asks for.
+    """One request of a caller.
 
     Parameters
     ----------
     request_id : str
     key : int or None
-        None makes it an order, which has no key.
+        Shard key of a lookup; None makes the request an order, which has no key.
     size : int
-        Bytes that the answer has at least.
+        Minimum bytes of the answer's body.
     """
 
     __slots__ = ("key", "request_id", "size")
@@ -43,11 +43,11 @@
 
     @property
     def method(self) -> str:
-        """Its method."""
+        """HTTP method: POST for an order, GET for a lookup."""
         return "POST" if self.key is None else "GET"
 
     def encode(self) -> bytes:
-        """Return it as it is sent."""
+        """Return the request as bytes of HTTP/1.1."""
         service = "orders" if self.key is None else "a"
         body = "order" if self.key is None else ""
         lines = [
@@ -64,11 +64,12 @@
 
 
 class Answer:
-    """One answer, read from the bytes of a connection.
+    """One HTTP answer.
 
     Parameters
     ----------
     head : bytes
+        Status line and headers, without the empty line after them.
     """
 
     __slots__ = ("body", "headers", "length", "status")
@@ -82,24 +83,27 @@
         self.body = b""
 
     @property
-    def closes(self) -> bool:
-        """Whether it is the last one of its connection."""
+    def closes_connection(self) -> bool:
+        """Whether the server closes the connection after this answer."""
         return self.headers.get("connection") == "close"
 
     @property
-    def mark(self) -> str:
-        """What its target signs it with."""
+    def signature(self) -> str:
+        """Signature of the target that answered; empty if there is none."""
         return self.headers.get("berylstage-backend-signature", "")
 
 
 class Caller:
-    """One connection, used until the other side ends it.
+    """One connection, used until the server closes it.
 
     Parameters
     ----------
     address : tuple of str and int
+        Host and port of the server.
     link : Link
+        Link that limits the rate of answers.
     ledger : Ledger
+        Record of the outcomes of requests.
     """
 
     def __init__(self, address: tuple[str, int], link: Link, ledger: Ledger):
@@ -109,37 +113,39 @@
         self._sock: socket.socket | None = None
         self._buffer = bytearray()
 
-    async def ask(self, requests: list[Request], gap: float) -> None:
-        """Send requests, take their answers, and note what came of each.
+    async def send_requests(self, requests: list[Request], gap_seconds: float) -> None:
+        """Send requests, read their answers and record the outcome of each.
 
         Parameters
         ----------
         requests : list of Request
-        gap : float
-            Seconds between two of them.
+        gap_seconds : float
+            Seconds between two requests.
         """
         waiting = deque(requests)
         sending: asyncio.Task | None = None
         try:
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_SECONDS):
                 await self._connect()
-                sending = asyncio.create_task(self._send(requests, gap))
+                sending = asyncio.create_task(self._send(requests, gap_seconds))
                 while waiting and self._sock is not None:
-                    self._note(waiting[0], await self._take())
+                    self._record_answer(waiting[0], await self._read_answer())
                     waiting.popleft()
         except OSError:
-            # Refused, reset, ended, or out of patience.
+            # Connection refused, reset or closed, or the answer timeout expired.
             self.close()
         finally:
             if sending is not None:
                 sending.cancel()
         for request in waiting:
-            rest = bytes(self._buffer)
+            partial_answer = bytes(self._buffer)
             self._buffer.clear()
-            self._ledger.answered(request.request_id, request.method, 0, rest, "")
+            self._ledger.record_answer(
+                request.request_id, request.method, 0, partial_answer, ""
+            )
 
     def is_open(self) -> bool:
-        """Tell whether the connection may be used, as far as its caller has seen."""
+        """Return whether the connection is open as far as the caller can see."""
         if self._sock is None:
             return False
         try:
@@ -147,7 +153,7 @@
         except BlockingIOError:
             return True
         except OSError:
-            # It was reset.
+            # The connection was reset.
             return False
 
     def close(self) -> None:
@@ -161,50 +167,56 @@
             return
         sock = socket.socket()
         sock.setblocking(False)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BYTES)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, SEGMENT_BYTES)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._sock = sock
         await asyncio.get_running_loop().sock_connect(sock, self._address)
 
-    async def _send(self, requests: list[Request], gap: float) -> None:
+    async def _send(self, requests: list[Request], gap_seconds: float) -> None:
         loop = asyncio.get_running_loop()
-        for place, request in enumerate(requests):
-            if place:
-                await asyncio.sleep(gap)
+        for position, request in enumerate(requests):
+            if position:
+                await asyncio.sleep(gap_seconds)
             if self._sock is None:
                 return
             try:
                 await loop.sock_sendall(self._sock, request.encode())
             except OSError:
-                # The answers that have come before the end are still read.
+                # Answers received before the connection closed are still read.
                 return
 
-    async def _take(self) -> Answer:
-        """Read one answer; what there is of a part of it stays in the buffer."""
+    async def _read_answer(self) -> Answer:
+        """Read one answer; a partial answer stays in the buffer on failure."""
         while (end := self._buffer.find(HEAD_END)) < 0:
-            await self._fill()
+            await self._receive()
         answer = Answer(bytes(self._buffer[:end]))
         start = end + len(HEAD_END)
-        whole = start + answer.length
-        while len(self._buffer) < whole:
-            await self._fill()
-        answer.body = bytes(self._buffer[start:whole])
-        del self._buffer[:whole]
-        if answer.closes:
+        end_of_body = start + answer.length
+        while len(self._buffer) < end_of_body:
+            await self._receive()
+        answer.body = bytes(self._buffer[start:end_of_body])
+        del self._buffer[:end_of_body]
+        if answer.closes_connection:
             self.close()
         return answer
 
-    async def _fill(self) -> None:
+    async def _receive(self) -> None:
         assert self._sock is not None
         loop = asyncio.get_running_loop()
-        data = await loop.sock_recv(self._sock, PIECE_BYTES)
+        data = await loop.sock_recv(self._sock, READ_BYTES)
         if not data:
-            raise ConnectionResetError("the connection ended without an answer")
+            raise ConnectionResetError(
+                "server closed the connection before the complete answer"
+            )
         self._buffer += data
-        await self._link.carry(len(data))
-
-    def _note(self, request: Request, answer: Answer) -> None:
-        self._ledger.answered(
-            request.request_id, request.method, answer.status, answer.body, answer.mark
+        await self._link.wait_for_transfer(len(data))
+
+    def _record_answer(self, request: Request, answer: Answer) -> None:
+        self._ledger.record_answer(
+            request.request_id,
+            request.method,
+            answer.status,
+            answer.body,
+            answer.signature,
         )
--- a/tests/soak/configuration.py
+++ b/tests/soak/configuration.py
@@ -1,4 +1,4 @@
-"""What operators and the platform tell the VMs of a soak."""
+"""Settings and configuration of the VMs of a soak."""
 
 from __future__ import annotations
 
@@ -20,8 +20,11 @@
 """
 
 
-def configuration() -> dict:
-    """Return a service with owned keys for lookups, and one without for orders."""
+def make_configuration() -> dict:
+    """Return a configuration with a sharded service and one without keys.
+
+    Lookups go to the sharded service, orders to the other one.
+    """
     limits = {
         "max_header_bytes": 16384,
         "max_body_bytes": 1048576,
@@ -56,11 +59,11 @@
     }
 
 
-def own_network() -> str:
-    """Return the first three numbers of loopback addresses of this process alone.
+def get_loopback_prefix() -> str:
+    """Return the first three octets of loopback addresses for this process only.
 
-    On addresses of its own a soak needs no ports drawn: one that is drawn may be drawn
-    again, or be taken by a connection while its process is down.
+    With its own addresses a soak can use fixed ports. A random free port may be chosen
+    twice, or be taken by a connection while the process that uses it is down.
     """
     number = os.getpid()
     return f"127.{1 + number // 250 % 250}.{number % 250}"
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""What befalls an installation in a soak: each fault begins, lasts, and ends."""
+"""Faults injected into an installation; each begins, lasts for a while and ends."""
 
 from __future__ import annotations
 
@@ -13,208 +13,211 @@
 
     from soak.installation import Installation, SoakVm
 
-# Seconds within which the VMs of one series are told to stop.
-STAGGER_S = (0.0, 1.6)
-# Seconds from SIGTERM to the end by the platform, as the VMs' settings have them, and
-# to the new start.
-STOP_TIME_S = 6.0
-RESTART_S = 6.2
-# Share of the VMs that get SIGTERM again, and of those that get SIGHUP.
-AGAIN_SHARE = 0.4
+# Range of the random delay, in seconds, before each VM of a rolling stop gets SIGTERM.
+STAGGER_SECONDS = (0.0, 1.6)
+# Seconds from SIGTERM to SIGKILL by the platform, equal to ``grace_s`` in the VMs'
+# settings, and from SIGTERM to the restart.
+STOP_GRACE_SECONDS = 6.0
+RESTART_AFTER_SECONDS = 6.2
+# Probability that a stopping VM gets a second SIGTERM, and that it gets SIGHUP.
+REPEATED_SIGNAL_SHARE = 0.4
 
 
 class Fault(ABC):
-    """One trouble.
+    """One fault.
 
     Parameters
     ----------
     rng : Random
+        Source of the fault's duration and of what it hits.
     """
 
-    # Seconds that it lasts, at least and at most.
-    lasts = (1.0, 5.0)
-    # Whether operators bring it about, so that no request may be lost by it.
+    # Minimum and maximum duration in seconds.
+    duration_range = (1.0, 5.0)
+    # Whether the installation must tolerate the fault without losing a request, as it
+    # must a stop by operators.
     is_planned = False
 
     def __init__(self, rng: Random):
         self.rng = rng
-        self.seconds = rng.uniform(*self.lasts)
+        self.seconds = rng.uniform(*self.duration_range)
 
     @abstractmethod
-    async def begin(self, world: Installation) -> str:
-        """Bring it about, and return what was hit."""
+    async def begin(self, installation: Installation) -> str:
+        """Begin the fault and return the name of what it hits."""
 
-    async def end(self, world: Installation) -> None:
-        """Take it back."""
+    async def end(self, installation: Installation) -> None:
+        """End the fault."""
 
 
 class VmKilled(Fault):
-    """A VM is killed, and starts again."""
+    """A VM is killed and restarted."""
 
-    async def begin(self, world: Installation) -> str:
-        self.vm = self.rng.randrange(len(world.vms))
-        world.vms[self.vm].process.kill()
+    async def begin(self, installation: Installation) -> str:
+        self.vm = self.rng.randrange(len(installation.vms))
+        installation.vms[self.vm].process.kill()
         return f"vm {self.vm}"
 
-    async def end(self, world: Installation) -> None:
-        world.restart(self.vm)
+    async def end(self, installation: Installation) -> None:
+        installation.restart(self.vm)
 
 
 class VmsStopped(Fault):
-    """Up to half of the VMs are told to stop, some of them twice, and start again.
+    """Up to half of the VMs get SIGTERM, some of them twice, and are restarted.
 
-    Some get SIGHUP meanwhile. The platform ends what still runs after its stop time.
+    Some also get SIGHUP. The platform kills a VM that still runs after its stop time.
     """
 
     is_planned = True
-    lasts = (8.0, 9.0)
-
-    async def begin(self, world: Installation) -> str:
-        standing = world.standing()
-        self.rng.shuffle(standing)
-        # The last one that stands is never stopped.
-        most = len(standing) // 2
-        self.vms = standing[: self.rng.randint(min(1, most), most)]
-        self._stops = []
+    duration_range = (8.0, 9.0)
+
+    async def begin(self, installation: Installation) -> str:
+        running_vms = installation.running_vms()
+        self.rng.shuffle(running_vms)
+        # The last running VM is never stopped.
+        max_count = len(running_vms) // 2
+        self.vms = running_vms[: self.rng.randint(min(1, max_count), max_count)]
+        self._stop_tasks = []
         for vm in self.vms:
-            vm.stops = True
-            self._stops.append(asyncio.create_task(self._stop(world, vm)))
+            vm.is_stopping = True
+            self._stop_tasks.append(asyncio.create_task(self._stop(installation, vm)))
         return ", ".join(vm.name for vm in self.vms) or "nothing"
 
-    async def end(self, world: Installation) -> None:
-        await asyncio.gather(*self._stops)
+    async def end(self, installation: Installation) -> None:
+        await asyncio.gather(*self._stop_tasks)
 
-    async def _stop(self, world: Installation, vm: SoakVm) -> None:
-        process, told = vm.process, self._told()
-        await asyncio.sleep(self.rng.uniform(*STAGGER_S))
+    async def _stop(self, installation: Installation, vm: SoakVm) -> None:
+        process, signals = vm.process, self._draw_signals()
+        await asyncio.sleep(self.rng.uniform(*STAGGER_SECONDS))
         began = time.monotonic()
-        for seconds, number in told:
+        for seconds, number in signals:
             await asyncio.sleep(began + seconds - time.monotonic())
             process.send_signal(number)
-        await asyncio.sleep(began + RESTART_S - time.monotonic())
-        world.ledger.stopped(vm.name, began, process.poll())
+        await asyncio.sleep(began + RESTART_AFTER_SECONDS - time.monotonic())
+        installation.ledger.record_stop(vm.name, began, process.poll())
         if process is vm.process:
             vm.restart()
-        await world.until_ready(vm)
-        vm.stops = False
+        await installation.wait_until_ready(vm)
+        vm.is_stopping = False
 
-    def _told(self) -> list[tuple[float, signal.Signals]]:
-        """Draw the signals that a VM gets, with seconds after the first one."""
-        told = [(0.0, signal.SIGTERM), (STOP_TIME_S, signal.SIGKILL)]
+    def _draw_signals(self) -> list[tuple[float, signal.Signals]]:
+        """Draw the signals for a VM, each with its offset in seconds from the first."""
+        signals = [(0.0, signal.SIGTERM), (STOP_GRACE_SECONDS, signal.SIGKILL)]
         for number in (signal.SIGTERM, signal.SIGHUP):
-            if self.rng.random() < AGAIN_SHARE:
-                told.append((self.rng.uniform(0.0, STOP_TIME_S), number))
-        return sorted(told)
+            if self.rng.random() < REPEATED_SIGNAL_SHARE:
+                signals.append((self.rng.uniform(0.0, STOP_GRACE_SECONDS), number))
+        return sorted(signals)
 
 
 class VmFrozen(Fault):
-    """A VM stands still for seconds and goes on as if nothing had happened."""
+    """A VM is suspended for seconds and then resumed."""
 
-    lasts = (1.0, 7.0)
+    duration_range = (1.0, 7.0)
 
-    async def begin(self, world: Installation) -> str:
-        self.vm = world.vms[self.rng.randrange(len(world.vms))]
+    async def begin(self, installation: Installation) -> str:
+        self.vm = installation.vms[self.rng.randrange(len(installation.vms))]
         self.vm.process.send_signal(signal.SIGSTOP)
         return self.vm.name
 
-    async def end(self, world: Installation) -> None:
+    async def end(self, installation: Installation) -> None:
         self.vm.process.send_signal(signal.SIGCONT)
 
 
 class VmHeldUp(VmFrozen):
-    """A VM stands still for less than callers wait, as where its disk or host is busy.
+    """A VM is suspended for less than the callers' timeout, as by a busy disk or host.
 
-    It costs no request that a target answered: the answers are there when it goes on.
+    No request that a target answered may be lost, because the answers are available to
+    the VM when it resumes.
     """
 
     is_planned = True
-    lasts = (1.0, 1.4)
+    duration_range = (1.0, 1.4)
 
 
 class StoreAway(Fault):
-    """The store turns every call away."""
+    """The store rejects every call."""
 
-    lasts = (1.0, 11.0)
+    duration_range = (1.0, 11.0)
 
-    async def begin(self, world: Installation) -> str:
-        world.store.away = True
+    async def begin(self, installation: Installation) -> str:
+        installation.store.is_unavailable = True
         return "store"
 
-    async def end(self, world: Installation) -> None:
-        world.store.away = False
+    async def end(self, installation: Installation) -> None:
+        installation.store.is_unavailable = False
 
 
 class StoreSlow(Fault):
-    """The store takes a quarter of a second for each call."""
+    """The store delays each call by a quarter of a second."""
 
-    async def begin(self, world: Installation) -> str:
-        world.store.delay = 0.25
+    async def begin(self, installation: Installation) -> str:
+        installation.store.delay_seconds = 0.25
         return "store"
 
-    async def end(self, world: Installation) -> None:
-        world.store.delay = 0.0
+    async def end(self, installation: Installation) -> None:
+        installation.store.delay_seconds = 0.0
 
 
 class StoreForgetful(Fault):
     """Answers to writes are lost after the writes have taken effect."""
 
-    async def begin(self, world: Installation) -> str:
-        world.store.lost_share = 0.4
+    async def begin(self, installation: Installation) -> str:
+        installation.store.lost_answer_share = 0.4
         return "store"
 
-    async def end(self, world: Installation) -> None:
-        world.store.lost_share = 0.0
+    async def end(self, installation: Installation) -> None:
+        installation.store.lost_answer_share = 0.0
 
 
 class TargetReborn(Fault):
-    """A target crashes and starts again under its name; it holds nothing."""
+    """A target crashes and restarts under the same name, without grants."""
 
-    async def begin(self, world: Installation) -> str:
-        self.target = self.rng.choice(world.targets)
+    async def begin(self, installation: Installation) -> str:
+        self.target = self.rng.choice(installation.targets)
         await self.target.crash()
         return self.target.name
 
-    async def end(self, world: Installation) -> None:
-        if not self.target.runs:
+    async def end(self, installation: Installation) -> None:
+        if not self.target.is_running:
             self.target.start()
 
 
 class TargetSilent(Fault):
-    """A target takes connections and answers nothing."""
+    """A target accepts connections and answers no grants or requests."""
 
-    async def begin(self, world: Installation) -> str:
-        self.target = self.rng.choice(world.targets)
-        self.target.silent = True
+    async def begin(self, installation: Installation) -> str:
+        self.target = self.rng.choice(installation.targets)
+        self.target.is_unresponsive = True
         return self.target.name
 
-    async def end(self, world: Installation) -> None:
-        self.target.silent = False
+    async def end(self, installation: Installation) -> None:
+        self.target.is_unresponsive = False
 
 
 class AnswersLost(Fault):
-    """A target runs requests and breaks off before it answers."""
+    """A target runs requests and closes some connections before it answers."""
 
-    async def begin(self, world: Installation) -> str:
-        self.target = self.rng.choice(world.targets)
-        self.target.lost_share = 0.3
+    async def begin(self, installation: Installation) -> str:
+        self.target = self.rng.choice(installation.targets)
+        self.target.lost_answer_share = 0.3
         return self.target.name
 
-    async def end(self, world: Installation) -> None:
-        self.target.lost_share = 0.0
+    async def end(self, installation: Installation) -> None:
+        self.target.lost_answer_share = 0.0
 
 
 class TargetLeaving(Fault):
-    """A target says that it leaves, and thinks better of it."""
+    """A target reports that it is draining, and later that it is ready again."""
 
-    async def begin(self, world: Installation) -> str:
-        self.target = self.rng.choice(world.targets)
-        self.target.leaving = True
-        world.write(self.target)
+    async def begin(self, installation: Installation) -> str:
+        self.target = self.rng.choice(installation.targets)
+        self.target.is_draining = True
+        installation.write_record(self.target)
         return self.target.name
 
-    async def end(self, world: Installation) -> None:
-        self.target.leaving = False
-        world.write(self.target)
+    async def end(self, installation: Installation) -> None:
+        self.target.is_draining = False
+        installation.write_record(self.target)
 
 
 FAULTS: tuple[type[Fault], ...] = (
@@ -230,7 +233,7 @@
     TargetLeaving,
 )
 
-# VMs that stand still for a moment alone.
-HOLD_UPS: tuple[type[Fault], ...] = (VmHeldUp,)
-# Planned stops alone.
-STOPS: tuple[type[Fault], ...] = (VmsStopped,)
+# Only short suspensions of VMs.
+SHORT_PAUSES: tuple[type[Fault], ...] = (VmHeldUp,)
+# Only planned stops.
+PLANNED_STOPS: tuple[type[Fault], ...] = (VmsStopped,)
--- a/tests/soak/installation.py
+++ b/tests/soak/installation.py
@@ -1,4 +1,4 @@
-"""An installation on this machine: VMs as processes, store and targets in this one."""
+"""An installation with VMs as processes, and store and targets in this process."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 from platform_standin import StoreState, store_application
 from soak.callers import Caller
-from soak.configuration import SETTINGS, configuration, own_network
+from soak.configuration import SETTINGS, get_loopback_prefix, make_configuration
 from soak.ledger import Ledger
 from soak.links import Link
 from soak.targets import SoakTarget
@@ -29,46 +29,46 @@
     from soak.callers import Request
 
 ROOT = Path(__file__).resolve().parents[2]
-# Last number of the address of the first VM; the store and the targets come before.
-FIRST_VM = 20
+# Last octet of the first VM's address; the store and the targets use lower ones.
+FIRST_VM_HOST_NUMBER = 20
 STORE_PORT = 8390
-CALLERS_PORT = 8381
-# Bandwidth of the links between VMs and callers, in Mbit/s.
-LINK_MBPS = (5.0, 10.0)
-# Connections that callers keep to a VM, at least.
-KEPT = 8
-# Seconds in which a VM that starts must be ready.
-READY_S = 20.0
-# Targets with owned keys, and without.
-KEYED = 3
-FREE = 2
-# Seconds between two reports of a target, and after which a silent one's record goes.
-BEAT = 0.5
+FRONT_PORT = 8381
+# Range of the bandwidth of links between VMs and callers.
+LINK_MBPS_RANGE = (5.0, 10.0)
+# Minimum number of idle connections to a VM before one of them is reused.
+MIN_KEPT_CONNECTIONS = 8
+# Seconds within which a starting VM must become ready.
+READY_TIMEOUT_SECONDS = 20.0
+# Number of targets with owned keys, and of those without.
+KEYED_TARGETS = 3
+KEYLESS_TARGETS = 2
+# Seconds between two writes of a target's record.
+RECORD_INTERVAL_SECONDS = 0.5
 
 
 class SoakStore(StoreState):
-    """The store with its troubles."""
+    """The store's state and its injected faults."""
 
     def __init__(self, rng: Random):
         super().__init__()
         self.rng = rng
-        self.away = False
-        self.delay = 0.0
-        self.lost_share = 0.0
+        self.is_unavailable = False
+        self.delay_seconds = 0.0
+        self.lost_answer_share = 0.0
 
 
 class SoakVm:
-    """One process of the program."""
+    """One VM process, its link and the callers' connections to it."""
 
     def __init__(self, number: int, folder: Path, network: str, store: str, link: Link):
         self.name = f"vm-{number}"
-        self.ip = f"{network}.{FIRST_VM + number}"
+        self.ip = f"{network}.{FIRST_VM_HOST_NUMBER + number}"
         text = SETTINGS.format(name=self.name, ip=self.ip, store=store, mbps=link.mbps)
         self.link = link
-        # Connections that callers keep, the longest unused one first.
-        self.callers: deque[Caller] = deque()
-        # Whether it is being stopped and started again.
-        self.stops = False
+        # Idle connections of callers, the least recently used first.
+        self.idle_callers: deque[Caller] = deque()
+        # Whether the VM is being stopped and restarted.
+        self.is_stopping = False
         self._path = folder / f"{self.name}.conf"
         self._path.write_text(text)
         self._log = (folder / f"{self.name}.log").open("a")
@@ -83,135 +83,144 @@
             stderr=subprocess.STDOUT,
         )
 
-    def caller(self, ledger: Ledger) -> Caller:
-        """Return a caller whose connection nobody uses."""
-        while len(self.callers) >= KEPT:
-            caller = self.callers.popleft()
+    def take_caller(self, ledger: Ledger) -> Caller:
+        """Return a caller with an idle connection, or a new caller."""
+        while len(self.idle_callers) >= MIN_KEPT_CONNECTIONS:
+            caller = self.idle_callers.popleft()
             if caller.is_open():
                 return caller
             caller.close()
-        return Caller((self.ip, CALLERS_PORT), self.link, ledger)
+        return Caller((self.ip, FRONT_PORT), self.link, ledger)
 
     def restart(self) -> None:
-        """Start the process anew, whatever became of the last one."""
+        """Kill the process if it still runs, and start a new one."""
         self.process.kill()
         self.process.wait()
         self.process = self._start()
 
 
 class Installation:
-    """Everything.
+    """Store, targets, VMs and their callers.
 
     Parameters
     ----------
     folder : Path
-        For settings and logs.
+        Directory for the VMs' settings and logs.
     rng : Random
+        Source of link bandwidths, service times and lost answers.
     vms : int
-        How many VMs it has.
+        Number of VMs.
     """
 
     def __init__(self, folder: Path, rng: Random, vms: int):
         self.ledger = Ledger()
         self.store = SoakStore(rng)
-        network = own_network()
+        network = get_loopback_prefix()
         self.targets = [
             SoakTarget(
                 f"i-{n}",
-                "s" if n < KEYED else "u",
+                "s" if n < KEYED_TARGETS else "u",
                 f"{network}.{n + 2}",
                 self.ledger,
                 r,
             )
-            for n, r in enumerate(Random(rng.random()) for _ in range(KEYED + FREE))
+            for n, r in enumerate(
+                Random(rng.random()) for _ in range(KEYED_TARGETS + KEYLESS_TARGETS)
+            )
         ]
-        http = HTTPServer(_troubled(store_application(self.store), self.store))
+        http = HTTPServer(_with_store_faults(store_application(self.store), self.store))
         http.listen(STORE_PORT, f"{network}.1")
-        self.store.put("op/config", json.dumps(configuration()).encode())
+        self.store.put("op/config", json.dumps(make_configuration()).encode())
         for target in self.targets:
             target.start()
-            self.write(target)
+            self.write_record(target)
         store = f"{network}.1:{STORE_PORT}"
-        links = [Link(rng.uniform(*LINK_MBPS)) for _ in range(vms)]
+        links = [Link(rng.uniform(*LINK_MBPS_RANGE)) for _ in range(vms)]
         self.vms = [
             SoakVm(number, folder, network, store, link)
             for number, link in enumerate(links)
         ]
         self._client = CurlAsyncHTTPClient(force_instance=True, max_clients=200)
-        self._beats = asyncio.create_task(self._beat())
+        self._record_task = asyncio.create_task(self._write_records_periodically())
 
-    def write(self, target: SoakTarget) -> None:
-        """Have a target write its record, as long as it lives and the store answers."""
-        if target.runs and not self.store.away:
+    def write_record(self, target: SoakTarget) -> None:
+        """Write a target's record if the target runs and the store is available."""
+        if target.is_running and not self.store.is_unavailable:
             self.store.put(f"servers/{target.name}", target.record())
 
     def restart(self, number: int) -> None:
-        """Start a VM anew."""
+        """Restart a VM."""
         self.vms[number].restart()
 
-    async def ask(self, vm: SoakVm, requests: list[Request], gap: float) -> None:
-        """Have a caller make requests on one connection."""
-        caller = vm.caller(self.ledger)
+    async def send_requests(
+        self, vm: SoakVm, requests: list[Request], gap_seconds: float
+    ) -> None:
+        """Send requests to a VM on one connection and record their outcomes."""
+        caller = vm.take_caller(self.ledger)
         for request in requests:
-            self.ledger.asked(request.request_id, request.size)
+            self.ledger.record_request(request.request_id, request.size)
         try:
-            await caller.ask(requests, gap)
+            await caller.send_requests(requests, gap_seconds)
         finally:
-            vm.link.owe(-sum(request.size for request in requests))
+            vm.link.add_pending_bytes(-sum(request.size for request in requests))
         if caller.is_open():
-            vm.callers.append(caller)
+            vm.idle_callers.append(caller)
 
-    def standing(self) -> list[SoakVm]:
-        """Return the VMs that run and are not being stopped."""
-        return [v for v in self.vms if not v.stops and v.process.poll() is None]
+    def running_vms(self) -> list[SoakVm]:
+        """Return the VMs that run and are not being stopped and restarted."""
+        return [v for v in self.vms if not v.is_stopping and v.process.poll() is None]
 
-    async def until_ready(self, vm: SoakVm) -> None:
-        """Wait until a VM says that it is ready."""
-        end = time.monotonic() + READY_S
+    async def wait_until_ready(self, vm: SoakVm) -> None:
+        """Wait until a VM reports that it is ready."""
+        end = time.monotonic() + READY_TIMEOUT_SECONDS
         while not await self.is_ready(vm):
             if time.monotonic() > end:
-                raise TimeoutError(f"{vm.name} is not ready; read its log")
+                raise TimeoutError(
+                    f"{vm.name} did not become ready in time; see its log"
+                )
             await asyncio.sleep(0.1)
 
     async def is_ready(self, vm: SoakVm) -> bool:
-        """Tell whether a VM says that it is ready."""
+        """Return whether a VM reports that it is ready."""
         url = f"http://{vm.ip}:8388/v1/ready"
         try:
             answer = await self._client.fetch(url, request_timeout=1.0)
         except HTTPClientError:
-            # It does not listen yet, or is not ready.
+            # The VM does not listen yet, or is not ready.
             return False
         return answer.code == 200
 
-    async def _beat(self) -> None:
+    async def _write_records_periodically(self) -> None:
         while True:
-            await asyncio.sleep(BEAT)
+            await asyncio.sleep(RECORD_INTERVAL_SECONDS)
             for target in self.targets:
-                self.write(target)
+                self.write_record(target)
 
     def stop(self) -> None:
-        """End everything that was started."""
-        self._beats.cancel()
+        """Stop the record writer, kill the VMs and close the callers' connections."""
+        self._record_task.cancel()
         for vm in self.vms:
             vm.process.kill()
             vm.process.wait()
-            for caller in vm.callers:
+            for caller in vm.idle_callers:
                 caller.close()
 
 
-def _troubled(app: Application, store: SoakStore) -> Callable[..., Awaitable[None]]:
-    """Return what answers a call to the store, as its troubles have it."""
+def _with_store_faults(
+    app: Application, store: SoakStore
+) -> Callable[..., Awaitable[None]]:
+    """Return a request callback for the store that applies its injected faults."""
 
     async def handle(request):
-        if store.delay:
-            await asyncio.sleep(store.delay)
+        if store.delay_seconds:
+            await asyncio.sleep(store.delay_seconds)
         is_write = request.method == "POST"
-        if store.away:
+        if store.is_unavailable:
             head = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
             request.connection.stream.write(head)
             request.connection.finish()
             return
-        if is_write and store.rng.random() < store.lost_share:
+        if is_write and store.rng.random() < store.lost_answer_share:
             stream = request.connection.stream
             delegate = app.find_handler(request)
             delegate.execute()
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -1,4 +1,4 @@
-"""What targets did and callers were told, and what of it must never be."""
+"""Record of what targets ran and callers received, and checks for violations."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 if TYPE_CHECKING:
     from soak.targets import SoakTarget
 
-# Seconds after an unplanned fault in which its traces may still cost requests.
-AFTERMATH_S = 3.0
-# What callers are told of requests whose end nobody knows: a closed connection, no
-# answer of a target, and none in time.
-UNKNOWN_ENDS = frozenset({0, 502, 504})
-# What stands for an answer where a caller was told nothing by the end of the play.
-UNTOLD = ("", 0, b"", "")
-# Seconds for which two targets may seem to hold a key, since the two ends of a hold are
-# written down by one process that may be held up between them.
-CLOCK_SLACK = 0.02
+# Seconds after an unplanned fault during which it may still cause lost requests.
+FAULT_EFFECT_SECONDS = 3.0
+# Statuses of requests with an unknown outcome: connection closed (0), no answer from a
+# target (502), and no answer in time (504).
+UNKNOWN_OUTCOME_STATUSES = frozenset({0, 502, 504})
+# Placeholder for a request without any outcome at the end of the run.
+NO_ANSWER = ("", 0, b"", "")
+# Seconds for which grants of two targets may appear to overlap: this process records
+# both start and end of a grant and may be delayed between them.
+GRANT_OVERLAP_SLACK_SECONDS = 0.02
 
 
-def answer_body(request_id: str, size: int = 0) -> bytes:
-    """Return what targets answer to a request, of that size at least."""
+def build_answer_body(request_id: str, size: int = 0) -> bytes:
+    """Return a target's answer body, padded to at least ``size`` bytes."""
     return f"answer to {request_id}".encode().ljust(size, b".")
 
 
 class Span:
-    """A stretch of time: of a request, a fault, or a stop."""
+    """Start and end time of a request, a fault or a stop."""
 
     __slots__ = ("end", "start")
 
@@ -38,7 +38,7 @@
 
 
 class Stop:
-    """A planned stop of a VM, and the status with which its process ended."""
+    """A planned stop of a VM and the exit status of its process."""
 
     __slots__ = ("span", "status", "vm")
 
@@ -48,8 +48,8 @@
         self.status = status
 
 
-class Hold:
-    """Keys that one life of a target held for a while."""
+class GrantPeriod:
+    """Range of keys granted to one incarnation of a target for a period."""
 
     __slots__ = ("end", "first", "last", "start", "target")
 
@@ -62,150 +62,159 @@
 
 
 class Ledger:
-    """Written by targets and callers, read at the end."""
+    """Record of runs, requests, grants, stops and faults, checked after the run."""
 
     def __init__(self) -> None:
         self.runs: dict[str, list[str]] = {}
-        self.told: dict[str, tuple[str, int, bytes, str]] = {}
+        self.answers: dict[str, tuple[str, int, bytes, str]] = {}
         self.stops: list[Stop] = []
         self._spans: dict[str, Span] = {}
         self._sizes: dict[str, int] = {}
-        self._troubles: list[Span] = []
-        self._open: dict[tuple[str, int], list[Hold]] = {}
-        self._past: list[Hold] = []
+        self._unplanned_faults: list[Span] = []
+        self._current_grants: dict[tuple[str, int], list[GrantPeriod]] = {}
+        self._past_grants: list[GrantPeriod] = []
 
-    def ran(self, target: SoakTarget, request_id: str, key: str | None) -> None:
-        """Note that a target began to work on a request."""
+    def record_run(self, target: SoakTarget, request_id: str, key: str | None) -> None:
+        """Record that a target started to run a request."""
         self.runs.setdefault(request_id, []).append(target.name)
 
-    def asked(self, request_id: str, size: int) -> None:
-        """Note that a caller asks for an answer of that size at least."""
+    def record_request(self, request_id: str, size: int) -> None:
+        """Record that a caller requests an answer of at least ``size`` bytes."""
         self._spans[request_id] = Span(time.monotonic(), math.inf)
         self._sizes[request_id] = size
 
-    def answered(
-        self, request_id: str, method: str, status: int, body: bytes, mark: str
+    def record_answer(
+        self, request_id: str, method: str, status: int, body: bytes, signature: str
     ) -> None:
-        """Note what a caller was told.
+        """Record the outcome of a request.
 
-        Status 0 stands for a connection that closed; the body then is what had come of
-        the answer.
+        Status 0 stands for a closed connection; the body is then the partial answer
+        received before.
         """
-        self.told[request_id] = (method, status, body, mark)
+        self.answers[request_id] = (method, status, body, signature)
         if request_id in self._spans:
             self._spans[request_id].end = time.monotonic()
 
-    def troubled(self, start: float, end: float) -> None:
-        """Note an unplanned fault."""
-        self._troubles.append(Span(start, end))
+    def record_unplanned_fault(self, start: float, end: float) -> None:
+        """Record an unplanned fault."""
+        self._unplanned_faults.append(Span(start, end))
 
-    def stopped(self, vm: str, start: float, status: int | None) -> None:
-        """Note a planned stop, and the status of the process; None if it still ran."""
+    def record_stop(self, vm: str, start: float, status: int | None) -> None:
+        """Record a planned stop and the exit status; None if the process still ran."""
         self.stops.append(Stop(vm, Span(start, time.monotonic()), status))
 
-    def held(self, target: SoakTarget) -> None:
-        """Note what a target holds from now on."""
+    def record_grants(self, target: SoakTarget) -> None:
+        """Record the grants that a target holds from now on."""
         now = time.monotonic()
-        self._close(target, now)
-        self._open[target.name, target.life] = [
-            Hold(target.name, a, b, now, end) for a, b, _, end in target.holds
+        self._end_grants(target, now)
+        self._current_grants[target.name, target.incarnation] = [
+            GrantPeriod(target.name, a, b, now, end) for a, b, _, end in target.holds
         ]
 
-    def ended(self, target: SoakTarget) -> None:
-        """Note the end of a life."""
-        self._close(target, time.monotonic())
+    def record_target_end(self, target: SoakTarget) -> None:
+        """Record the end of a target's incarnation."""
+        self._end_grants(target, time.monotonic())
 
-    def _close(self, target: SoakTarget, now: float) -> None:
-        for hold in self._open.pop((target.name, target.life), []):
-            hold.end = min(hold.end, now)
-            self._past.append(hold)
+    def _end_grants(self, target: SoakTarget, now: float) -> None:
+        for grant in self._current_grants.pop((target.name, target.incarnation), []):
+            grant.end = min(grant.end, now)
+            self._past_grants.append(grant)
 
-    def faults(self) -> list[str]:
-        """Return what must never be."""
+    def find_violations(self) -> list[str]:
+        """Return descriptions of everything that must never happen."""
         return [
-            *self._twice(),
-            *self._untrue(),
-            *self._mixed(),
-            *self._doubly_held(),
-            *self._lost(),
-            *self._not_ended(),
+            *self._find_repeated_runs(),
+            *self._find_refused_runs(),
+            *self._find_wrong_answers(),
+            *self._find_overlapping_grants(),
+            *self._find_lost_requests(),
+            *self._find_failed_stops(),
         ]
 
-    def outcomes(self) -> Counter[int]:
-        """Return how many requests ended with which status."""
-        return Counter(status for _, status, _, _ in self.told.values())
+    def count_outcomes(self) -> Counter[int]:
+        """Return the number of requests by status."""
+        return Counter(status for _, status, _, _ in self.answers.values())
 
-    def _twice(self) -> list[str]:
+    def _find_repeated_runs(self) -> list[str]:
         return [
             f"{request_id} ran at {targets}"
             for request_id, targets in self.runs.items()
             if len(targets) > 1
-            and self.told.get(request_id, ("POST",))[0] == "POST"
+            and self.answers.get(request_id, ("POST",))[0] == "POST"
             and request_id.startswith("order")
         ]
 
-    def _untrue(self) -> list[str]:
+    def _find_refused_runs(self) -> list[str]:
         return [
             f"{request_id} was refused and ran at {self.runs[request_id]}"
-            for request_id, (method, status, _, _) in self.told.items()
+            for request_id, (method, status, _, _) in self.answers.items()
             if status in (429, 503) and method == "POST" and request_id in self.runs
         ]
 
-    def _mixed(self) -> list[str]:
+    def _find_wrong_answers(self) -> list[str]:
         return [
-            f"{request_id} got {body[:80]!r} and {len(body)} bytes of {mark}"
-            for request_id, (_, status, body, mark) in self.told.items()
+            f"{request_id} got {body[:80]!r} and {len(body)} bytes of {signature}"
+            for request_id, (_, status, body, signature) in self.answers.items()
             if status == 200
             and (
-                body != answer_body(request_id, self._sizes.get(request_id, 0))
-                or mark.partition(".")[0] not in self.runs.get(request_id, [])
+                body != build_answer_body(request_id, self._sizes.get(request_id, 0))
+                or signature.partition(".")[0] not in self.runs.get(request_id, [])
             )
         ]
 
-    def _lost(self) -> list[str]:
-        """Return requests that ran, or got a part of an answer, for nothing.
+    def _find_lost_requests(self) -> list[str]:
+        """Return lost requests that ran or were partly answered.
 
-        A stop that was planned must cost none of them. What was neither handed to a
-        target nor answered in part may be asked again by its caller.
+        A planned stop must cause none of these. A request that reached no target and
+        got no part of an answer may be retried by its caller.
         """
         return [
             f"{request_id} lost at {span.end:.2f}: ran at {self.runs.get(request_id)}, "
             f"ended with {status} and {len(body)} bytes"
             for request_id, span in self._spans.items()
-            for _, status, body, _ in [self.told.get(request_id, UNTOLD)]
-            if status in UNKNOWN_ENDS
+            for _, status, body, _ in [self.answers.get(request_id, NO_ANSWER)]
+            if status in UNKNOWN_OUTCOME_STATUSES
             and (body or request_id in self.runs)
-            and self._is_calm(span)
+            and self._is_far_from_faults(span)
         ]
 
-    def _not_ended(self) -> list[str]:
+    def _find_failed_stops(self) -> list[str]:
         return [
             f"{stop.vm} told to stop at {stop.span.start:.2f} ended with {stop.status}"
             for stop in self.stops
-            if stop.status != 0 and self._is_calm(stop.span)
+            if stop.status != 0 and self._is_far_from_faults(stop.span)
         ]
 
-    def _is_calm(self, span: Span) -> bool:
+    def _is_far_from_faults(self, span: Span) -> bool:
         return not any(
-            trouble.start <= span.end and span.start <= trouble.end + AFTERMATH_S
-            for trouble in self._troubles
+            fault.start <= span.end and span.start <= fault.end + FAULT_EFFECT_SECONDS
+            for fault in self._unplanned_faults
         )
 
-    def _doubly_held(self) -> list[str]:
-        holds = [*self._past, *(h for hs in self._open.values() for h in hs)]
-        holds.sort(key=lambda hold: hold.start)
-        found, live = [], []
-        for hold in holds:
-            live = [other for other in live if other.end > hold.start + CLOCK_SLACK]
-            found += [
-                f"keys {max(hold.first, other.first)} to {min(hold.last, other.last)} "
-                f"held by {other.target} and {hold.target} for "
-                f"{min(hold.end, other.end) - hold.start:.2f} s at {hold.start:.2f}"
-                for other in live
-                if other.target != hold.target
-                and hold.first <= other.last
-                and other.first <= hold.last
-                and min(hold.end, other.end) > hold.start + CLOCK_SLACK
+    def _find_overlapping_grants(self) -> list[str]:
+        grants = [
+            *self._past_grants,
+            *(h for hs in self._current_grants.values() for h in hs),
+        ]
+        grants.sort(key=lambda grant: grant.start)
+        violations, current = [], []
+        for grant in grants:
+            current = [
+                other
+                for other in current
+                if other.end > grant.start + GRANT_OVERLAP_SLACK_SECONDS
+            ]
+            violations += [
+                f"keys {max(grant.first, other.first)} to "
+                f"{min(grant.last, other.last)} "
+                f"held by {other.target} and {grant.target} for "
+                f"{min(grant.end, other.end) - grant.start:.2f} s at {grant.start:.2f}"
+                for other in current
+                if other.target != grant.target
+                and grant.first <= other.last
+                and other.first <= grant.last
+                and min(grant.end, other.end)
+                > grant.start + GRANT_OVERLAP_SLACK_SECONDS
             ]
-            live.append(hold)
-        return found
+            current.append(grant)
+        return violations
--- a/tests/soak/play.py
+++ b/tests/soak/play.py
@@ -1,10 +1,10 @@
-"""Soak: an installation under load, with one fault after the other.
+"""Soak: an installation under load with injected faults.
 
-Run it by ``make soak SECONDS=60 SEED=1``, with ``STOPS=--stops`` for planned stops
-alone, or with ``STOPS=--hold-ups`` for VMs that stand still for a moment alone. It ends
-with what callers were told and what must never be, and with status 1 when there is any
-of that. The seed draws faults and requests; processes are real, so two plays of one
-seed differ in their timing.
+Run it by ``make soak SECONDS=60 SEED=1``, with ``STOPS=--stops`` for planned stops only
+or ``STOPS=--hold-ups`` for short suspensions of VMs only. It prints the outcomes of
+requests and all violations, and exits with status 1 if there are violations. The seed
+determines faults and requests; processes are real, so the timing of two runs with the
+same seed differs.
 """
 
 from __future__ import annotations
@@ -21,205 +21,229 @@
 if TYPE_CHECKING:
     from soak.links import Link
 
-# The adapter's folder and the stand-ins' one, as the tests have them.
+# Folders of the platform stand-ins and of the adapter, as on the tests' import path.
 HERE = Path(__file__).resolve().parent
 sys.path[:0] = [str(HERE.parent), str(HERE.parents[1] / "platform")]
 
-from soak.callers import PATIENCE_S, Request  # noqa: E402
-from soak.faults import FAULTS, HOLD_UPS, STOPS, Fault  # noqa: E402
+from soak.callers import ANSWER_TIMEOUT_SECONDS, Request  # noqa: E402
+from soak.faults import FAULTS, PLANNED_STOPS, SHORT_PAUSES, Fault  # noqa: E402
 from soak.installation import Installation  # noqa: E402
 
-# Times a second at which a caller asks, of which a third are for orders that may run
-# once at most.
-RATE = 50.0
-ORDERS = 1 / 3
-# Share of the times at which a caller sends several lookups on its connection, how
-# many, and the seconds between two of them.
-SEVERAL_SHARE = 0.2
-SEVERAL = (2, 3)
-GAP_S = (0.0, 0.1)
-# Bytes of answers and their shares; the others are as small as they can be.
-SIZES = {90_000: 0.1, 1_000_000: 0.02}
-# Seconds without a fault at the start and between two.
-START = 3.0
-PAUSE = (0.0, 3.0)
-# Seconds at the end in which every request must be answered, and before these, from
-# when on callers send one request at a time in even steps: several at once may be more
-# than a target has room for, and are then refused with good reason.
-LAST = 3.0
-SETTLING = 1.0
-
-
-class Mode:
-    """What a play is made of.
+# Batches of requests per second. A third of them are an order, which may run at most
+# once.
+ARRIVALS_PER_SECOND = 50.0
+ORDER_SHARE = 1 / 3
+# Probability that a caller pipelines several lookups on its connection, their number,
+# and the seconds between two of them.
+BATCH_SHARE = 0.2
+BATCH_SIZE_RANGE = (2, 3)
+BATCH_GAP_SECONDS = (0.0, 0.1)
+# Bytes of large answers and their shares of requests; other answers have minimum size.
+ANSWER_SIZE_SHARES = {90_000: 0.1, 1_000_000: 0.02}
+# Seconds without a fault at the start and between two faults.
+INITIAL_QUIET_SECONDS = 3.0
+FAULT_PAUSE_SECONDS = (0.0, 3.0)
+# Seconds at the end in which every request must be answered, and seconds before these
+# in which callers already send single requests at even intervals. A batch may exceed a
+# target's capacity and would then be refused correctly.
+FINAL_CHECK_SECONDS = 3.0
+SETTLING_SECONDS = 1.0
+
+
+class SoakMode:
+    """Faults and size of a soak.
 
     Parameters
     ----------
     faults : tuple of type
-        That it draws from.
+        Fault classes to draw from.
     vms : int
-    alone : float
-        Share of the faults that no other one joins.
-    healing : float
+        Number of VMs.
+    exclusive_share : float
+        Probability that no second fault overlaps a fault.
+    recovery_seconds : float
         Seconds without a fault at the end, before every request must be answered.
     """
 
-    __slots__ = ("alone", "faults", "healing", "vms")
+    __slots__ = ("exclusive_share", "faults", "recovery_seconds", "vms")
 
     def __init__(
-        self, faults: tuple[type[Fault], ...], vms: int, alone: float, healing: float
+        self,
+        faults: tuple[type[Fault], ...],
+        vms: int,
+        exclusive_share: float,
+        recovery_seconds: float,
     ):
         self.faults = faults
         self.vms = vms
-        self.alone = alone
-        self.healing = healing
+        self.exclusive_share = exclusive_share
+        self.recovery_seconds = recovery_seconds
 
 
-# It heals within the longest hold and the time in which lapsed records come back.
-ALL_FAULTS = Mode(FAULTS, 3, 0.5, 16.0)
-STOPS_ALONE = Mode(STOPS, 4, 0.2, 3.0)
-HOLD_UPS_ALONE = Mode(HOLD_UPS, 4, 0.2, 3.0)
+# Recovery takes up to the longest grant plus the time until expired records are written
+# again.
+ALL_FAULTS_MODE = SoakMode(FAULTS, 3, 0.5, 16.0)
+PLANNED_STOPS_MODE = SoakMode(PLANNED_STOPS, 4, 0.2, 3.0)
+SHORT_PAUSES_MODE = SoakMode(SHORT_PAUSES, 4, 0.2, 3.0)
 
 
 class Soak:
-    """One play.
+    """One soak run.
 
     Parameters
     ----------
     folder : Path
+        Directory for the VMs' settings and logs.
     seconds : float
+        Seconds during which faults are injected.
     seed : int
-    mode : Mode
+    mode : SoakMode
     """
 
-    def __init__(self, folder: Path, seconds: float, seed: int, mode: Mode):
+    def __init__(self, folder: Path, seconds: float, seed: int, mode: SoakMode):
         self._folder = folder
         self._seconds = seconds
         self._mode = mode
-        # What befalls the installation is drawn apart from what it is asked for.
+        # Faults and requests use separate generators so that neither changes the other.
         self._rng = Random(seed)
         self._fault_rng = Random(f"faults of {seed}")
-        self._number = 0
-        self._asked: set[asyncio.Task] = set()
-        # Whether what is asked for comes in even steps.
-        self.is_even = False
+        self._last_request_number = 0
+        self._request_tasks: set[asyncio.Task] = set()
+        # Whether callers send single requests at even intervals.
+        self.has_even_load = False
         self.log: list[str] = []
 
     async def run(self) -> tuple[list[str], str]:
-        """Return what must never be, and a line of what callers were told."""
-        world = Installation(self._folder, self._rng, self._mode.vms)
+        """Run the soak and return the violations and a summary of the outcomes."""
+        installation = Installation(self._folder, self._rng, self._mode.vms)
         try:
-            for vm in world.vms:
-                await world.until_ready(vm)
-            load = asyncio.create_task(self._load(world))
-            await asyncio.sleep(START)
-            await self._trouble(world)
-            await asyncio.sleep(self._mode.healing)
-            self.is_even = True
-            await asyncio.sleep(SETTLING)
-            first = self._number
-            await asyncio.sleep(LAST)
+            for vm in installation.vms:
+                await installation.wait_until_ready(vm)
+            load = asyncio.create_task(self._generate_load(installation))
+            await asyncio.sleep(INITIAL_QUIET_SECONDS)
+            await self._inject_faults(installation)
+            await asyncio.sleep(self._mode.recovery_seconds)
+            self.has_even_load = True
+            await asyncio.sleep(SETTLING_SECONDS)
+            first_checked = self._last_request_number
+            await asyncio.sleep(FINAL_CHECK_SECONDS)
             load.cancel()
-            async with asyncio.timeout(PATIENCE_S + 1.0):
-                await asyncio.gather(*self._asked)
-            faults = [*world.ledger.faults(), *self._unserved(world, first)]
-            told = dict(world.ledger.outcomes().most_common())
-            return faults, f"{told}, {len(world.ledger.stops)} planned stops"
+            async with asyncio.timeout(ANSWER_TIMEOUT_SECONDS + 1.0):
+                await asyncio.gather(*self._request_tasks)
+            faults = [
+                *installation.ledger.find_violations(),
+                *self._find_unserved(installation, first_checked),
+            ]
+            outcomes = dict(installation.ledger.count_outcomes().most_common())
+            return faults, f"{outcomes}, {len(installation.ledger.stops)} planned stops"
         finally:
-            world.stop()
+            installation.stop()
 
-    async def _load(self, world: Installation) -> None:
+    async def _generate_load(self, installation: Installation) -> None:
         while True:
-            await asyncio.sleep(self.pause())
-            vm = self._rng.choice(world.vms)
-            requests = self.requests(vm.link)
-            gap = self._rng.uniform(*GAP_S)
-            task = asyncio.create_task(world.ask(vm, requests, gap))
-            self._asked.add(task)
-            task.add_done_callback(self._answered)
-
-    def _answered(self, task: asyncio.Task) -> None:
-        """Forget a task that has ended well; another fails the play when it ends."""
+            await asyncio.sleep(self.draw_pause_seconds())
+            vm = self._rng.choice(installation.vms)
+            requests = self.draw_requests(vm.link)
+            gap_seconds = self._rng.uniform(*BATCH_GAP_SECONDS)
+            task = asyncio.create_task(
+                installation.send_requests(vm, requests, gap_seconds)
+            )
+            self._request_tasks.add(task)
+            task.add_done_callback(self._discard_finished)
+
+    def _discard_finished(self, task: asyncio.Task) -> None:
+        """Discard a finished task; one that failed is kept and fails the run later."""
         if not task.cancelled() and not task.exception():
-            self._asked.discard(task)
-
-    def pause(self) -> float:
-        """Draw the seconds until a caller asks."""
-        return 1 / RATE if self.is_even else self._rng.expovariate(RATE)
-
-    def requests(self, link: Link) -> list[Request]:
-        """Draw what a caller sends at a time: an order, a lookup, or several."""
-        if self._rng.random() < ORDERS:
-            return [self._request("order", None, link)]
-        several = self._rng.random() < SEVERAL_SHARE and not self.is_even
-        count = self._rng.randint(*SEVERAL) if several else 1
+            self._request_tasks.discard(task)
+
+    def draw_pause_seconds(self) -> float:
+        """Draw the seconds until the next batch of requests."""
+        return (
+            1 / ARRIVALS_PER_SECOND
+            if self.has_even_load
+            else self._rng.expovariate(ARRIVALS_PER_SECOND)
+        )
+
+    def draw_requests(self, link: Link) -> list[Request]:
+        """Draw the next batch: an order, a lookup, or several lookups."""
+        if self._rng.random() < ORDER_SHARE:
+            return [self._draw_request("order", None, link)]
+        is_batch = self._rng.random() < BATCH_SHARE and not self.has_even_load
+        count = self._rng.randint(*BATCH_SIZE_RANGE) if is_batch else 1
         keys = [min(65535, int(self._rng.expovariate(1 / 9000))) for _ in range(count)]
-        return [self._request("lookup", key, link) for key in keys]
+        return [self._draw_request("lookup", key, link) for key in keys]
 
-    def _request(self, kind: str, key: int | None, link: Link) -> Request:
-        self._number += 1
+    def _draw_request(self, kind: str, key: int | None, link: Link) -> Request:
+        self._last_request_number += 1
         drawn = self._rng.choices(
-            [0, *SIZES], [1 - sum(SIZES.values()), *SIZES.values()]
+            [0, *ANSWER_SIZE_SHARES],
+            [1 - sum(ANSWER_SIZE_SHARES.values()), *ANSWER_SIZE_SHARES.values()],
         )
         size = drawn[0] if link.has_room(drawn[0]) else 0
-        link.owe(size)
-        return Request(f"{kind}-{self._number}", key, size)
+        link.add_pending_bytes(size)
+        return Request(f"{kind}-{self._last_request_number}", key, size)
 
-    async def _trouble(self, world: Installation) -> None:
-        """Let faults come one after the other, some of them two at a time."""
+    async def _inject_faults(self, installation: Installation) -> None:
+        """Inject faults one after the other, some of them two at a time."""
         rng = self._fault_rng
         end = time.monotonic() + self._seconds
         running: set[asyncio.Task] = set()
         while time.monotonic() < end:
             fault = rng.choice(self._mode.faults)(rng)
-            running.add(asyncio.create_task(self._befall(world, fault)))
-            if len(running) > 1 or rng.random() < self._mode.alone:
+            running.add(asyncio.create_task(self._run_fault(installation, fault)))
+            if len(running) > 1 or rng.random() < self._mode.exclusive_share:
                 await asyncio.gather(*running)
                 running.clear()
-            await asyncio.sleep(rng.uniform(*PAUSE))
+            await asyncio.sleep(rng.uniform(*FAULT_PAUSE_SECONDS))
         await asyncio.gather(*running)
 
-    async def _befall(self, world: Installation, fault: Fault) -> None:
+    async def _run_fault(self, installation: Installation, fault: Fault) -> None:
         began = time.monotonic()
-        hit = await fault.begin(world)
+        hit = await fault.begin(installation)
         await asyncio.sleep(fault.seconds)
-        await fault.end(world)
+        await fault.end(installation)
         if not fault.is_planned:
-            world.ledger.troubled(began, time.monotonic())
+            installation.ledger.record_unplanned_fault(began, time.monotonic())
         line = f"{type(fault).__name__} {hit} {fault.seconds:.1f} s at {began:.2f}"
         self.log.append(line)
         print(line, flush=True)
 
-    def _unserved(self, world: Installation, first: int) -> list[str]:
+    def _find_unserved(
+        self, installation: Installation, first_checked: int
+    ) -> list[str]:
         ends = [
             (int(request_id.partition("-")[2]), request_id, status)
-            for request_id, (_, status, _, _) in world.ledger.told.items()
+            for request_id, (_, status, _, _) in installation.ledger.answers.items()
         ]
         return [
             f"{request_id} ended with {status} though all is well"
             for number, request_id, status in ends
-            if number > first and status != 200
+            if number > first_checked and status != 200
         ]
 
 
 def main() -> int:
-    """Play, print what came out, and return the exit status."""
+    """Run a soak, print its report and return the exit status."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=60.0, help="time of faults")
     parser.add_argument("--seed", type=int, default=1, help="draws faults and keys")
-    alone = parser.add_mutually_exclusive_group()
-    alone.add_argument("--stops", action="store_true", help="planned stops alone")
-    alone.add_argument("--hold-ups", action="store_true", help="short pauses alone")
+    exclusive_share = parser.add_mutually_exclusive_group()
+    exclusive_share.add_argument(
+        "--stops", action="store_true", help="planned stops alone"
+    )
+    exclusive_share.add_argument(
+        "--hold-ups", action="store_true", help="short pauses alone"
+    )
     args = parser.parse_args()
-    mode = ALL_FAULTS
+    mode = ALL_FAULTS_MODE
     if args.stops:
-        mode = STOPS_ALONE
+        mode = PLANNED_STOPS_MODE
     elif args.hold_ups:
-        mode = HOLD_UPS_ALONE
+        mode = SHORT_PAUSES_MODE
     folder = Path(tempfile.mkdtemp(prefix="berylstage-soak-"))
     print(f"settings and logs: {folder}")
-    faults, told = asyncio.run(Soak(folder, args.seconds, args.seed, mode).run())
-    print(f"callers were told: {told}")
+    faults, outcomes = asyncio.run(Soak(folder, args.seconds, args.seed, mode).run())
+    print(f"callers were told: {outcomes}")
     for fault in faults[:40]:
         print(f"must never be: {fault}")
     print(f"{len(faults)} faults")
--- a/tests/soak/targets.py
+++ b/tests/soak/targets.py
@@ -1,4 +1,4 @@
-"""Targets that write down everything they were made to do."""
+"""Targets that record the grants they hold and the requests they run."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from platform_standin import Grant, Health, Release, Server, ServerHandler
-from soak.ledger import answer_body
+from soak.ledger import build_answer_body
 from tornado.httpserver import HTTPServer
 from tornado.web import Application, Finish, HTTPError
 
@@ -16,21 +16,23 @@
     from soak.ledger import Ledger
 
 PORT = 8391
-# Requests at work at once, and waiting beyond them.
+# Requests that a target runs at once, and those that may wait in addition.
 SLOTS = 2
-QUEUE = 8
-# Mean seconds of work.
-WORK = 0.05
+QUEUE_LIMIT = 8
+
+MEAN_SERVICE_SECONDS = 0.05
 
 
 class SoakTarget(Server):
-    """A target that can crash, fall silent, lose answers and leave.
+    """A target that can crash, become unresponsive, lose answers and drain.
 
     Parameters
     ----------
     name, service, ip : str
     ledger : Ledger
+        Record of grants and runs.
     rng : Random
+        Source of service times and lost answers.
     """
 
     def __init__(self, name: str, service: str, ip: str, ledger: Ledger, rng: Random):
@@ -39,41 +41,41 @@
         self.ip = ip
         self.ledger = ledger
         self.rng = rng
-        self.life = 1
-        self.silent = False
-        self.lost_share = 0.0
-        self.leaving = False
-        self.busy = 0
+        self.incarnation = 1
+        self.is_unresponsive = False
+        self.lost_answer_share = 0.0
+        self.is_draining = False
+        self.in_progress = 0
         self.slots = asyncio.Semaphore(SLOTS)
         self._http: HTTPServer | None = None
 
     @property
-    def runs(self) -> bool:
-        """Whether it listens."""
+    def is_running(self) -> bool:
+        """Whether the target accepts connections."""
         return self._http is not None
 
     def start(self) -> None:
-        """Begin a life that holds and knows nothing."""
-        self.holds, self.seen, self.busy = [], [], 0
+        """Start an incarnation without grants and without known fence tokens."""
+        self.holds, self.seen, self.in_progress = [], [], 0
         self.slots = asyncio.Semaphore(SLOTS)
         self._http = HTTPServer(_application(self))
         self._http.listen(PORT, self.ip)
 
     async def crash(self) -> None:
-        """End without a word."""
+        """End the incarnation without draining or updating the record."""
         http, self._http = self._http, None
         if http is not None:
             http.stop()
-            self.ledger.ended(self)
-            self.life += 1
+            self.ledger.record_target_end(self)
+            self.incarnation += 1
             await http.close_all_connections()
 
     def record(self) -> bytes:
-        """Return what it writes into the store."""
-        state = "draining" if self.leaving else "ready"
+        """Return the target's record for the store."""
+        state = "draining" if self.is_draining else "ready"
         doc = {
             "address": f"{self.ip}:{PORT}",
-            "born": self.life,
+            "born": self.incarnation,
             "info": {
                 "service": self.service,
                 "version": "v",
@@ -85,52 +87,52 @@
         return json.dumps(doc).encode()
 
 
-class LifeHandler(ServerHandler):
-    """What one life of a target is asked for; nothing comes of it when that is over.
+class IncarnationHandler(ServerHandler):
+    """Handler for one incarnation of a target; does nothing once that has ended.
 
-    The connections of a target that crashes close one after the other. What comes on
-    one of them meanwhile, or waits for a slot, must not count as done.
+    The connections of a crashed target close one after the other. A request received on
+    one of them meanwhile, or waiting for a slot, must not count as run.
     """
 
-    def initialize(self, server, life):
+    def initialize(self, server, incarnation):
         super().initialize(server)
-        self.life = life
+        self.incarnation = incarnation
 
     def prepare(self):
         super().prepare()
-        self.end_with_life()
+        self.abort_if_replaced()
 
-    def end_with_life(self):
-        """Break off if the life is over."""
-        if self.life != self.server.life:
+    def abort_if_replaced(self):
+        """Close the connection if the incarnation has ended."""
+        if self.incarnation != self.server.incarnation:
             self.request.connection.stream.close()
             raise Finish
 
 
-class SoakGrant(LifeHandler, Grant):
-    """A grant that is written down."""
+class SoakGrant(IncarnationHandler, Grant):
+    """Handles a grant and records it."""
 
     async def prepare(self):
         super().prepare()
-        if self.server.silent:
+        if self.server.is_unresponsive:
             await _hang()
 
     def post(self):
         super().post()
         if self.get_status() == 200:
-            self.server.ledger.held(self.server)
+            self.server.ledger.record_grants(self.server)
 
 
-class SoakRelease(LifeHandler, Release):
-    """A release that is written down."""
+class SoakRelease(IncarnationHandler, Release):
+    """Handles a release and records it."""
 
     def post(self):
         super().post()
-        self.server.ledger.held(self.server)
+        self.server.ledger.record_grants(self.server)
 
 
-class SoakWork(LifeHandler):
-    """A request, with a key or without."""
+class SoakWork(IncarnationHandler):
+    """Runs a request, with a key or without."""
 
     async def get(self):
         await self._serve()
@@ -140,23 +142,23 @@
 
     async def _serve(self):
         server, head = self.server, self.request.headers
-        if server.silent:
+        if server.is_unresponsive:
             await _hang()
         key = head.get("Berylstage-Shard-Key")
         if key is not None and not server.holds_key(int(key)):
             self._refuse(421)
             return
-        if server.busy >= SLOTS + QUEUE:
+        if server.in_progress >= SLOTS + QUEUE_LIMIT:
             self._refuse(503)
             return
-        server.busy += 1
+        server.in_progress += 1
         try:
             async with server.slots:
-                self.end_with_life()
+                self.abort_if_replaced()
                 await self._run(head["Berylstage-Attempt-Id"], key)
         finally:
-            # A new life has begun to count anew.
-            server.busy -= self.life == server.life
+            # A new incarnation starts its own count.
+            server.in_progress -= self.incarnation == server.incarnation
 
     def _refuse(self, status):
         self.set_status(status)
@@ -167,33 +169,33 @@
         if key is not None and not server.holds_key(int(key)):
             self._refuse(421)
             return
-        server.ledger.ran(server, request_id, key)
-        await asyncio.sleep(server.rng.expovariate(1 / WORK))
-        if server.rng.random() < server.lost_share:
+        server.ledger.record_run(server, request_id, key)
+        await asyncio.sleep(server.rng.expovariate(1 / MEAN_SERVICE_SECONDS))
+        if server.rng.random() < server.lost_answer_share:
             self.request.connection.stream.close()
             return
         self.set_header("Berylstage-Backend-Signature", f"{server.name}.{request_id}")
         size = int(self.request.path.rpartition("/")[2])
-        self.write(answer_body(request_id, size))
+        self.write(build_answer_body(request_id, size))
 
 
 async def _hang() -> None:
-    # Nothing comes of what reaches a silent target. An order that was carried out a
-    # minute later, with its whole time before it, would be a trouble that no target
-    # makes: its time counts from its arrival.
+    # Requests that reach an unresponsive target never run. A real target counts the
+    # deadline from the arrival, so it would not run an order a minute later as if its
+    # whole time were left.
     await asyncio.sleep(60)
     raise HTTPError(503)
 
 
 def _application(server: SoakTarget) -> Application:
     own = {"server": server}
-    own_life = {"server": server, "life": server.life}
+    own_incarnation = {"server": server, "incarnation": server.incarnation}
     return Application(
         [
-            (r"/v1/grant", SoakGrant, own_life),
-            (r"/v1/release", SoakRelease, own_life),
+            (r"/v1/grant", SoakGrant, own_incarnation),
+            (r"/v1/release", SoakRelease, own_incarnation),
             (r"/healthz", Health, own),
-            (r"/.*", SoakWork, own_life),
+            (r"/.*", SoakWork, own_incarnation),
         ],
         log_function=lambda handler: None,
     )
--- a/tests/stop_stage.py
+++ b/tests/stop_environment.py
@@ -1,4 +1,4 @@
-"""A store, targets and VMs as processes, for plays in which a VM is told to stop."""
+"""A store, targets and VM processes for tests in which a VM is stopped."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
     StoreState,
     store_application,
 )
-from slow_caller import Caller, answer_body
-from test_start import Vm, free_port, until
+from slow_caller import Caller, build_answer_body
+from test_start import VmProcess, free_port, wait_until
 from tornado.httpserver import HTTPServer
 from tornado.web import Application
 
-# Requests that a target takes at once: enough for all callers of a play.
-SLOTS = 1000
-# Connections that a target takes; each VM uses its share of them.
-CONNECTIONS = 20_000
-# Milliseconds for which a target may work on a request.
-TIMEOUT_MS = 20_000
-# Seconds from SIGTERM to the end of the process, as the operators allow.
-GRACE_S = 6.0
+# Requests that a target accepts at once: enough for all callers of a test.
+TARGET_SLOTS = 1000
+# Connections that a target accepts; each VM uses its share of them.
+MAX_TARGET_CONNECTIONS = 20_000
+# Route timeout, so the longest time for which a target may work on a request.
+ROUTE_TIMEOUT_MS = 20_000
+# Seconds from SIGTERM within which the process must exit, as operators configure it.
+STOP_GRACE_SECONDS = 6.0
 
 
 def _route(name, prefix, kind):
@@ -34,8 +34,8 @@
         "name": name,
         "prefix": prefix,
         "kind": kind,
-        "timeout_ms": TIMEOUT_MS,
-        "target_latency_ms": TIMEOUT_MS,
+        "timeout_ms": ROUTE_TIMEOUT_MS,
+        "target_latency_ms": ROUTE_TIMEOUT_MS,
         "priority": 1,
         "service": "s",
         "max_attempts": 3,
@@ -48,7 +48,7 @@
         {
             "name": "s",
             "health_path": "/healthz",
-            "max_conns": CONNECTIONS,
+            "max_conns": MAX_TARGET_CONNECTIONS,
             "sharded": False,
         }
     ],
@@ -70,12 +70,12 @@
 }
 
 
-class SizedWork(ServerHandler):
-    """Answers ``/a/BYTES/PAUSE_MS`` with so many bytes after so long a time."""
+class SizedAnswerHandler(ServerHandler):
+    """Answers ``/a/BYTES/PAUSE_MS`` with BYTES bytes after PAUSE_MS milliseconds."""
 
     def prepare(self):
         super().prepare()
-        self.set_header("Berylstage-Backend-Load", f"1,0,{SLOTS},100")
+        self.set_header("Berylstage-Backend-Load", f"1,0,{TARGET_SLOTS},100")
 
     async def get(self):
         request_id = self.request.headers["Berylstage-Attempt-Id"]
@@ -83,87 +83,91 @@
         self.server.ran.append(request_id)
         await asyncio.sleep(int(pause_ms) / 1000)
         self.set_header("Berylstage-Backend-Signature", self.server.name)
-        self.write(answer_body(request_id, int(size)))
+        self.write(build_answer_body(request_id, int(size)))
 
     post = get
 
 
-class FreeHealth(Health):
-    """Tells that there is room."""
+class IdleHealth(Health):
+    """Health check that reports an idle target."""
 
     def prepare(self):
         super().prepare()
-        self.set_header("Berylstage-Backend-Load", f"0,0,{SLOTS},100")
+        self.set_header("Berylstage-Backend-Load", f"0,0,{TARGET_SLOTS},100")
 
 
-class StoppingVm(Vm):
-    """A VM with what its callers need."""
+class StoppingVm(VmProcess):
+    """A VM process that the test stops with SIGTERM."""
 
     def __init__(self, number, folder, store_port):
         super().__init__(number, folder, store_port)
-        self.told_at = None
+        self.sigterm_at = None
 
     @property
-    def front(self):
+    def front_address(self):
         return (self.ip, self.ports[0])
 
-    def tell(self, number):
-        """Send a signal, whatever has become of the process."""
+    def send_signal(self, number):
+        """Send a signal to the process; do nothing if it has exited."""
         self.process.send_signal(number)
 
     def stop(self):
-        self.told_at = time.monotonic()
-        self.tell(signal.SIGTERM)
+        self.sigterm_at = time.monotonic()
+        self.send_signal(signal.SIGTERM)
 
-    async def at(self, seconds):
-        """Wait until so long after SIGTERM."""
-        await asyncio.sleep(self.told_at + seconds - time.monotonic())
+    async def wait_until_after_sigterm(self, seconds):
+        """Wait until the given number of seconds after SIGTERM."""
+        await asyncio.sleep(self.sigterm_at + seconds - time.monotonic())
 
-    async def ended(self):
-        """Wait for the end of the process, and return its exit status."""
+    async def wait_for_exit(self):
+        """Wait for the process to exit and return its exit status."""
         while self.process.poll() is None:
-            left = self.told_at + GRACE_S - time.monotonic()
-            assert left > 0, f"still running at the end of its stop time: {self.tail()}"
+            left = self.sigterm_at + STOP_GRACE_SECONDS - time.monotonic()
+            assert left > 0, (
+                f"process still runs after its stop grace time: {self.read_log_tail()}"
+            )
             await asyncio.sleep(0.01)
         return self.process.returncode
 
-    def lines(self, message):
+    def read_log_entries(self, message):
         self.log.seek(0)
         lines = [json.loads(line) for line in self.log]
         return [line for line in lines if line["message"] == message]
 
-    def tail(self):
+    def read_log_tail(self):
         self.log.seek(0)
         return self.log.read()[-2000:]
 
 
-class Stage:
-    """What a play runs on; to be entered.
+class StopEnvironment:
+    """Context manager that starts a store, two targets and the VMs.
 
     Parameters
     ----------
     folder : Path
+        Directory for the VMs' settings and logs.
     vms : int
+        Number of VMs.
     """
 
     def __init__(self, folder, vms=1):
         self._folder = folder
-        self._count = vms
+        self._vm_count = vms
         self._servers = []
         self._callers = []
-        self._number = 0
+        self._last_request_number = 0
         self.vms = []
 
     async def __aenter__(self):
         state, store_port = StoreState(), free_port()
         HTTPServer(store_application(state)).listen(store_port, "127.0.0.1")
         for name in ("i-1", "i-2"):
-            self._serve(state, name)
+            self._start_target(state, name)
         state.put("op/config", json.dumps(CONFIGURATION).encode())
-        for number in range(1, self._count + 1):
+        for number in range(1, self._vm_count + 1):
             self.vms.append(StoppingVm(number, self._folder, store_port))
         for vm in self.vms:
-            await until(vm.ready)
+            await wait_until(vm.is_ready)
         return self
 
     async def __aexit__(self, *exc):
@@ -173,16 +177,21 @@
             vm.process.kill()
             vm.process.wait()
 
-    def _serve(self, state, name):
+    def _start_target(self, state, name):
         server, port = Server(name), free_port()
         own = {"server": server}
-        rows = [(r"/healthz", FreeHealth, own), (r"/.*", SizedWork, own)]
+        rows = [(r"/healthz", IdleHealth, own), (r"/.*", SizedAnswerHandler, own)]
         application = Application(rows, log_function=lambda handler: None)
         HTTPServer(application).listen(port, "127.0.0.1")
         record = {
             "address": f"127.0.0.1:{port}",
             "born": 1,
-            "info": {"service": "s", "version": "v", "zone": "a", "slots": SLOTS},
+            "info": {
+                "service": "s",
+                "version": "v",
+                "zone": "a",
+                "slots": TARGET_SLOTS,
+            },
             "status": {"state": "ready", "sequence": 1, "warmup_left_ms": 0},
         }
         state.put(f"servers/{name}", json.dumps(record).encode())
@@ -190,16 +199,16 @@
 
     @property
     def ran(self):
-        """Ids of the requests that a target has run."""
+        """Ids of the requests that the targets have run."""
         return [run for server in self._servers for run in server.ran]
 
-    def number(self):
-        self._number += 1
-        return self._number
+    def next_request_number(self):
+        self._last_request_number += 1
+        return self._last_request_number
 
-    async def caller(self, vm, link_mbps=None, reads=True):
+    async def connect_caller(self, vm, link_mbps=None, reads=True):
         """Return a new connection to a VM."""
-        caller = Caller(vm.front, link_mbps, reads)
+        caller = Caller(vm.front_address, link_mbps, reads)
         self._callers.append(caller)
         await caller.connect()
         return caller
--- a/tests/test_alarms.py
+++ b/tests/test_alarms.py
@@ -1,4 +1,4 @@
-"""Tests of the page of alarms."""
+"""Tests of the alarms page."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def first_cells(heading):
-    """Return what stands in backticks in the first cells of a section's table."""
+    """Return the code spans in the first column of a section's table."""
     section = PAGE.split(f"## {heading}\n")[1].split("\n## ")[0]
     rows = [line for line in section.splitlines() if line.startswith("| ")][1:]
     return [name for row in rows for name in re.findall("`(.+?)`", row.split("|")[1])]
@@ -22,13 +22,13 @@
 
 class TestAlarms:
     def test_metrics_exist(self):
-        # A metric is renamed, and the alarm on it never rings again.
+        # Guards against renaming a metric so that its alarm never fires again.
         known = {name for name in METRICS if "<reason>" not in name}
         known |= {f"refused.{reason}" for reason in REASONS}
         assert set(first_cells("From metrics")) <= known
 
     def test_messages_exist(self):
-        # A log message is worded anew, and the alarm on it never rings again.
+        # Guards against rewording a log message so that its alarm never fires again.
         code = "".join(path.read_text() for path in SOURCES)
         missing = [m for m in first_cells("From logs") if m not in code]
         assert missing == []
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Tests of the links and paths in the pages and in the code."""
+"""Tests of links in the documentation and of page paths in the code."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 
 class TestLinks:
-    def test_each_link_leads_somewhere(self):
-        # Somebody on call follows a link at night, and the page was renamed.
+    def test_each_link_target_exists(self):
+        # Guards against links to pages that were renamed or removed.
         broken = [
             f"{page.name}: {link}"
             for page in PAGES
@@ -22,7 +22,7 @@
         assert broken == []
 
     def test_each_page_that_code_names_exists(self):
-        # A comment or an error sends its reader to a page that is not there.
+        # Guards against comments and error messages that refer to a missing page.
         named = {
             (path.name, name)
             for path in CODE
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Tests that the soak finds what must never be, and a short soak of planned stops."""
+"""Tests that the soak detects violations, and short soaks of stops and pauses."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 sys.path.insert(0, str(Path(__file__).parent))
 
 from soak.callers import Caller, Request
-from soak.configuration import own_network
-from soak.ledger import AFTERMATH_S, Ledger
-from soak.links import BYTES_PER_MBIT, MOST_OWED_S, Link
-from soak.play import STOPS_ALONE, Soak
+from soak.configuration import get_loopback_prefix
+from soak.ledger import FAULT_EFFECT_SECONDS, Ledger
+from soak.links import BYTES_PER_MBIT, MAX_PENDING_SECONDS, Link
+from soak.play import PLANNED_STOPS_MODE, Soak
 from soak.targets import PORT, SoakTarget
 
 HERE = Path(__file__).parent
 
 
-class Target:
-    """A target as the ledger sees it."""
+class FakeTarget:
+    """The attributes of a target that the ledger reads."""
 
     def __init__(self, name, holds=()):
         self.name = name
-        self.life = 1
+        self.incarnation = 1
         self.holds = list(holds)
 
 
@@ -37,33 +37,35 @@
     return Ledger()
 
 
-def until(seconds):
+def expires_in(seconds):
     return time.monotonic() + seconds
 
 
 class TestLedger:
-    def test_calm_play_has_no_fault(self, ledger):
-        ledger.ran(Target("i-1"), "order-1", None)
-        ledger.answered("order-1", "POST", 200, b"answer to order-1", "i-1.order-1")
-        ledger.answered("order-2", "POST", 503, b"", "")
-        assert ledger.faults() == []
+    def test_run_without_faults_has_no_violation(self, ledger):
+        ledger.record_run(FakeTarget("i-1"), "order-1", None)
+        ledger.record_answer(
+            "order-1", "POST", 200, b"answer to order-1", "i-1.order-1"
+        )
+        ledger.record_answer("order-2", "POST", 503, b"", "")
+        assert ledger.find_violations() == []
 
     def test_order_that_ran_twice(self, ledger):
-        # A repeat went out after the first answer was lost, and a second motor ships.
-        ledger.ran(Target("i-1"), "order-1", None)
-        ledger.ran(Target("i-2"), "order-1", None)
-        assert ledger.faults() == ["order-1 ran at ['i-1', 'i-2']"]
+        # Guards against a retry of an order that has already run.
+        ledger.record_run(FakeTarget("i-1"), "order-1", None)
+        ledger.record_run(FakeTarget("i-2"), "order-1", None)
+        assert ledger.find_violations() == ["order-1 ran at ['i-1', 'i-2']"]
 
     def test_lookup_may_run_twice(self, ledger):
-        ledger.ran(Target("i-1"), "lookup-1", "7")
-        ledger.ran(Target("i-2"), "lookup-1", "7")
-        assert ledger.faults() == []
+        ledger.record_run(FakeTarget("i-1"), "lookup-1", "7")
+        ledger.record_run(FakeTarget("i-2"), "lookup-1", "7")
+        assert ledger.find_violations() == []
 
     def test_refusal_of_an_order_that_ran(self, ledger):
-        # The caller is told that its order has not run, and places it again.
-        ledger.ran(Target("i-1"), "order-1", None)
-        ledger.answered("order-1", "POST", 503, b"", "")
-        assert len(ledger.faults()) == 1
+        # The caller would take the order as not run and place it again.
+        ledger.record_run(FakeTarget("i-1"), "order-1", None)
+        ledger.record_answer("order-1", "POST", 503, b"", "")
+        assert len(ledger.find_violations()) == 1
 
     @pytest.mark.parametrize(
         ("body", "mark"),
@@ -74,107 +76,113 @@
         ],
     )
     def test_answer_that_is_not_the_request_s_own(self, ledger, body, mark):
-        ledger.ran(Target("i-1"), "lookup-1", "7")
-        ledger.answered("lookup-1", "GET", 200, body, mark)
-        assert len(ledger.faults()) == 1
+        ledger.record_run(FakeTarget("i-1"), "lookup-1", "7")
+        ledger.record_answer("lookup-1", "GET", 200, body, mark)
+        assert len(ledger.find_violations()) == 1
 
     def test_keys_with_two_holders(self, ledger):
-        # A target keeps its keys while another one is granted some of them.
-        ledger.held(Target("i-1", [(0, 99, 5, until(3.0))]))
-        ledger.held(Target("i-2", [(50, 200, 6, until(3.0))]))
-        (fault,) = ledger.faults()
+        # Guards against granting keys that another target still holds.
+        ledger.record_grants(FakeTarget("i-1", [(0, 99, 5, expires_in(3.0))]))
+        ledger.record_grants(FakeTarget("i-2", [(50, 200, 6, expires_in(3.0))]))
+        (fault,) = ledger.find_violations()
         assert fault.startswith("keys 50 to 99 held by i-1 and i-2")
 
     def test_keys_that_were_released_before(self, ledger):
-        first = Target("i-1", [(0, 99, 5, until(3.0))])
-        ledger.held(first)
+        first = FakeTarget("i-1", [(0, 99, 5, expires_in(3.0))])
+        ledger.record_grants(first)
         first.holds = []
-        ledger.held(first)
-        ledger.held(Target("i-2", [(0, 99, 6, until(3.0))]))
-        assert ledger.faults() == []
+        ledger.record_grants(first)
+        ledger.record_grants(FakeTarget("i-2", [(0, 99, 6, expires_in(3.0))]))
+        assert ledger.find_violations() == []
 
-    def test_target_that_ended_holds_nothing(self, ledger):
-        first = Target("i-1", [(0, 99, 5, until(3.0))])
-        ledger.held(first)
-        ledger.ended(first)
-        ledger.held(Target("i-2", [(0, 99, 6, until(3.0))]))
-        assert ledger.faults() == []
+    def test_ended_target_holds_nothing(self, ledger):
+        first = FakeTarget("i-1", [(0, 99, 5, expires_in(3.0))])
+        ledger.record_grants(first)
+        ledger.record_target_end(first)
+        ledger.record_grants(FakeTarget("i-2", [(0, 99, 6, expires_in(3.0))]))
+        assert ledger.find_violations() == []
 
 
 class TestLosses:
-    """What a planned stop may cost, and what it may not."""
+    """Which losses a planned stop may cause, and which it may not."""
 
     @pytest.fixture(autouse=True)
     def _asked(self, ledger):
-        ledger.asked("order-1", 0)
+        ledger.record_request("order-1", 0)
 
     @pytest.mark.parametrize("status", [0, 502, 504])
-    def test_request_that_ran_for_nothing(self, ledger, status):
-        # The process ends while a target is at work on an order; the caller can't know.
-        ledger.ran(Target("i-1"), "order-1", None)
-        ledger.answered("order-1", "POST", status, b"", "")
-        assert len(ledger.faults()) == 1
+    def test_request_that_ran_without_an_answer(self, ledger, status):
+        # The process exits while a target runs an order; the caller can't know whether
+        # the order ran.
+        ledger.record_run(FakeTarget("i-1"), "order-1", None)
+        ledger.record_answer("order-1", "POST", status, b"", "")
+        assert len(ledger.find_violations()) == 1
 
     def test_answer_that_breaks_off(self, ledger):
-        # The process ends with the rest of a download in its buffers.
-        ledger.answered("order-1", "POST", 0, b"HTTP/1.1 200 OK", "")
-        assert len(ledger.faults()) == 1
+        # The process exits with the rest of a download in its buffers.
+        ledger.record_answer("order-1", "POST", 0, b"HTTP/1.1 200 OK", "")
+        assert len(ledger.find_violations()) == 1
 
-    def test_request_that_ran_and_waits_for_ever(self, ledger):
-        # Its caller was told nothing when the play ended.
-        ledger.ran(Target("i-1"), "order-1", None)
-        assert len(ledger.faults()) == 1
+    def test_request_that_ran_and_was_never_answered(self, ledger):
+        # The request has no outcome at the end of the run.
+        ledger.record_run(FakeTarget("i-1"), "order-1", None)
+        assert len(ledger.find_violations()) == 1
 
-    def test_request_that_no_target_saw_may_be_asked_again(self, ledger):
-        # It crossed the close of its connection.
-        ledger.answered("order-1", "POST", 0, b"", "")
-        assert ledger.faults() == []
+    def test_request_that_no_target_saw_may_be_retried(self, ledger):
+        # The request was in flight when the VM closed its connection.
+        ledger.record_answer("order-1", "POST", 0, b"", "")
+        assert ledger.find_violations() == []
 
     def test_whole_answer(self, ledger):
-        ledger.ran(Target("i-1"), "order-1", None)
-        ledger.answered("order-1", "POST", 200, b"answer to order-1", "i-1.order-1")
-        assert ledger.faults() == []
+        ledger.record_run(FakeTarget("i-1"), "order-1", None)
+        ledger.record_answer(
+            "order-1", "POST", 200, b"answer to order-1", "i-1.order-1"
+        )
+        assert ledger.find_violations() == []
 
     def test_answer_that_is_shorter_than_asked_for(self, ledger):
-        # A part of a download passes for all of it.
-        ledger.asked("lookup-1", 90)
-        ledger.ran(Target("i-1"), "lookup-1", "7")
+        # Guards against taking a part of a download for all of it.
+        ledger.record_request("lookup-1", 90)
+        ledger.record_run(FakeTarget("i-1"), "lookup-1", "7")
         body = b"answer to lookup-1".ljust(89, b".")
-        ledger.answered("lookup-1", "GET", 200, body, "i-1.lookup-1")
-        assert len(ledger.faults()) == 1
+        ledger.record_answer("lookup-1", "GET", 200, body, "i-1.lookup-1")
+        assert len(ledger.find_violations()) == 1
 
     @pytest.mark.parametrize(
         ("start", "end", "faults"),
         [
             (-1.0, 1.0, 0),
-            (-10.0, -AFTERMATH_S + 0.5, 0),
-            (-10.0, -AFTERMATH_S - 0.5, 1),
+            (-10.0, -FAULT_EFFECT_SECONDS + 0.5, 0),
+            (-10.0, -FAULT_EFFECT_SECONDS - 0.5, 1),
             (5.0, 6.0, 1),
         ],
     )
-    def test_unplanned_faults_excuse_what_is_near(self, ledger, start, end, faults):
-        # One that ended long before, or began after the request's end, is another's.
+    def test_unplanned_faults_excuse_requests_near_them(
+        self, ledger, start, end, faults
+    ):
+        # A fault that ended long before the request, or began after it, can't have
+        # caused the loss.
         began = time.monotonic()
-        ledger.ran(Target("i-1"), "order-1", None)
-        ledger.answered("order-1", "POST", 0, b"", "")
-        ledger.troubled(began + start, began + end)
-        assert len(ledger.faults()) == faults
+        ledger.record_run(FakeTarget("i-1"), "order-1", None)
+        ledger.record_answer("order-1", "POST", 0, b"", "")
+        ledger.record_unplanned_fault(began + start, began + end)
+        assert len(ledger.find_violations()) == faults
 
     @pytest.mark.parametrize(("status", "faults"), [(0, 0), (1, 1), (-9, 1), (None, 1)])
-    def test_stop_that_does_not_end_well(self, ledger, status, faults):
-        # The platform kills a VM that is still at it when its stop time is over.
-        ledger.stopped("vm-1", time.monotonic() - 6.0, status)
-        assert len(ledger.faults()) == faults
+    def test_stop_that_does_not_end_cleanly(self, ledger, status, faults):
+        # The platform kills a VM that still runs when its stop time is over.
+        ledger.record_stop("vm-1", time.monotonic() - 6.0, status)
+        assert len(ledger.find_violations()) == faults
 
 
 class TestCaller:
-    """What callers behind a slow link note of their connections."""
+    """Which outcomes callers behind a slow link record."""
 
     SMALL = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
     LAST = SMALL.replace(b"\r\n", b"\r\nConnection: close\r\n", 1)
 
-    def told(self, ledger, sent, lookups=1, link=None, ends=True):
-        """Return what callers were told by a server that sends these bytes."""
+    def send_lookups(self, ledger, sent, lookups=1, link=None, ends=True):
+        """Return the outcomes of lookups at a server that sends ``sent``."""
 
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
@@ -189,60 +197,64 @@
             address = server.sockets[0].getsockname()
             caller = Caller(address, link or Link(10.0), ledger)
             requests = [Request(f"lookup-{n}", n) for n in range(lookups)]
-            await asyncio.wait_for(caller.ask(requests, 0.0), 5.0)
+            await asyncio.wait_for(caller.send_requests(requests, 0.0), 5.0)
             caller.close()
             server.close()
-            return [ledger.told[r.request_id][1:3] for r in requests]
+            return [ledger.answers[r.request_id][1:3] for r in requests]
 
         return asyncio.run(scenario())
 
     def test_answers_of_several_requests(self, ledger):
-        assert self.told(ledger, 2 * self.SMALL, 2, ends=False) == 2 * [(200, b"ok")]
+        assert self.send_lookups(ledger, 2 * self.SMALL, 2, ends=False) == 2 * [
+            (200, b"ok")
+        ]
 
-    def test_part_of_an_answer_is_noted(self, ledger):
-        # An answer that begins and breaks off would pass for none at all.
-        assert self.told(ledger, self.SMALL[:-1], 2) == [
+    def test_partial_answer_is_recorded(self, ledger):
+        # Guards against recording a truncated answer as no answer at all.
+        assert self.send_lookups(ledger, self.SMALL[:-1], 2) == [
             (0, self.SMALL[:-1]),
             (0, b""),
         ]
 
     def test_connection_that_ends_without_an_answer(self, ledger):
-        assert self.told(ledger, b"") == [(0, b"")]
+        assert self.send_lookups(ledger, b"") == [(0, b"")]
 
     def test_nothing_is_expected_behind_the_last_answer(self, ledger):
-        # What a VM does not answer after its word that it closes was never taken.
-        told = self.told(ledger, self.LAST, 2, ends=False)
-        assert told == [(200, b"ok"), (0, b"")]
+        # A VM accepts no request on a connection after it has announced the close.
+        outcomes = self.send_lookups(ledger, self.LAST, 2, ends=False)
+        assert outcomes == [(200, b"ok"), (0, b"")]
 
     def test_answer_takes_the_time_of_its_link(self, ledger):
-        # Without it no answer would be on its way when a VM stops.
+        # Without this delay no answer would be in flight when a VM stops.
         size = BYTES_PER_MBIT // 2
         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size
         began = time.monotonic()
-        ((status, body),) = self.told(ledger, head + bytes(size), link=Link(1.0))
+        ((status, body),) = self.send_lookups(
+            ledger, head + bytes(size), link=Link(1.0)
+        )
         assert (status, len(body)) == (200, size)
         assert time.monotonic() - began >= 0.5
 
     def test_link_takes_no_more_than_a_stop_can_wait_for(self):
-        # Answers that cannot leave in time would be found as losses of the program.
+        # Answers that the link can't transfer in time would be reported as lost.
         link = Link(10.0)
-        most = int(MOST_OWED_S * 10.0 * BYTES_PER_MBIT)
+        most = int(MAX_PENDING_SECONDS * 10.0 * BYTES_PER_MBIT)
         assert link.has_room(most)
-        link.owe(1)
+        link.add_pending_bytes(1)
         assert not link.has_room(most)
-        link.owe(-1)
+        link.add_pending_bytes(-1)
         assert link.has_room(most)
 
 
 class TestSoak:
     @pytest.mark.parametrize(("is_even", "most"), [(False, 3), (True, 1)])
     def test_load_is_even_where_all_must_be_answered(self, tmp_path, is_even, most):
-        # Lookups that come several at once, or close together, fill the queue of a
-        # target, which refuses some; the play would find fault where there is none.
-        soak = Soak(tmp_path, 8.0, 46, STOPS_ALONE)
-        soak.is_even = is_even
-        drawn = [len(soak.requests(Link(10.0))) for _ in range(200)]
-        pauses = {soak.pause() for _ in range(200)}
+        # Batches of lookups, or lookups close together, fill a target's queue, so that
+        # it refuses some. The final check would report these as violations.
+        soak = Soak(tmp_path, 8.0, 46, PLANNED_STOPS_MODE)
+        soak.has_even_load = is_even
+        drawn = [len(soak.draw_requests(Link(10.0))) for _ in range(200)]
+        pauses = {soak.draw_pause_seconds() for _ in range(200)}
         assert max(drawn) == most
         assert (len(pauses) == 1) is is_even
 
@@ -253,10 +265,12 @@
     HEALTH = b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"
 
     def test_crashed_target_takes_no_grant(self, ledger):
-        # A grant that comes while its connections close, one after the other, seems to
-        # give it keys which others have been granted since.
+        # The connections of a crashed target close one after the other. A grant that
+        # arrives meanwhile would overlap later grants of the same keys to others.
         async def scenario():
-            target = SoakTarget("i-1", "s", f"{own_network()}.2", ledger, Random(1))
+            target = SoakTarget(
+                "i-1", "s", f"{get_loopback_prefix()}.2", ledger, Random(1)
+            )
             target.start()
             ends = [await asyncio.open_connection(target.ip, PORT) for _ in range(8)]
             for reader, writer in ends:
@@ -271,9 +285,11 @@
         assert asyncio.run(scenario()) == []
 
     def test_crashed_target_runs_nothing(self, ledger):
-        # Orders that waited for a slot when it crashed would seem to run twice.
+        # Orders that waited for a slot at the crash would be recorded as run twice.
         async def scenario():
-            target = SoakTarget("i-1", "s", f"{own_network()}.2", ledger, Random(1))
+            target = SoakTarget(
+                "i-1", "s", f"{get_loopback_prefix()}.2", ledger, Random(1)
+            )
             target.start()
             for n in range(8):
                 _, writer = await asyncio.open_connection(target.ip, PORT)
@@ -289,8 +305,8 @@
         assert ran_later == ran
 
 
-def play(*options):
-    """Play a soak, which must find nothing that must never be."""
+def run_soak(*options):
+    """Run a soak and check that it finds no violation."""
     done = subprocess.run(
         [sys.executable, "soak/play.py", *options],
         cwd=HERE,
@@ -305,15 +321,16 @@
 @pytest.mark.failures
 @pytest.mark.failures_ci
 class TestStops:
-    def test_series_that_overlap_lose_nothing(self):
-        # VMs that are told to stop end with answers in their buffers, requests unread
-        # in their sockets, or calls to targets cut off.
-        play("--stops", "--seconds=8", "--seed=1")
+    def test_overlapping_stops_lose_nothing(self):
+        # Guards against stopping VMs that exit with answers in their buffers, unread
+        # requests in their sockets, or unfinished calls to targets.
+        run_soak("--stops", "--seconds=8", "--seed=1")
 
 
 @pytest.mark.failures
 @pytest.mark.failures_ci
-class TestHoldUps:
-    def test_vms_that_stand_still_for_a_moment_lose_nothing(self):
-        # Guards against 504 for requests whose answers had come to such a VM.
-        play("--hold-ups", "--seconds=8", "--seed=5")
+class TestShortPauses:
+    def test_vms_suspended_for_a_moment_lose_nothing(self):
+        # Guards against 504 for requests whose answers arrived while the VM was
+        # suspended.
+        run_soak("--hold-ups", "--seconds=8", "--seed=5")
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""Tests of the whole program on stand-ins of the platform, as processes."""
+"""End-to-end tests: VM processes against stand-ins of the platform."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     server_application,
     store_application,
 )
-from soak.configuration import own_network
+from soak.configuration import get_loopback_prefix
 
 ROOT = Path(__file__).resolve().parents[1]
 CONFIGURATION = {
@@ -69,18 +69,18 @@
         return sock.getsockname()[1]
 
 
-class Vm:
-    """One process of the program, on a loopback address of its own.
+class VmProcess:
+    """One VM process on its own loopback address.
 
-    A port that was drawn on an address that others use may be taken by the time that
-    the process listens on it.
+    The process does not use a free port of a shared address, because another process
+    may take that port before this one listens on it.
     """
 
-    # Last numbers of the addresses of VMs, each used once; those before are the soak's.
+    # Last octets of VM addresses, each used once; the soak uses the lower ones.
     _numbers = count(101)
 
     def __init__(self, number, folder, store_port):
-        self.ip = f"{own_network()}.{next(self._numbers)}"
+        self.ip = f"{get_loopback_prefix()}.{next(self._numbers)}"
         self.ports = [8381, 8388, 8382, 7200]
         front, ready, control, inner = self.ports
         text = [
@@ -108,8 +108,8 @@
             stderr=subprocess.STDOUT,
         )
 
-    async def last_metrics(self):
-        """Return the last metrics that it tells before its process is gone."""
+    async def fetch_last_metrics(self):
+        """Poll the metrics until the process ends and return the last values."""
         url = f"http://{self.ip}:{self.ports[3]}/metrics"
         page = b""
         while self.process.poll() is None:
@@ -121,27 +121,27 @@
         rows = (line.rpartition(" ") for line in page.decode().splitlines())
         return {name: float(value) for name, _, value in rows}
 
-    def messages(self):
+    def read_log_messages(self):
         self.log.seek(0)
         return [json.loads(line)["message"] for line in self.log]
 
-    def ends(self):
-        """Return why requests ended without a target's answer, for a failed test."""
+    def describe_ended_requests(self):
+        """Describe requests that ended without a target's answer, for assertions."""
         self.log.seek(0)
         lines = [json.loads(line) for line in self.log]
         ended = [line for line in lines if line["message"] == "request ended"]
         return "; ".join(f"{x['id']}: {x['reason']} {x['detail']}" for x in ended)
 
-    async def ready(self):
+    async def is_ready(self):
         url = f"http://{self.ip}:{self.ports[1]}/v1/ready"
         try:
             found = await AsyncHTTPClient().fetch(url, raise_error=False)
         except OSError:
-            # It does not listen yet.
+            # The process does not listen yet.
             return False
         return found.code == 200
 
-    async def ask(self, number, key):
+    async def send_request(self, number, key):
         headers = {
             "Host": "h.example",
             "Berylstage-Attempt-Id": f"id-{number}",
@@ -152,20 +152,19 @@
         return await AsyncHTTPClient().fetch(url, headers=headers, raise_error=False)
 
 
-async def until(condition, seconds=15.0):
+async def wait_until(condition, seconds=15.0):
     end = time.monotonic() + seconds
     while not await condition():
-        assert time.monotonic() < end, "it did not come about in time"
+        assert time.monotonic() < end, "condition not met in time"
         await asyncio.sleep(0.05)
 
 
 class TestProgram:
-    def test_serves_keys_through_the_loss_of_the_vm_with_the_duty(self, tmp_path):
-        # Two VMs stand between callers and two targets that share the keys. The VM with
-        # the duty of granting is killed, and the other one stopped after a while.
-        # Callers of the other VM must get whole answers all the while, each from the
-        # one target that holds the key, and the stop must be a clean one.
-        async def play():
+    def test_serves_keys_when_the_coordinator_is_killed(self, tmp_path):
+        # Two VMs route requests to two targets that share the keys. The coordinator is
+        # killed; callers of the other VM must still get complete answers, each from the
+        # target that owns the key. The other VM is then stopped and must exit cleanly.
+        async def scenario():
             state = StoreState()
             store = HTTPServer(store_application(state))
             store_port = free_port()
@@ -183,65 +182,71 @@
                 state.put(f"servers/{name}", json.dumps(record).encode())
                 servers.append(server)
             state.put("op/config", json.dumps(CONFIGURATION).encode())
-            vms = [Vm(n, tmp_path, store_port) for n in (1, 2)]
+            vms = [VmProcess(n, tmp_path, store_port) for n in (1, 2)]
             try:
                 for vm in vms:
-                    await until(vm.ready)
-                await self.follow(vms, servers, state)
+                    await wait_until(vm.is_ready)
+                await self.check_failover(vms, servers, state)
             finally:
                 for vm in vms:
                     vm.process.kill()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    async def settled(self, state):
-        """Wait until no key has been on the move for a second."""
+    async def wait_until_keys_settle(self, state):
+        """Wait until no key has been moving for a second."""
 
-        async def for_a_second():
+        async def no_key_moves_for_a_second():
             since = time.monotonic()
             while time.monotonic() < since + 1.0:
                 value = b64decode(state.items["berylstage/keys/s"]["value"])
-                kept = json.loads(zlib.decompress(value))
-                if any(row[4] for row in kept["ranges"]):
+                record = json.loads(zlib.decompress(value))
+                if any(row[4] for row in record["ranges"]):
                     return False
                 await asyncio.sleep(0.02)
             return True
 
-        await until(for_a_second)
+        await wait_until(no_key_moves_for_a_second)
 
-    async def follow(self, vms, servers, state):
-        async def both_hold():
+    async def check_failover(self, vms, servers, state):
+        async def both_have_grants():
             return all(server.holds for server in servers)
 
-        await until(both_hold)
-        answers = [await vms[n % 2].ask(n, n * 3000) for n in range(20)]
-        assert [a.code for a in answers] == [200] * 20, "".join(vm.ends() for vm in vms)
+        await wait_until(both_have_grants)
+        answers = [await vms[n % 2].send_request(n, n * 3000) for n in range(20)]
+        assert [a.code for a in answers] == [200] * 20, "".join(
+            vm.describe_ended_requests() for vm in vms
+        )
         assert {a.headers["Berylstage-Backend-Signature"] for a in answers} == {
             "i-1",
             "i-2",
         }
-        # Keys that are on the move when the VM is lost wait for holds that may still
-        # run: the availability tests have a row for that loss, and it is left out here.
-        await self.settled(state)
-        duty = json.loads(b64decode(state.items["berylstage/duty"]["value"]))["vm"]
-        lost, other = sorted(
-            vms, key=lambda vm: not vm.log.name.endswith(f"{duty}.log")
+        # Keys that are moving when the coordinator is killed stay unavailable until
+        # grants that may still be valid expire. The availability tests cover that case;
+        # this test excludes it.
+        await self.wait_until_keys_settle(state)
+        coordinator = json.loads(b64decode(state.items["berylstage/duty"]["value"]))[
+            "vm"
+        ]
+        killed, survivor = sorted(
+            vms, key=lambda vm: not vm.log.name.endswith(f"{coordinator}.log")
         )
-        lost.process.kill()
+        killed.process.kill()
         codes = []
         for n in range(100, 160):
-            codes.append((await other.ask(n, n * 400)).code)
+            codes.append((await survivor.send_request(n, n * 400)).code)
             await asyncio.sleep(0.05)
-        assert codes == [200] * 60, other.ends()
-        assert "duty taken" in other.messages()
-        answer = await other.ask(999, 5)
-        assert answer.body == b"whole", other.ends()
+        assert codes == [200] * 60, survivor.describe_ended_requests()
+        assert "duty taken" in survivor.read_log_messages()
+        answer = await survivor.send_request(999, 5)
+        assert answer.body == b"whole", survivor.describe_ended_requests()
         ran = [run for server in servers for run in server.ran]
         assert len(ran) == len(set(ran))
-        other.process.send_signal(signal.SIGTERM)
-        page = await other.last_metrics()
-        assert await asyncio.to_thread(other.process.wait, 7) == 0
-        assert "stopped" in other.messages()
-        # It answered until the phases were over, and told the time of the first one.
+        survivor.process.send_signal(signal.SIGTERM)
+        page = await survivor.fetch_last_metrics()
+        assert await asyncio.to_thread(survivor.process.wait, 7) == 0
+        assert "stopped" in survivor.read_log_messages()
+        # The VM serves metrics until the stop phases are over, and these include the
+        # duration of the first phase.
         assert 2.0 < page['berylstage_stop_phase_seconds{phase="leaving"}'] < 6.0
         assert page['berylstage_stop_events_total{event="cut"}'] == 0
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -1,4 +1,4 @@
-"""Tests of stops that lose nothing, with VMs as processes and callers as sockets."""
+"""Tests that stopping a VM process loses no requests."""
 
 from __future__ import annotations
 
@@ -10,424 +10,452 @@
 
 sys.path.insert(0, str(Path(__file__).parent))
 
-from slow_caller import WINDOW_BYTES, Request
-from stop_stage import GRACE_S, Stage
-from test_start import until
-
-# Seconds after SIGTERM for which the balancer may still send callers: it asks once a
-# second and leaves a VM out after two misses.
-BALANCER_S = 2.0
-# Seconds after SIGTERM at which a VM closes the connections without a request.
-IDLE_CLOSE_S = 2.6
-# Seconds between the moments of a sweep.
-STEP_S = 0.01
-# Seconds between signals that are sent until a process ends.
-SIGNAL_STEP_S = 0.002
-# Seconds for which callers wait for the last answer after a process has ended.
-LAST_ANSWER_S = 3.0
-MS = 1000
-# Bytes of answers that the kernel of a slow caller takes unread, at most.
-TAKEN_BYTES = 4 * WINDOW_BYTES
-# Bytes of an answer's head at most.
-HEAD_BYTES = 1024
+from slow_caller import RECEIVE_BUFFER_BYTES, Request
+from stop_environment import STOP_GRACE_SECONDS, StopEnvironment
+from test_start import wait_until
+
+# Seconds after SIGTERM for which the load balancer may still send callers: it checks
+# readiness once a second and removes a VM after two failed checks.
+BALANCER_SENDS_SECONDS = 2.0
+# Seconds after SIGTERM at which a VM closes idle connections.
+IDLE_CLOSE_SECONDS = 2.6
+# Seconds between two offsets of a sweep.
+SWEEP_STEP_SECONDS = 0.01
+# Seconds between signals that are sent until the process exits.
+SIGNAL_INTERVAL_SECONDS = 0.002
+# Seconds for which callers wait for the last answers after the process has exited.
+LAST_ANSWER_TIMEOUT_SECONDS = 3.0
+MS_PER_SECOND = 1000
+# Maximum bytes that the kernel of a slow caller buffers unread.
+MAX_KERNEL_BUFFERED_BYTES = 4 * RECEIVE_BUFFER_BYTES
+# Maximum bytes of an answer's head.
+MAX_HEAD_BYTES = 1024
 PAGE_BYTES = 90_000
 DOWNLOAD_BYTES = 1_000_000
 
 
-def moments(first, last, step=STEP_S):
-    """Return the moments of a sweep, in seconds after SIGTERM."""
+def sweep_offsets(first, last, step=SWEEP_STEP_SECONDS):
+    """Return evenly spaced offsets in seconds after SIGTERM, both ends included."""
     return [first + step * n for n in range(round((last - first) / step) + 1)]
 
 
-class Play:
-    """One stop of a VM with callers at it, and the verdict on their requests.
+class StopScenario:
+    """One stop of a VM with active callers, and the checks of their requests.
 
     Parameters
     ----------
-    stage : Stage
+    environment : StopEnvironment
     vm : StoppingVm
+        The VM that is stopped.
     """
 
-    def __init__(self, stage, vm):
-        self.stage = stage
+    def __init__(self, environment, vm):
+        self.environment = environment
         self.vm = vm
         self.callers = []
-        # Bytes that callers had not received when the process ended.
-        self.left = {}
-        self._sending = []
+        # Bytes that callers had not received when the process exited.
+        self.unreceived_bytes = {}
+        self._scheduled = []
 
-    async def caller(self, link_mbps=None, reads=True):
-        caller = await self.stage.caller(self.vm, link_mbps, reads)
+    async def add_caller(self, link_mbps=None, reads=True):
+        caller = await self.environment.connect_caller(self.vm, link_mbps, reads)
         self.callers.append(caller)
         return caller
 
-    async def kept(self, count, link_mbps=None):
-        """Return connections on which a request has been answered."""
-        callers = [await self.caller(link_mbps) for _ in range(count)]
+    async def add_keep_alive_callers(self, count, link_mbps=None):
+        """Return keep-alive connections on which one request has been answered."""
+        callers = [await self.add_caller(link_mbps) for _ in range(count)]
         for caller in callers:
-            await caller.send(self.request())
+            await caller.send(self.new_request())
         for caller in callers:
-            await asyncio.wait_for(caller.answered(), GRACE_S)
+            await asyncio.wait_for(caller.wait_for_answers(), STOP_GRACE_SECONDS)
         return callers
 
-    def request(self, size=100, pause_ms=0, method="GET"):
-        return Request(self.stage.number(), size, pause_ms, method)
+    def new_request(self, size=100, pause_ms=0, method="GET"):
+        return Request(self.environment.next_request_number(), size, pause_ms, method)
 
-    def at(self, moment, step):
-        """Take a step so many seconds after SIGTERM."""
-        self._sending.append((moment, step))
+    def schedule(self, offset, step):
+        """Schedule a step for the given number of seconds after SIGTERM."""
+        self._scheduled.append((offset, step))
 
-    def send_at(self, moment, caller, *requests):
-        self.at(moment, lambda: caller.send(*requests))
+    def send_at(self, offset, caller, *requests):
+        self.schedule(offset, lambda: caller.send(*requests))
 
-    def connect_at(self, moment, request):
-        """Send a request on a connection that begins with it."""
+    def connect_at(self, offset, request):
+        """Schedule a request on a new connection."""
 
         async def connect():
-            caller = await self.caller()
+            caller = await self.add_caller()
             await caller.send(request)
 
-        self.at(moment, connect)
+        self.schedule(offset, connect)
 
-    def signal_at(self, moment, number):
-        async def tell():
-            self.vm.tell(number)
+    def signal_at(self, offset, number):
+        async def send_signal():
+            self.vm.send_signal(number)
 
-        self.at(moment, tell)
+        self.schedule(offset, send_signal)
 
     async def stop(self):
-        """Tell the VM to stop, take the steps, and check how the process ends."""
+        """Stop the VM, run the scheduled steps and check the exit status."""
         self.vm.stop()
-        steps = [asyncio.create_task(self._take(*step)) for step in self._sending]
-        status = await self.vm.ended()
-        self.left = {c: self._bytes_left(c) for c in self.callers if c.reads}
+        steps = [asyncio.create_task(self._run_step(*step)) for step in self._scheduled]
+        status = await self.vm.wait_for_exit()
+        self.unreceived_bytes = {
+            c: self._count_unreceived_bytes(c) for c in self.callers if c.reads
+        }
         await asyncio.gather(*steps)
-        await self._settle()
-        assert status == 0, self.vm.tail()
+        await self._wait_for_answers()
+        assert status == 0, self.vm.read_log_tail()
 
-    async def _take(self, moment, step):
-        await self.vm.at(moment)
+    async def _run_step(self, offset, step):
+        await self.vm.wait_until_after_sigterm(offset)
         await step()
 
-    def _bytes_left(self, caller):
-        ran = set(self.stage.ran)
-        due = sum(request.size for request in caller.waiting if request.id in ran)
+    def _count_unreceived_bytes(self, caller):
+        ran = set(self.environment.ran)
+        due = sum(request.size for request in caller.unanswered if request.id in ran)
         return due - caller.bytes_buffered
 
-    async def _settle(self):
-        ends = [caller.answered() for caller in self.callers if caller.reads]
-        await asyncio.wait_for(asyncio.gather(*ends), LAST_ANSWER_S)
+    async def _wait_for_answers(self):
+        ends = [caller.wait_for_answers() for caller in self.callers if caller.reads]
+        await asyncio.wait_for(asyncio.gather(*ends), LAST_ANSWER_TIMEOUT_SECONDS)
 
     @property
     def requests(self):
         return [request for caller in self.callers for request in caller.requests]
 
-    def sent_by(self, seconds):
-        """Return the requests that were sent until so long after SIGTERM."""
-        end = self.vm.told_at + seconds
+    def requests_sent_by(self, seconds):
+        """Return the requests sent up to the given number of seconds after SIGTERM."""
+        end = self.vm.sigterm_at + seconds
         return [request for request in self.requests if request.sent_at <= end]
 
-    def check(self, readers=None):
-        """Check that nothing was lost of the requests of callers that read."""
+    def check_nothing_lost(self, readers=None):
+        """Check that no request of a caller that reads was lost."""
         requests = self.requests if readers is None else readers
-        ran = set(self.stage.ran)
-        cut = [r for r in requests if r.has_begun and not r.is_whole]
+        ran = set(self.environment.ran)
+        cut = [r for r in requests if r.has_begun and not r.is_complete]
         assert not cut, f"{len(cut)} answers cut: {cut[:5]}"
         lost = [r for r in requests if r.id in ran and not r.is_served]
         assert not lost, f"{len(lost)} requests lost that ran: {lost[:5]}"
-        # A machine that is switched off behind its process takes them along.
-        left = [n for n in self.left.values() if n > TAKEN_BYTES]
+        # If the machine is switched off once the process exits, bytes in flight are
+        # lost.
+        left = [
+            n for n in self.unreceived_bytes.values() if n > MAX_KERNEL_BUFFERED_BYTES
+        ]
         assert not left, f"{len(left)} answers on their way at the end: {left[:5]}"
-        early = [r for r in self.sent_by(BALANCER_S) if r in requests]
-        bare = [r for r in early if not r.is_whole and not r.is_behind_end]
-        assert not bare, f"{len(bare)} early requests without an answer: {bare[:5]}"
+        early = [
+            r for r in self.requests_sent_by(BALANCER_SENDS_SECONDS) if r in requests
+        ]
+        missing = [r for r in early if not r.is_complete and not r.is_after_close]
+        assert not missing, (
+            f"{len(missing)} early requests without an answer: {missing[:5]}"
+        )
         large = [r for r in early if r.size >= PAGE_BYTES and not r.is_served]
         assert not large, f"{len(large)} large answers not served: {large[:5]}"
 
     def check_log(self):
-        """Check that the VM too knows of no request that it read and left."""
-        assert self.vm.lines("connection cut") == []
-        ended = self.vm.lines("request ended")
+        """Check that the VM's log has no request that was read and not answered."""
+        assert self.vm.read_log_entries("connection cut") == []
+        ended = self.vm.read_log_entries("request ended")
         assert [line for line in ended if line["status"] == 0] == []
-        (stopped,) = self.vm.lines("stopped")
-        answered = [r for r in self.requests if r.is_whole]
-        later = [r for r in answered if r.sent_at >= self.vm.told_at]
+        (stopped,) = self.vm.read_log_entries("stopped")
+        answered = [r for r in self.requests if r.is_complete]
+        later = [r for r in answered if r.sent_at >= self.vm.sigterm_at]
         assert stopped["begun"] <= len(later), "a request was read and not answered"
 
 
-class TestMoments:
-    """Requests that begin at any moment from SIGTERM to the end of the process."""
+class TestRequestTimes:
+    """Requests sent at any time from SIGTERM to the exit of the process."""
 
-    # Seconds for which a request is served, at least, that others come behind.
-    SERVED_S = 0.2
+    # Minimum service time of a request with another one pipelined behind it.
+    MIN_SERVICE_SECONDS = 0.2
 
     def test_requests_on_kept_and_new_connections(self, tmp_path):
-        # Guards against a moment of the stop at which a request is read, or run, and
-        # its connection closed without an answer.
-        async def play():
-            async with Stage(tmp_path) as stage:
-                stop = Play(stage, stage.vms[0])
-                sweep = moments(0.0, GRACE_S)
-                callers = await stop.kept(len(sweep))
-                for number, moment in enumerate(sweep):
+        # Guards against a stop phase in which a request is read or run and its
+        # connection is closed without an answer.
+        async def scenario():
+            async with StopEnvironment(tmp_path) as environment:
+                stop = StopScenario(environment, environment.vms[0])
+                sweep = sweep_offsets(0.0, STOP_GRACE_SECONDS)
+                callers = await stop.add_keep_alive_callers(len(sweep))
+                for number, offset in enumerate(sweep):
                     method = "POST" if number % 2 else "GET"
-                    request = stop.request(method=method, pause_ms=20)
-                    stop.send_at(moment, callers[number], request)
-                    stop.connect_at(moment, stop.request(method=method, pause_ms=20))
+                    request = stop.new_request(method=method, pause_ms=20)
+                    stop.send_at(offset, callers[number], request)
+                    stop.connect_at(
+                        offset, stop.new_request(method=method, pause_ms=20)
+                    )
                 await stop.stop()
-                stop.check()
+                stop.check_nothing_lost()
                 stop.check_log()
 
-        asyncio.run(play())
-
-    def test_requests_behind_one_that_is_served(self, tmp_path):
-        # Guards against a request that is read behind another one, or crosses the
-        # answer to it, and is dropped when that answer closes the connection.
-        async def play():
-            async with Stage(tmp_path, vms=2) as stage:
-                first, second = (Play(stage, vm) for vm in stage.vms)
-                await self.follow(first, 0.0)
-                await self.follow(second, 0.15)
-
-        asyncio.run(play())
-
-    async def follow(self, stop, ahead):
-        """Send requests so many seconds before the answers to those before them."""
-        sweep = moments(self.SERVED_S, 4.0)
-        for number, caller in enumerate(await stop.kept(len(sweep))):
-            moment = sweep[number]
-            # Later ones would come to a connection that is closed as idle.
-            begin = BALANCER_S * number / len(sweep)
-            pause_ms = int((moment + ahead - begin) * MS)
-            stop.send_at(begin, caller, stop.request(pause_ms=pause_ms))
+        asyncio.run(scenario())
+
+    def test_requests_pipelined_behind_one_in_progress(self, tmp_path):
+        # Guards against dropping a pipelined request, or one in flight at the same time
+        # as the previous answer, when that answer closes the connection.
+        async def scenario():
+            async with StopEnvironment(tmp_path, vms=2) as environment:
+                first, second = (
+                    StopScenario(environment, vm) for vm in environment.vms
+                )
+                await self.send_behind_slow_requests(first, 0.0)
+                await self.send_behind_slow_requests(second, 0.15)
+
+        asyncio.run(scenario())
+
+    async def send_behind_slow_requests(self, stop, ahead):
+        """Pipeline requests ``ahead`` seconds before the previous answer is due."""
+        sweep = sweep_offsets(self.MIN_SERVICE_SECONDS, 4.0)
+        for number, caller in enumerate(await stop.add_keep_alive_callers(len(sweep))):
+            offset = sweep[number]
+            # A request sent later would find its connection closed as idle.
+            begin = BALANCER_SENDS_SECONDS * number / len(sweep)
+            pause_ms = int((offset + ahead - begin) * MS_PER_SECOND)
+            stop.send_at(begin, caller, stop.new_request(pause_ms=pause_ms))
             method = "POST" if number % 2 else "GET"
-            stop.send_at(moment, caller, stop.request(method=method, pause_ms=20))
+            stop.send_at(offset, caller, stop.new_request(method=method, pause_ms=20))
         await stop.stop()
-        stop.check()
+        stop.check_nothing_lost()
         stop.check_log()
 
 
 class TestPipelines:
-    """Callers that send requests without waiting for the answers before them."""
-
-    def test_caller_that_always_has_a_request_behind(self, tmp_path):
-        # Guards against the end of the stop time cutting off a caller whose connection
-        # is never without a request.
-        async def play():
-            async with Stage(tmp_path) as stage:
-                stop = Play(stage, stage.vms[0])
-                feeds = [
-                    asyncio.create_task(self.feed(stop, await stop.caller(), method))
+    """Callers that send requests without waiting for earlier answers."""
+
+    def test_caller_whose_pipeline_never_empties(self, tmp_path):
+        # Guards against cutting off a caller at the end of the stop time because its
+        # connection always has a pending request.
+        async def scenario():
+            async with StopEnvironment(tmp_path) as environment:
+                stop = StopScenario(environment, environment.vms[0])
+                senders = [
+                    asyncio.create_task(
+                        self.keep_pipeline_full(stop, await stop.add_caller(), method)
+                    )
                     for method in ("GET", "POST", "GET", "POST")
                 ]
                 await asyncio.sleep(0.3)
                 await stop.stop()
-                await asyncio.gather(*feeds)
-                stop.check()
-                assert stop.vm.lines("connection cut") == []
+                await asyncio.gather(*senders)
+                stop.check_nothing_lost()
+                assert stop.vm.read_log_entries("connection cut") == []
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    async def feed(self, stop, caller, method):
-        """Send requests faster than they are served until the connection ends."""
-        while not caller.has_ended:
-            if len(caller.waiting) < 8:
-                await caller.send(stop.request(pause_ms=100, method=method))
+    async def keep_pipeline_full(self, stop, caller, method):
+        """Send requests faster than they are served until the connection closes."""
+        while not caller.is_closed:
+            if len(caller.unanswered) < 8:
+                await caller.send(stop.new_request(pause_ms=100, method=method))
             await asyncio.sleep(0.03)
 
-    def test_many_large_answers_behind_each_other_on_slow_links(self, tmp_path):
-        # Guards against closing behind an answer while others of the connection are
-        # still to leave.
-        async def play():
-            async with Stage(tmp_path) as stage:
-                stop = Play(stage, stage.vms[0])
-                for moment in moments(0.0, 2.0, 0.1):
-                    caller = await stop.caller(link_mbps=4)
-                    requests = [stop.request(PAGE_BYTES) for _ in range(6)]
-                    stop.send_at(moment, caller, *requests)
+    def test_many_large_pipelined_answers_on_slow_links(self, tmp_path):
+        # Guards against closing a connection after one answer while later answers on it
+        # have not been sent.
+        async def scenario():
+            async with StopEnvironment(tmp_path) as environment:
+                stop = StopScenario(environment, environment.vms[0])
+                for offset in sweep_offsets(0.0, 2.0, 0.1):
+                    caller = await stop.add_caller(link_mbps=4)
+                    requests = [stop.new_request(PAGE_BYTES) for _ in range(6)]
+                    stop.send_at(offset, caller, *requests)
                 await stop.stop()
-                stop.check()
+                stop.check_nothing_lost()
                 stop.check_log()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
 
 class TestSlowCallers:
-    """Callers on slow links that take large answers while a VM stops."""
+    """Callers on slow links that receive large answers while a VM stops."""
 
     def test_answers_on_slow_links_arrive_whole(self, tmp_path):
-        # Guards against the end of the process, or of a connection, with an answer
-        # that the caller is still taking.
-        async def play():
-            async with Stage(tmp_path) as stage:
-                stop = Play(stage, stage.vms[0])
-                for moment in moments(0.0, 2.4, 0.2):
-                    await self.add(stop, moment, 10, DOWNLOAD_BYTES)
-                    await self.add(stop, moment, 4, DOWNLOAD_BYTES)
-                    await self.add(stop, moment, 1, PAGE_BYTES)
+        # Guards against the process exiting, or a connection closing, while the caller
+        # is still receiving an answer.
+        async def scenario():
+            async with StopEnvironment(tmp_path) as environment:
+                stop = StopScenario(environment, environment.vms[0])
+                for offset in sweep_offsets(0.0, 2.4, 0.2):
+                    await self.add_download(stop, offset, 10, DOWNLOAD_BYTES)
+                    await self.add_download(stop, offset, 4, DOWNLOAD_BYTES)
+                    await self.add_download(stop, offset, 1, PAGE_BYTES)
                 await stop.stop()
-                stop.check()
+                stop.check_nothing_lost()
                 stop.check_log()
 
-        asyncio.run(play())
-
-    async def add(self, stop, moment, link_mbps, size):
-        (caller,) = await stop.kept(1, link_mbps)
-        stop.send_at(moment, caller, stop.request(size))
-
-    def test_request_behind_an_answer_on_its_way(self, tmp_path):
-        # Guards against a connection that is taken for idle while its answer, made
-        # before SIGTERM, is on its way: the next request on it resets the connection.
-        async def play():
-            async with Stage(tmp_path) as stage:
-                stop = Play(stage, stage.vms[0])
-                for moment in moments(2.0, 3.4, 0.05):
-                    caller = await stop.caller(link_mbps=2)
-                    await caller.send(stop.request(DOWNLOAD_BYTES))
-                    stop.send_at(moment, caller, stop.request(PAGE_BYTES))
-                await self.all_begun(stop)
+        asyncio.run(scenario())
+
+    async def add_download(self, stop, offset, link_mbps, size):
+        (caller,) = await stop.add_keep_alive_callers(1, link_mbps)
+        stop.send_at(offset, caller, stop.new_request(size))
+
+    def test_request_pipelined_behind_an_answer_being_sent(self, tmp_path):
+        # Guards against closing a connection as idle while an answer produced before
+        # SIGTERM is still being sent: the next request would reset the connection.
+        async def scenario():
+            async with StopEnvironment(tmp_path) as environment:
+                stop = StopScenario(environment, environment.vms[0])
+                for offset in sweep_offsets(2.0, 3.4, 0.05):
+                    caller = await stop.add_caller(link_mbps=2)
+                    await caller.send(stop.new_request(DOWNLOAD_BYTES))
+                    stop.send_at(offset, caller, stop.new_request(PAGE_BYTES))
+                await self.wait_until_answers_begin(stop)
                 await stop.stop()
-                stop.check()
+                stop.check_nothing_lost()
                 stop.check_log()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    async def all_begun(self, stop):
-        """Wait until the answers to all that was sent are on their way."""
+    async def wait_until_answers_begin(self, stop):
+        """Wait until callers have begun to receive all answers."""
 
-        async def begun():
+        async def have_begun():
             return all(request.has_begun for request in stop.requests)
 
-        await until(begun)
+        await wait_until(have_begun)
 
     def test_many_downloads_at_once(self, tmp_path):
-        # Guards against a process that ends when the first of several answers is out.
-        async def play():
-            async with Stage(tmp_path) as stage:
-                stop = Play(stage, stage.vms[0])
+        # Guards against a process that exits once the first of several answers is sent.
+        async def scenario():
+            async with StopEnvironment(tmp_path) as environment:
+                stop = StopScenario(environment, environment.vms[0])
                 for number in range(24):
-                    (caller,) = await stop.kept(1, link_mbps=10 if number % 2 else None)
-                    moment = BALANCER_S if number % 3 else 0.0
-                    stop.send_at(moment, caller, stop.request(DOWNLOAD_BYTES))
+                    (caller,) = await stop.add_keep_alive_callers(
+                        1, link_mbps=10 if number % 2 else None
+                    )
+                    offset = BALANCER_SENDS_SECONDS if number % 3 else 0.0
+                    stop.send_at(offset, caller, stop.new_request(DOWNLOAD_BYTES))
                 await stop.stop()
-                stop.check()
+                stop.check_nothing_lost()
                 stop.check_log()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
     def test_caller_that_never_reads(self, tmp_path):
-        # Guards against a caller that takes nothing and so keeps a VM from ending, and
-        # against a cut that the log does not tell.
-        async def play():
-            async with Stage(tmp_path) as stage:
-                stop = Play(stage, stage.vms[0])
-                stuck = [stop.request(size) for size in (PAGE_BYTES, DOWNLOAD_BYTES)]
+        # Guards against a caller that reads nothing and so prevents the VM from
+        # exiting, and against a cut connection that is not logged.
+        async def scenario():
+            async with StopEnvironment(tmp_path) as environment:
+                stop = StopScenario(environment, environment.vms[0])
+                stuck = [
+                    stop.new_request(size) for size in (PAGE_BYTES, DOWNLOAD_BYTES)
+                ]
                 for request in stuck:
-                    await (await stop.caller(reads=False)).send(request)
-                readers = await stop.kept(4, link_mbps=10)
+                    await (await stop.add_caller(reads=False)).send(request)
+                readers = await stop.add_keep_alive_callers(4, link_mbps=10)
                 for reader in readers:
-                    stop.send_at(BALANCER_S, reader, stop.request(DOWNLOAD_BYTES))
+                    stop.send_at(
+                        BALANCER_SENDS_SECONDS, reader, stop.new_request(DOWNLOAD_BYTES)
+                    )
                 await stop.stop()
-                stop.check([r for reader in readers for r in reader.requests])
-                cuts = stop.vm.lines("connection cut")
+                stop.check_nothing_lost(
+                    [r for reader in readers for r in reader.requests]
+                )
+                cuts = stop.vm.read_log_entries("connection cut")
                 left = {line["id"]: line["bytes_left"] for line in cuts}
                 assert left.keys() == {request.id for request in stuck}
                 for request in stuck:
-                    self.check_left(request, left[request.id])
+                    self.check_unsent_bytes(request, left[request.id])
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    def check_left(self, request, bytes_left):
-        """Check that all but what the caller's kernel took is told as left."""
-        least = request.size - TAKEN_BYTES
-        assert least <= bytes_left <= request.size + HEAD_BYTES, request
+    def check_unsent_bytes(self, request, bytes_left):
+        """Check that the log counts all bytes the caller's kernel has not buffered."""
+        least = request.size - MAX_KERNEL_BUFFERED_BYTES
+        assert least <= bytes_left <= request.size + MAX_HEAD_BYTES, request
 
 
-class TestHeldUp:
-    """A process that does not run for a while when it closes idle connections."""
+class TestSuspendedProcess:
+    """A process that is suspended at the time it closes idle connections."""
 
-    HELD_UP_S = 0.3
+    SUSPENDED_SECONDS = 0.3
 
-    def test_requests_that_come_meanwhile(self, tmp_path):
-        # Guards against a loop that comes late and closes connections as idle on
-        # requests that have come.
-        async def play():
-            async with Stage(tmp_path, vms=4) as stage:
-                begins = [IDLE_CLOSE_S - 0.25 + 0.06 * n for n in range(4)]
-                plays = [Play(stage, vm) for vm in stage.vms]
-                both = zip(plays, begins, strict=True)
-                await asyncio.gather(*(self.hold_up(*pair) for pair in both))
+    def test_requests_received_while_suspended(self, tmp_path):
+        # Guards against an event loop that resumes late and closes connections as idle
+        # although requests have arrived on them.
+        async def scenario():
+            async with StopEnvironment(tmp_path, vms=4) as environment:
+                begins = [IDLE_CLOSE_SECONDS - 0.25 + 0.06 * n for n in range(4)]
+                stops = [StopScenario(environment, vm) for vm in environment.vms]
+                both = zip(stops, begins, strict=True)
+                await asyncio.gather(*(self.suspend_process(*pair) for pair in both))
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    async def hold_up(self, stop, begin):
-        sweep = moments(begin - 0.1, begin + self.HELD_UP_S + 0.1)
-        callers = await stop.kept(len(sweep))
-        for number, moment in enumerate(sweep):
+    async def suspend_process(self, stop, begin):
+        sweep = sweep_offsets(begin - 0.1, begin + self.SUSPENDED_SECONDS + 0.1)
+        callers = await stop.add_keep_alive_callers(len(sweep))
+        for number, offset in enumerate(sweep):
             method = "POST" if number % 2 else "GET"
-            stop.send_at(moment, callers[number], stop.request(method=method))
+            stop.send_at(offset, callers[number], stop.new_request(method=method))
         stop.signal_at(begin, signal.SIGSTOP)
-        come = []
-        stop.at(begin + self.HELD_UP_S, lambda: self.go_on(stop, come))
+        received = []
+        stop.schedule(
+            begin + self.SUSPENDED_SECONDS, lambda: self.resume_process(stop, received)
+        )
         await stop.stop()
-        stop.check()
-        bare = [request for request in come if not request.is_whole]
-        assert not bare, f"{len(bare)} of {len(come)} not answered: {bare[:5]}"
+        stop.check_nothing_lost()
+        missing = [request for request in received if not request.is_complete]
+        assert not missing, (
+            f"{len(missing)} of {len(received)} not answered: {missing[:5]}"
+        )
         stop.check_log()
 
-    async def go_on(self, stop, come):
-        """Let the process go on, and note what came to it while it stood still."""
+    async def resume_process(self, stop, received):
+        """Resume the process and record the requests sent while it was suspended."""
         for caller in stop.callers:
-            # One that was closed before has ended for its caller by now.
-            if not caller.has_ended:
-                come += caller.waiting
-        stop.vm.tell(signal.SIGCONT)
+            # A connection closed before the suspension is closed for the caller by now.
+            if not caller.is_closed:
+                received += caller.unanswered
+        stop.vm.send_signal(signal.SIGCONT)
 
 
 class TestSignals:
     """Signals that come while a VM stops."""
 
     def test_sigterm_again_and_sighup(self, tmp_path):
-        # Guards against a second SIGTERM, or a reload, that ends the process at once
-        # or begins the stop anew.
-        async def play():
-            async with Stage(tmp_path) as stage:
-                stop = Play(stage, stage.vms[0])
-                sweep = moments(0.0, 3.0, 0.02)
-                for moment, caller in zip(
-                    sweep, await stop.kept(len(sweep)), strict=True
+        # Guards against a second SIGTERM, or a reload, that ends the process at once or
+        # restarts the stop.
+        async def scenario():
+            async with StopEnvironment(tmp_path) as environment:
+                stop = StopScenario(environment, environment.vms[0])
+                sweep = sweep_offsets(0.0, 3.0, 0.02)
+                for offset, caller in zip(
+                    sweep, await stop.add_keep_alive_callers(len(sweep)), strict=True
                 ):
-                    stop.send_at(moment, caller, stop.request(pause_ms=20))
-                for moment in (0.0, 1.0, 2.0, 2.4):
-                    (caller,) = await stop.kept(1, link_mbps=4)
-                    stop.send_at(moment, caller, stop.request(DOWNLOAD_BYTES))
-                for moment in (0.01, 1.0, IDLE_CLOSE_S, 3.0):
-                    stop.signal_at(moment, signal.SIGTERM)
-                for moment in (0.02, 1.5, IDLE_CLOSE_S + 0.02, 2.9):
-                    stop.signal_at(moment, signal.SIGHUP)
+                    stop.send_at(offset, caller, stop.new_request(pause_ms=20))
+                for offset in (0.0, 1.0, 2.0, 2.4):
+                    (caller,) = await stop.add_keep_alive_callers(1, link_mbps=4)
+                    stop.send_at(offset, caller, stop.new_request(DOWNLOAD_BYTES))
+                for offset in (0.01, 1.0, IDLE_CLOSE_SECONDS, 3.0):
+                    stop.signal_at(offset, signal.SIGTERM)
+                for offset in (0.02, 1.5, IDLE_CLOSE_SECONDS + 0.02, 2.9):
+                    stop.signal_at(offset, signal.SIGHUP)
                 await stop.stop()
-                stop.check()
+                stop.check_nothing_lost()
                 stop.check_log()
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
     def test_signals_until_the_process_has_ended(self, tmp_path):
-        # Guards against a signal that finds its handler gone and ends the process with
-        # a status of its own while the stop is at its last steps.
-        async def play():
-            async with Stage(tmp_path) as stage:
-                stop = Play(stage, stage.vms[0])
-                signals = asyncio.create_task(self.send_all(stop.vm))
+        # Guards against a signal that arrives after its handler was removed, in the
+        # last steps of the stop, and ends the process with a different exit status.
+        async def scenario():
+            async with StopEnvironment(tmp_path) as environment:
+                stop = StopScenario(environment, environment.vms[0])
+                signals = asyncio.create_task(self.signal_until_exit(stop.vm))
                 await stop.stop()
                 await signals
-                assert len(stop.vm.lines("stopped")) == 1
+                assert len(stop.vm.read_log_entries("stopped")) == 1
 
-        asyncio.run(play())
+        asyncio.run(scenario())
 
-    async def send_all(self, vm):
-        """Send signals in turn until the process has ended."""
-        turn = cycle((signal.SIGTERM, signal.SIGHUP))
-        await asyncio.sleep(SIGNAL_STEP_S)
+    async def signal_until_exit(self, vm):
+        """Send SIGTERM and SIGHUP in turn until the process has exited."""
+        signals_in_turn = cycle((signal.SIGTERM, signal.SIGHUP))
+        await asyncio.sleep(SIGNAL_INTERVAL_SECONDS)
         while vm.process.poll() is None:
-            vm.tell(next(turn))
-            await asyncio.sleep(SIGNAL_STEP_S)
+            vm.send_signal(next(signals_in_turn))
+            await asyncio.sleep(SIGNAL_INTERVAL_SECONDS)
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -1,4 +1,4 @@
-"""Tests of the tables in the pages."""
+"""Tests of the generated tables in the documentation."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def write_tables(*args: str) -> subprocess.CompletedProcess:
-    """Run the tool."""
+    """Run ``tools/write_tables.py`` with the given arguments."""
     tool = str(ROOT / "tools" / "write_tables.py")
     return subprocess.run(
         [sys.executable, tool, *args], capture_output=True, text=True, timeout=60
@@ -20,13 +20,13 @@
 
 class TestTables:
     def test_pages_agree_with_the_code(self):
-        # A column is added to the sheet and the page forgotten: operators would look
-        # for it in vain.
+        # Guards against a change in the code, such as a new column of the sheet, that
+        # is missing from its page.
         done = write_tables("--check")
         assert done.returncode == 0, done.stdout
 
     def test_drift_is_found_and_mended(self, tmp_path):
-        # Somebody edits a generated table by hand.
+        # Guards against manual edits of a generated table that go unnoticed.
         shutil.copytree(ROOT / "docs", tmp_path / "docs")
         page = tmp_path / "docs" / "operating" / "sheet.md"
         page.write_text(page.read_text().replace("| `shards` |", "| `shard` |"))
--- a/tools/check_imports.py
+++ b/tools/check_imports.py
@@ -9,8 +9,8 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 
-# Each package and those it may import. The product never imports the stand-ins or
-# the bench: a daemon that needed them could not run on an entry VM.
+# Packages that each package may import. The product never imports the stand-ins or the
+# bench, because these are not installed on an entry VM.
 ALLOWED = {
     "settings": set(),
     "sheet": set(),
@@ -37,13 +37,13 @@
     | {"standins", "daemon", "transfers"},
 }
 
-# What the adapter to the users' platform may import: types, settings and the client of
-# calls. It decides nothing, so it needs no policy.
+# Packages that the platform adapter may import: types, settings and the HTTP client.
+# The adapter makes no routing decisions, so it needs no policy.
 ADAPTER = ROOT / "platform"
 ADAPTER_ALLOWED = {"adapter", "entry", "settings", "transfers"}
-# Words that only the platform's pages use. Outside the adapter they would tie the
+# Names of the platform's interface. Using them outside the adapter would tie the
 # product to one platform.
-PLATFORM_WORDS = re.compile(
+PLATFORM_NAMES = re.compile(
     r"berylstage-(attempt|deadline|backend|expected|not-executed|shard|warmup)"
     r"|kv-(txn|range|watch|lease|keep|key)|op/config|op/evacuate|warmup_left_ms"
     r"|BERYLSTAGE_NODE_FILE",
@@ -75,8 +75,8 @@
     return {top.removeprefix(prefix) for top in tops if top.startswith(prefix)}
 
 
-def adapter_faults() -> int:
-    """Print each import of the adapter that brings in decisions; return their count."""
+def print_wrong_adapter_imports() -> int:
+    """Print each import that the adapter must not have and return their count."""
     faults = 0
     for path in sorted(ADAPTER.rglob("*.py")):
         for other in sorted(imported_packages(path) - ADAPTER_ALLOWED):
@@ -85,19 +85,19 @@
     return faults
 
 
-def word_faults() -> int:
-    """Print each word of the platform outside the adapter; return their count."""
+def print_platform_names() -> int:
+    """Print each platform name used outside the adapter and return their count."""
     faults = 0
     for path in sorted((ROOT / "packages").rglob("*.py")):
         for number, line in enumerate(path.read_text().splitlines(), 1):
-            if PLATFORM_WORDS.search(line):
+            if PLATFORM_NAMES.search(line):
                 faults += 1
                 print(f"{path.relative_to(ROOT)}:{number}: a word of the platform")
     return faults
 
 
 def main() -> int:
-    """Print each wrong import and return the exit status."""
+    """Print all violations and return the exit status."""
     faults = 0
     for package, allowed in ALLOWED.items():
         for path in sorted((ROOT / "packages" / package / "src").rglob("*.py")):
@@ -105,7 +105,7 @@
                 faults += 1
                 where = path.relative_to(ROOT)
                 print(f"{where}: {package} must not import {other}")
-    faults += adapter_faults() + word_faults()
+    faults += print_wrong_adapter_imports() + print_platform_names()
     print(f"imports: {faults} faults")
     return 1 if faults else 0
 
--- a/tools/log_lines.py
+++ b/tools/log_lines.py
@@ -1,4 +1,4 @@
-"""Reads from the code which log lines an entry VM writes."""
+"""Extracts the log lines that an entry VM may write from its source code."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
     from pathlib import Path
 
 LEVELS = ("debug", "info", "warning", "error", "exception")
-# Calls whose first constant names why a request ended.
-ENDINGS = ("Refused", "_given_up", "Unanswered")
+# Callables whose first string argument is the reason for which a request ended.
+REASON_CALLS = ("Refused", "_given_up", "Unanswered")
 
 
 class LogLine:
-    """A line that the code may write.
+    """A log line that the code may write.
 
     Parameters
     ----------
     message, level, module : str
     fields : list of str
-        Beside those that all lines have.
+        Names of the line's own fields, without those that all lines have.
     """
 
     __slots__ = ("fields", "level", "message", "module")
@@ -33,8 +33,8 @@
         self.fields = fields
 
 
-def log_lines(folder: Path) -> list[LogLine]:
-    """Return the lines of all modules of a folder, by message.
+def find_log_lines(folder: Path) -> list[LogLine]:
+    """Return the log lines of all modules in a folder, sorted by message.
 
     Parameters
     ----------
@@ -47,50 +47,54 @@
     found = [
         line
         for path in sorted(folder.glob("*.py"))
-        for line in _lines(path.stem, ast.parse(path.read_text()))
+        for line in _parse_log_lines(path.stem, ast.parse(path.read_text()))
     ]
     return sorted(found, key=lambda line: (line.message, line.module))
 
 
-def endings(folder: Path) -> set[str]:
+def find_end_reasons(folder: Path) -> set[str]:
     """Return the reasons for which requests end without a target's answer."""
     return {
         reason
         for path in sorted(folder.glob("*.py"))
-        for reason in _reasons(ast.parse(path.read_text()))
+        for reason in _parse_reasons(ast.parse(path.read_text()))
     }
 
 
-def _lines(module: str, tree: ast.AST) -> Iterator[LogLine]:
+def _parse_log_lines(module: str, tree: ast.AST) -> Iterator[LogLine]:
     for node in ast.walk(tree):
         if not isinstance(node, ast.Call) or not isinstance(node.func, ast.Attribute):
             continue
         owner = node.func.value
         if not isinstance(owner, ast.Name) or owner.id != "log":
             continue
-        message = _constant(node.args[0]) if node.args else ""
-        # Debug lines are not written.
+        message = _get_string_constant(node.args[0]) if node.args else ""
+        # Entry VMs do not write debug lines.
         if message and node.func.attr in LEVELS[1:]:
-            yield LogLine(message, node.func.attr, module, _fields(node))
+            yield LogLine(message, node.func.attr, module, _parse_extra_fields(node))
 
 
-def _fields(node: ast.Call) -> list[str]:
+def _parse_extra_fields(node: ast.Call) -> list[str]:
     for keyword in node.keywords:
         if keyword.arg == "extra" and isinstance(keyword.value, ast.Dict):
-            return [_constant(key) for key in keyword.value.keys if key is not None]
+            return [
+                _get_string_constant(key)
+                for key in keyword.value.keys
+                if key is not None
+            ]
     return []
 
 
-def _reasons(tree: ast.AST) -> Iterator[str]:
+def _parse_reasons(tree: ast.AST) -> Iterator[str]:
     for node in ast.walk(tree):
         if not isinstance(node, ast.Call):
             continue
         name = getattr(node.func, "attr", getattr(node.func, "id", ""))
-        if name in ENDINGS:
-            yield from filter(None, map(_constant, node.args[:2]))
+        if name in REASON_CALLS:
+            yield from filter(None, map(_get_string_constant, node.args[:2]))
 
 
-def _constant(node: ast.expr) -> str:
+def _get_string_constant(node: ast.expr) -> str:
     if isinstance(node, ast.Constant) and isinstance(node.value, str):
         return node.value
     return ""
--- a/tools/write_tables.py
+++ b/tools/write_tables.py
@@ -1,4 +1,4 @@
-"""Write the tables of the pages from the code's own tables, or check them."""
+"""Generate or check tables in the documentation from tables in the code."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from berylstage_daemon.metrics import METRICS
 from berylstage_policy.threshold_table import TABLE as THRESHOLDS
 from berylstage_sheet.columns import SECTIONS, Column, Section
-from log_lines import endings, log_lines
+from log_lines import find_end_reasons, find_log_lines
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator, Sequence
@@ -25,17 +25,17 @@
 
 
 class TableSource(ABC):
-    """A table of the code that stands in a page.
+    """A table in the code that is rendered into a page.
 
-    In the page, the table stands between ``<!-- table: NAME -->`` and
+    In the page, the table is placed between ``<!-- table: NAME -->`` and
     ``<!-- end of table -->``.
 
     Parameters
     ----------
     name : str
-        Name in the page's marker.
+        Name of the table in the page's marker.
     page : str
-        Path of the page from the repository's root.
+        Path of the page, relative to the repository's root.
     """
 
     def __init__(self, name: str, page: str):
@@ -56,10 +56,10 @@
             yield f"### Section `{section.name}`"
             yield ""
             needed = "" if section.required else " May be left out."
-            yield f"{section.meaning}{needed} {_identity(section)}"
+            yield f"{section.meaning}{needed} {_describe_identity(section)}"
             yield ""
             header = ["column", "holds", "meaning"]
-            yield from markdown(header, map(_column_cells, section.columns))
+            yield from format_table(header, map(_format_column_cells, section.columns))
             yield ""
 
 
@@ -69,7 +69,7 @@
     def lines(self) -> Iterator[str]:
         """Yield a row for each exit code."""
         rows = ([str(int(code)), meaning] for code, meaning in MEANINGS.items())
-        yield from markdown(["code", "meaning"], rows)
+        yield from format_table(["code", "meaning"], rows)
 
 
 class CommandTable(TableSource):
@@ -78,17 +78,22 @@
     def lines(self) -> Iterator[str]:
         """Yield a row for each command."""
         commands = OperatorApplication().all().values()
-        rows = ([f"`{_usage(c)}`", f"{c.description}."] for c in commands if _own(c))
-        yield from markdown(["command", "what it does"], rows)
+        rows = (
+            [f"`{_format_usage(c)}`", f"{c.description}."]
+            for c in commands
+            if _is_own_command(c)
+        )
+        yield from format_table(["command", "what it does"], rows)
 
 
 class SettingTable(TableSource):
-    """Settings, from a table whose rows have the command line's attributes.
+    """Settings of the daemon or the command line.
 
     Parameters
     ----------
     name, page : str
     settings : sequence
+        Settings with the attributes of the command line's settings.
     """
 
     def __init__(self, name: str, page: str, settings: Sequence):
@@ -101,7 +106,7 @@
             [f"`--{s.name}`", f"`{s.variable}`", s.default_text, s.meaning]
             for s in self.settings
         )
-        yield from markdown(["flag", "variable", "default", "meaning"], rows)
+        yield from format_table(["flag", "variable", "default", "meaning"], rows)
 
 
 class MetricTable(TableSource):
@@ -110,11 +115,11 @@
     def lines(self) -> Iterator[str]:
         """Yield a row for each metric."""
         rows = ([f"`{name}`", meaning] for name, meaning in METRICS.items())
-        yield from markdown(["metric", "meaning"], rows)
+        yield from format_table(["metric", "meaning"], rows)
 
 
 class ThresholdTable(TableSource):
-    """The named thresholds of the decisions under load."""
+    """The thresholds of load-dependent decisions."""
 
     def lines(self) -> Iterator[str]:
         """Yield a row for each threshold."""
@@ -129,7 +134,7 @@
             for row in THRESHOLDS.values()
         )
         header = ["threshold", "default", "unit", "sheet may set", "why"]
-        yield from markdown(header, rows)
+        yield from format_table(header, rows)
 
 
 class LogLineTable(TableSource):
@@ -139,13 +144,13 @@
         """Yield a row for each line."""
         rows = (
             [line.message, line.level, line.module, ", ".join(line.fields)]
-            for line in log_lines(ENTRY)
+            for line in find_log_lines(ENTRY_SOURCE)
         )
-        yield from markdown(["message", "level", "logger", "fields"], rows)
+        yield from format_table(["message", "level", "logger", "fields"], rows)
 
 
-class EndingTable(TableSource):
-    """Why requests end without a target's answer."""
+class EndReasonTable(TableSource):
+    """Reasons for which requests end without a target's answer."""
 
     def lines(self) -> Iterator[str]:
         """Yield a row for each reason.
@@ -153,23 +158,29 @@
         Raises
         ------
         ValueError
-            A reason has no meaning here, or a meaning no reason.
+            A reason of the code has no meaning here, or a meaning here has no reason in
+            the code.
         """
-        found = endings(ENTRY) | {"timeout", "answer-lost", "caller-left"}
-        if found != set(ENDINGS):
-            odd = sorted(found ^ set(ENDINGS))
+        found = find_end_reasons(ENTRY_SOURCE) | {
+            "timeout",
+            "answer-lost",
+            "caller-left",
+        }
+        if found != set(END_REASONS):
+            mismatched = sorted(found ^ set(END_REASONS))
             raise ValueError(
-                f"{odd}: bring tools/write_tables.py in line with the code"
+                f"{mismatched}: reasons of the code and of END_REASONS in "
+                "tools/write_tables.py differ; update END_REASONS"
             )
-        rows = ([f"`{reason}`", *ENDINGS[reason]] for reason in sorted(found))
-        yield from markdown(["reason", "status", "meaning"], rows)
+        rows = ([f"`{reason}`", *END_REASONS[reason]] for reason in sorted(found))
+        yield from format_table(["reason", "status", "meaning"], rows)
 
 
 DAEMON_PAGE = "docs/operating/daemon.md"
 ENTRY_PAGE = "docs/operating/entry-logs.md"
-ENTRY = ROOT / "packages/entry/src/berylstage_entry"
-# Status and meaning of each reason in a line `request ended`.
-ENDINGS = {
+ENTRY_SOURCE = ROOT / "packages/entry/src/berylstage_entry"
+# Status and meaning of each reason in the log line `request ended`.
+END_REASONS = {
     "answer-lost": ("502", "sent, and no whole answer came; it may have run"),
     "attempts": ("503", "the route's attempts are used up, and none has run"),
     "body-memory": ("503", "the bodies of all requests would fill the VM's memory"),
@@ -197,11 +208,11 @@
     SettingTable("settings", "docs/operating/command-line.md", SETTINGS),
     ExitCodeTable("exit codes", "docs/operating/command-line.md"),
     LogLineTable("log lines", ENTRY_PAGE),
-    EndingTable("endings", ENTRY_PAGE),
+    EndReasonTable("endings", ENTRY_PAGE),
 ]
 
 
-def markdown(header: list[str], rows: Iterable[list[str]]) -> Iterator[str]:
+def format_table(header: list[str], rows: Iterable[list[str]]) -> Iterator[str]:
     """Yield the lines of a Markdown table.
 
     Parameters
@@ -217,14 +228,15 @@
         yield "| " + " | ".join(cell.replace("|", "\\|") for cell in row) + " |"
 
 
-def filled(text: str, source: TableSource) -> str:
-    """Return a page with one of its tables written anew.
+def replace_table(text: str, source: TableSource) -> str:
+    """Return a page with one of its tables replaced.
 
     Parameters
     ----------
     text : str
-        The page.
+        Text of the page.
     source : TableSource
+        Table to render.
 
     Returns
     -------
@@ -233,7 +245,7 @@
     Raises
     ------
     ValueError
-        The page lacks the markers.
+        The page does not contain the markers.
     """
     start = f"<!-- table: {source.name} -->"
     before, found, rest = text.partition(start)
@@ -244,27 +256,27 @@
     return f"{before}{start}\n\n{table}\n\n{END}{after}"
 
 
-def _identity(section: Section) -> str:
-    """Return which columns must be unique."""
+def _describe_identity(section: Section) -> str:
+    """Return a sentence that names the section's unique columns."""
     names = [f"`{column.name}`" for column in section.columns[: section.identity]]
     unique = " and ".join(names)
     together = " together" if len(names) > 1 else ""
     return f"Each {unique} stands once{together}."
 
 
-def _column_cells(column: Column) -> list[str]:
-    """Return the cells of one column of the sheet."""
+def _format_column_cells(column: Column) -> list[str]:
+    """Return the table cells that describe a column of the sheet."""
     empty = "" if column.required else "; may be empty"
     return [f"`{column.name}`", f"{column.cell.describe()}{empty}", column.meaning]
 
 
-def _own(command) -> bool:
-    """Tell whether a command is ours rather than the library's."""
+def _is_own_command(command) -> bool:
+    """Return whether a command is defined here rather than by the library."""
     return type(command).__module__.startswith("berylstage_cli")
 
 
-def _usage(command) -> str:
-    """Return a command with its arguments."""
+def _format_usage(command) -> str:
+    """Return a command's name and arguments as typed on the command line."""
     arguments = (a.name.upper() for a in command.definition.arguments)
     return " ".join(["berylstage", command.name, *arguments])
 
@@ -280,26 +292,26 @@
     Returns
     -------
     int
-        1 when a page differs from the code and was only checked.
+        1 if ``--check`` finds a table that differs from the code, otherwise 0.
     """
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--check", action="store_true", help="write nothing")
     parser.add_argument("--root", type=Path, default=ROOT, help="where the pages are")
     options = parser.parse_args(args)
-    drifted = 0
+    changed = 0
     for source in SOURCES:
         path = options.root / source.page
         text = path.read_text()
-        wanted = filled(text, source)
-        if wanted == text:
+        updated = replace_table(text, source)
+        if updated == text:
             continue
-        drifted += 1
+        changed += 1
         if options.check:
             print(f"{source.page}: table '{source.name}' differs; run `make tables`")
         else:
-            path.write_text(wanted)
-    print(f"tables: {drifted} {'differ' if options.check else 'written'}")
-    return 1 if drifted and options.check else 0
+            path.write_text(updated)
+    print(f"tables: {changed} {'differ' if options.check else 'written'}")
+    return 1 if changed and options.check else 0
 
 
 if __name__ == "__main__":
