--- a/tests/soak/play.py
+++ b/tests/soak/play.py
@@ -130,12 +130,15 @@
             load.cancel()
             async with asyncio.timeout(ANSWER_TIMEOUT_SECONDS + 1.0):
                 await asyncio.gather(*self._request_tasks)
-            faults = [
+            violations = [
                 *installation.ledger.find_violations(),
                 *self._find_unserved(installation, first_checked),
             ]
             outcomes = dict(installation.ledger.count_outcomes().most_common())
-            return faults, f"{outcomes}, {len(installation.ledger.stops)} planned stops"
+            return (
+                violations,
+                f"{outcomes}, {len(installation.ledger.stops)} planned stops",
+            )
         finally:
             installation.stop()
 
@@ -227,13 +230,9 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=60.0, help="time of faults")
     parser.add_argument("--seed", type=int, default=1, help="draws faults and keys")
-    exclusive_share = parser.add_mutually_exclusive_group()
-    exclusive_share.add_argument(
-        "--stops", action="store_true", help="planned stops alone"
-    )
-    exclusive_share.add_argument(
-        "--hold-ups", action="store_true", help="short pauses alone"
-    )
+    modes = parser.add_mutually_exclusive_group()
+    modes.add_argument("--stops", action="store_true", help="planned stops alone")
+    modes.add_argument("--hold-ups", action="store_true", help="short pauses alone")
     args = parser.parse_args()
     mode = ALL_FAULTS_MODE
     if args.stops:
@@ -242,12 +241,14 @@
         mode = SHORT_PAUSES_MODE
     folder = Path(tempfile.mkdtemp(prefix="berylstage-soak-"))
     print(f"settings and logs: {folder}")
-    faults, outcomes = asyncio.run(Soak(folder, args.seconds, args.seed, mode).run())
+    violations, outcomes = asyncio.run(
+        Soak(folder, args.seconds, args.seed, mode).run()
+    )
     print(f"callers were told: {outcomes}")
-    for fault in faults[:40]:
-        print(f"must never be: {fault}")
-    print(f"{len(faults)} faults")
-    return 1 if faults else 0
+    for violation in violations[:40]:
+        print(f"must never be: {violation}")
+    print(f"{len(violations)} faults")
+    return 1 if violations else 0
 
 
 if __name__ == "__main__":
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -75,7 +75,7 @@
             (b"answer to lookup-1", "i-9.lookup-1"),
         ],
     )
-    def test_answer_that_is_not_the_request_s_own(self, ledger, body, mark):
+    def test_wrong_answer(self, ledger, body, mark):
         ledger.record_run(FakeTarget("i-1"), "lookup-1", "7")
         ledger.record_answer("lookup-1", "GET", 200, body, mark)
         assert len(ledger.find_violations()) == 1
@@ -107,7 +107,7 @@
     """Which losses a planned stop may cause, and which it may not."""
 
     @pytest.fixture(autouse=True)
-    def _asked(self, ledger):
+    def _record_request(self, ledger):
         ledger.record_request("order-1", 0)
 
     @pytest.mark.parametrize("status", [0, 502, 504])
@@ -118,7 +118,7 @@
         ledger.record_answer("order-1", "POST", status, b"", "")
         assert len(ledger.find_violations()) == 1
 
-    def test_answer_that_breaks_off(self, ledger):
+    def test_truncated_answer(self, ledger):
         # The process exits with the rest of a download in its buffers.
         ledger.record_answer("order-1", "POST", 0, b"HTTP/1.1 200 OK", "")
         assert len(ledger.find_violations()) == 1
@@ -133,14 +133,14 @@
         ledger.record_answer("order-1", "POST", 0, b"", "")
         assert ledger.find_violations() == []
 
-    def test_whole_answer(self, ledger):
+    def test_complete_answer(self, ledger):
         ledger.record_run(FakeTarget("i-1"), "order-1", None)
         ledger.record_answer(
             "order-1", "POST", 200, b"answer to order-1", "i-1.order-1"
         )
         assert ledger.find_violations() == []
 
-    def test_answer_that_is_shorter_than_asked_for(self, ledger):
+    def test_answer_that_is_shorter_than_requested(self, ledger):
         # Guards against taking a part of a download for all of it.
         ledger.record_request("lookup-1", 90)
         ledger.record_run(FakeTarget("i-1"), "lookup-1", "7")
@@ -219,7 +219,7 @@
     def test_connection_that_ends_without_an_answer(self, ledger):
         assert self.send_lookups(ledger, b"") == [(0, b"")]
 
-    def test_nothing_is_expected_behind_the_last_answer(self, ledger):
+    def test_nothing_is_expected_after_the_last_answer(self, ledger):
         # A VM accepts no request on a connection after it has announced the close.
         outcomes = self.send_lookups(ledger, self.LAST, 2, ends=False)
         assert outcomes == [(200, b"ok"), (0, b"")]
@@ -235,7 +235,7 @@
         assert (status, len(body)) == (200, size)
         assert time.monotonic() - began >= 0.5
 
-    def test_link_takes_no_more_than_a_stop_can_wait_for(self):
+    def test_link_accepts_no_more_than_a_stop_can_transfer(self):
         # Answers that the link can't transfer in time would be reported as lost.
         link = Link(10.0)
         most = int(MAX_PENDING_SECONDS * 10.0 * BYTES_PER_MBIT)
@@ -248,7 +248,9 @@
 
 class TestSoak:
     @pytest.mark.parametrize(("is_even", "most"), [(False, 3), (True, 1)])
-    def test_load_is_even_where_all_must_be_answered(self, tmp_path, is_even, most):
+    def test_load_is_even_when_all_requests_must_be_answered(
+        self, tmp_path, is_even, most
+    ):
         # Batches of lookups, or lookups close together, fill a target's queue, so that
         # it refuses some. The final check would report these as violations.
         soak = Soak(tmp_path, 8.0, 46, PLANNED_STOPS_MODE)
@@ -264,7 +266,7 @@
     HEAD = b"POST /v1/grant HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n"
     HEALTH = b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n"
 
-    def test_crashed_target_takes_no_grant(self, ledger):
+    def test_crashed_target_accepts_no_grant(self, ledger):
         # The connections of a crashed target close one after the other. A grant that
         # arrives meanwhile would overlap later grants of the same keys to others.
         async def scenario():
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -415,7 +415,7 @@
 class TestSignals:
     """Signals that come while a VM stops."""
 
-    def test_sigterm_again_and_sighup(self, tmp_path):
+    def test_repeated_sigterm_and_sighup(self, tmp_path):
         # Guards against a second SIGTERM, or a reload, that ends the process at once or
         # restarts the stop.
         async def scenario():
