--- a/packages/bench/src/berylstage_bench/owned_model.py
+++ b/packages/bench/src/berylstage_bench/owned_model.py
@@ -15,11 +15,11 @@
 from typing import TYPE_CHECKING
 
 from berylstage_entry import range_placement, router
-from berylstage_entry.assignment import KEYS, Assignment, KeyRange
-from berylstage_entry.grant_controller import BALANCE_PERIOD
+from berylstage_entry.assignment import KEY_COUNT, Assignment, KeyRange
+from berylstage_entry.grant_controller import REBALANCE_INTERVAL_SECONDS
 from berylstage_entry.key_loads import KeyLoads
-from berylstage_entry.load_reporter import PERIOD as REPORT_PERIOD
-from berylstage_entry.owners import WAIT_SHARE
+from berylstage_entry.load_reporter import COUNT_INTERVAL_SECONDS as REPORT_PERIOD
+from berylstage_entry.owners import OWNER_WAIT_SHARE
 from berylstage_entry.rebalancing import Rebalancer
 from berylstage_entry.service_times import TargetServiceTimes
 from berylstage_policy.completion import ServiceLoads
@@ -46,7 +46,7 @@
 RETURN = (0.05, 0.25)
 COMES_BACK = 0.6
 # Seconds kept for the way of an answer.
-ANSWER_WAY = 0.02
+ANSWER_DELIVERY_SECONDS = 0.02
 
 
 class OwnedResult:
@@ -150,10 +150,10 @@
         self._news: list[dict[str, tuple[int, float]]] = [{} for _ in self._vms]
         self._loads = KeyLoads(0.0)
         self._rounds = Rebalancer(0.0)
-        self._first = self._rng.randrange(KEYS)
+        self._first = self._rng.randrange(KEY_COUNT)
         weights = [(i + 1) ** -setup.skew for i in range(setup.things)]
         self._cumulative = list(accumulate(weights))
-        self._hot_first = [self._rng.randrange(KEYS) for _ in setup.busy]
+        self._hot_first = [self._rng.randrange(KEY_COUNT) for _ in setup.busy]
         # Keys on the move, and when they are with their new owner.
         self._moving: list[tuple[int, int, float]] = []
         self._fence = 1
@@ -161,12 +161,14 @@
 
     def _capacities(self) -> dict[str, float]:
         slots = self._setup.slots
-        return {name: slots / self._speeds.seconds(name) for name in self._owners}
+        return {
+            name: slots / self._speeds.expected_seconds(name) for name in self._owners
+        }
 
     def _dealt(self) -> Assignment:
-        nobody = Assignment([KeyRange(0, KEYS - 1, "", 0, 0)], 1)
+        nobody = Assignment([KeyRange(0, KEY_COUNT - 1, "", 0, 0)], 1)
         capacities = self._capacities()
-        moves = range_placement.deal(
+        moves = range_placement.place_ranges(
             nobody.ranges, nobody, [], capacities, len(capacities)
         )
         return self._with(nobody, moves)
@@ -187,7 +189,7 @@
         """
         setup = self._setup
         self._at(self._rng.expovariate(setup.rate), self._arrive)
-        self._at(BALANCE_PERIOD, self._balance)
+        self._at(REBALANCE_INTERVAL_SECONDS, self._balance)
         for vm in range(setup.vms):
             self._at(self._rng.random() * REPORT_PERIOD, self._report, vm)
             self._at(self._rng.random() * setup.told, self._tell, vm)
@@ -205,9 +207,9 @@
         for busy, first in zip(self._setup.busy, self._hot_first, strict=True):
             if busy.at <= now < busy.at + busy.seconds:
                 if self._rng.random() < busy.share:
-                    return (first + self._rng.randrange(busy.count)) % KEYS
+                    return (first + self._rng.randrange(busy.count)) % KEY_COUNT
         drawn = self._rng.random() * self._cumulative[-1]
-        return (self._first + bisect_right(self._cumulative, drawn)) % KEYS
+        return (self._first + bisect_right(self._cumulative, drawn)) % KEY_COUNT
 
     def _arrive(self, now: float) -> None:
         setup = self._setup
@@ -230,15 +232,15 @@
         if req.done:
             return
         if any(a <= req.key <= b and now < end for a, b, end in self._moving):
-            if now - since > WAIT_SHARE * self._setup.deadline:
+            if now - since > OWNER_WAIT_SHARE * self._setup.deadline:
                 self._refuse(now, req)
             else:
                 self._at(now + MOVE_WAIT, self._send, req, since)
             return
         loads = self._vms[req.vm]
         name = self._assignment.find(req.key).owner
-        left = self._setup.deadline - (now - req.came) - ANSWER_WAY
-        expected = loads.expected(name, "kind", now)
+        left = self._setup.deadline - (now - req.came) - ANSWER_DELIVERY_SECONDS
+        expected = loads.expected_seconds(name, "kind", now)
         if expected > min(router.OWNER_WAIT * self._setup.objective, left):
             self._refuse(now, req)
             return
@@ -314,7 +316,7 @@
             self._refuse(now, req)
             return
         if told[0] <= self._setup.slots:
-            loads.answered(req.owner, "kind", (now - req.sent) / told[1])
+            loads.record_service_time(req.owner, "kind", (now - req.sent) / told[1])
         req.done = True
         late = now - req.came > self._setup.objective
         self.result.late += late
@@ -325,8 +327,8 @@
     def _told(self, now: float, vm: int, name: str, told: tuple[int, float]) -> None:
         loads = self._vms[vm]
         load = loads.load(name, self._setup.slots)
-        load.told(told[0], self._setup.slots, told[1], now)
-        loads.told(load)
+        load.record_report(told[0], self._setup.slots, told[1], now)
+        loads.record_report(load)
 
     def _tell(self, now: float, vm: int) -> None:
         self._at(now + self._setup.told, self._tell, vm)
@@ -342,15 +344,15 @@
         for key, number in counts.items():
             self._loads.add(key, number)
         loads = self._vms[vm]
-        self._speeds.told(loads.mean, loads.slowness())
+        self._speeds.observe(loads.mean_seconds, loads.service_time_ratio())
 
     def _balance(self, now: float) -> None:
-        self._at(now + BALANCE_PERIOD, self._balance)
-        self._loads.fade(now)
+        self._at(now + REBALANCE_INTERVAL_SECONDS, self._balance)
+        self._loads.decay(now)
         self._moving = [move for move in self._moving if move[2] > now]
         moves = [
             move
-            for move in self._rounds.moves(
+            for move in self._rounds.due_moves(
                 now, self._assignment, self._loads.rates(), self._capacities()
             )
             if not any(a <= move.last and move.first <= b for a, b, _ in self._moving)
@@ -366,7 +368,7 @@
                 default=0.0,
             )
             self._moving.append((move.first, move.last, now + WRITE + max(0.0, left)))
-            self.result.moved += (move.last - move.first + 1) / KEYS
+            self.result.moved += (move.last - move.first + 1) / KEY_COUNT
         self.result.moves += len(moves)
         # One write begins the moves of a round, and one tells of their end.
         self.result.writes += 2 if moves else 0
--- a/packages/bench/src/berylstage_bench/placement_model.py
+++ b/packages/bench/src/berylstage_bench/placement_model.py
@@ -44,7 +44,7 @@
 # Seconds at the start that are not counted.
 WARM_UP = 5.0
 # Seconds kept for the way of an answer.
-ANSWER_WAY = 0.02
+ANSWER_DELIVERY_SECONDS = 0.02
 
 
 class _Request:
@@ -126,7 +126,7 @@
             for target in self._targets.values():
                 load = loads.load(target.name, setup.slots)
                 if target.data_centre != vm % setup.data_centres:
-                    load.distance = completion.OTHER_DATA_CENTRE
+                    load.locality_penalty = completion.OTHER_DATA_CENTRE
 
     def run(self) -> Result:
         """Play to the end.
@@ -171,13 +171,13 @@
 
     def _send(self, now: float, req: _Request) -> None:
         loads, kind = self._vms[req.vm], req.kind
-        left = kind.deadline - (now - req.came) - ANSWER_WAY
+        left = kind.deadline - (now - req.came) - ANSWER_DELIVERY_SECONDS
         fit = [name for name in self._targets if name not in req.tried]
-        if left < ANSWER_WAY or not fit or len(req.tried) >= ATTEMPTS:
+        if left < ANSWER_DELIVERY_SECONDS or not fit or len(req.tried) >= ATTEMPTS:
             self._refuse(now, req)
             return
         name = loads.choose(fit, kind.name, now)
-        if loads.expected(name, kind.name, now) > left:
+        if loads.expected_seconds(name, kind.name, now) > left:
             self._refuse(now, req)
             return
         target = self._targets[name]
@@ -230,7 +230,7 @@
         req.done = True
         load = self._vms[req.vm].load(target.name, self._setup.slots)
         load.inflight -= 1
-        load.failed(now)
+        load.record_failure(now)
         if req in target.waiting:
             target.waiting.remove(req)
         if req in target.running:
@@ -246,13 +246,13 @@
         load.inflight -= 1
         self._heard(now, req.vm, req.target, busy, pace)
         if full:
-            load.failed(now)
+            load.record_failure(now)
             self._send(now, req)
             return
-        load.worked(now)
+        load.record_success(now)
         if busy <= self._setup.slots:
             seconds = (now - req.sent) / pace
-            self._vms[req.vm].answered(req.target, req.kind.name, seconds)
+            self._vms[req.vm].record_service_time(req.target, req.kind.name, seconds)
         req.done = True
         if req.came > WARM_UP:
             late = now - req.came > req.kind.objective
@@ -265,8 +265,8 @@
     def _told(self, now: float, vm: int, name: str, busy: int, pace: float) -> None:
         loads = self._vms[vm]
         load = loads.load(name, self._setup.slots)
-        load.told(busy, self._setup.slots, pace, now)
-        loads.told(load)
+        load.record_report(busy, self._setup.slots, pace, now)
+        loads.record_report(load)
 
     def _tell(self, now: float, vm: int, near: bool) -> None:
         self._at(
--- a/packages/bench/src/berylstage_bench/policy_free.py
+++ b/packages/bench/src/berylstage_bench/policy_free.py
@@ -39,7 +39,7 @@
 
     def _hedge(self, req: Request) -> None:
         """Send a second attempt when the first is late."""
-        if req.status or not self.hedges[req.vm].may_hedge():
+        if req.status or not self.hedges[req.vm].acquire_hedge():
             return
         self.hedged += 1
         self.attempt(req, is_hedge=True)
@@ -66,13 +66,13 @@
         may_decline = is_hedge or number <= self.thresholds["choice_declines"]
         attempt = Attempt(req, number, target, may_decline, is_hedge)
         attempt.hedge_tries = tries
-        choice.sent(target, attempt.id, now, req.kind)
+        choice.record_sent(target, attempt.id, now, req.kind)
         self._forward(attempt)
 
     def declined(self, attempt: Attempt) -> None:
         """Choose again."""
         req = attempt.req
-        self.choices[req.vm].withdrawn(attempt.target, attempt.id)
+        self.choices[req.vm].record_withdrawn(attempt.target, attempt.id)
         if attempt.is_hedge:
             self._decline_hedge(attempt)
         elif not req.status:
@@ -83,7 +83,7 @@
         req = attempt.req
         attempt.hedge_tries += 1
         if req.status or attempt.hedge_tries > self.thresholds["choice_declines"]:
-            self.hedges[req.vm].declined()
+            self.hedges[req.vm].refund()
         else:
             self.attempt(req, is_hedge=True, tries=attempt.hedge_tries)
 
@@ -91,12 +91,12 @@
         """Tell the choice and the hedge what was seen."""
         req, now = attempt.req, self.player.now
         if outcome is AttemptOutcome.CANCELLED:
-            self.choices[req.vm].withdrawn(attempt.target, attempt.id)
+            self.choices[req.vm].record_withdrawn(attempt.target, attempt.id)
             return
         is_answer = outcome is AttemptOutcome.ANSWERED
-        self.choices[req.vm].ended(attempt.target, attempt.id, now, is_answer)
+        self.choices[req.vm].record_end(attempt.target, attempt.id, now, is_answer)
         if is_answer and not req.status:
-            self.hedges[req.vm].answered(now - req.arrived)
+            self.hedges[req.vm].record_answer(now - req.arrived)
 
     def judged(self) -> None:
         """Spread digests of queue lengths and leave out what is down."""
@@ -111,13 +111,13 @@
 
     def _hand_back(self, led: LedTarget) -> None:
         """Send what waits for a stalled target to other targets."""
-        for ticket in led.queue.hand_back():
+        for ticket in led.queue.remove_waiting():
             self.declined(led.attempts.pop(ticket.id))
 
     def _digest(self, name: str, queue: int) -> None:
         """Take a digest in at all VMs."""
         for choice in self.choices:
-            choice.digest(name, queue)
+            choice.update_queue_length(name, queue)
 
     def set_willing(self, names: list[str]) -> None:
         """Take in a configuration."""
--- a/packages/bench/src/berylstage_bench/policy_jobs.py
+++ b/packages/bench/src/berylstage_bench/policy_jobs.py
@@ -65,7 +65,7 @@
     scenario = catalogue()[job.scenario]
     if job.router == OURS:
         run = scenario.play_ours(
-            DEFAULTS.replaced(**job.changed), seed=job.seed, **job.options
+            DEFAULTS.with_values(**job.changed), seed=job.seed, **job.options
         )
     else:
         kinds = {kind.name: kind for kind in scenario.baselines()}
--- a/packages/bench/src/berylstage_bench/policy_owned.py
+++ b/packages/bench/src/berylstage_bench/policy_owned.py
@@ -123,12 +123,12 @@
         means = {n: led.queue.costs.mean("lookup") for n, led in self.led.items()}
         median = sorted(means.values())[len(means) // 2]
         for name, led in self.led.items():
-            led.health.latency(now, means[name] / median)
+            led.health.record_latency(now, means[name] / median)
 
     def _set_keys_apart(self, now: float) -> None:
         """Give hot keys shards of their own and return those that have cooled."""
         slots = float(self.deployment.slots)
-        changes = self.hot.changes(slots, now)
+        changes = self.hot.plan_changes(slots, now)
         for key in changes.set_apart:
             rate = self.hot.sketch.rate(key, now)
             home = self.holdings[self.shard(key)]
@@ -174,7 +174,7 @@
         for attempt in list(led.attempts.values()):
             if self.shard(attempt.req.key) not in shards:
                 continue
-            is_running = led.queue.cancelled(attempt.id, self.player.now)
+            is_running = led.queue.cancel(attempt.id, self.player.now)
             if not is_running:
                 led.attempts.pop(attempt.id, None)
                 self.attempt(attempt.req, attempt)
--- a/packages/bench/src/berylstage_bench/policy_router.py
+++ b/packages/bench/src/berylstage_bench/policy_router.py
@@ -179,13 +179,13 @@
         is_answer = status == ANSWERED
         outcome = AttemptOutcome.ANSWERED if is_answer else AttemptOutcome.UNKNOWN
         if status == LOST and led.target.is_down:
-            led.health.refused_connection(now)
+            led.health.record_connection_refused(now)
             self._pause(led)
             outcome = (
                 AttemptOutcome.NOT_RUN if seconds == 0.0 else AttemptOutcome.UNKNOWN
             )
         incarnation = str(led.target.incarnation) if is_answer else ""
-        started = led.queue.finished(attempt.id, now, seconds, outcome, incarnation)
+        started = led.queue.finish(attempt.id, now, seconds, outcome, incarnation)
         self._start_all(led, started)
         self._arm(led)
         self.player.at(
@@ -226,7 +226,7 @@
     def _expire(self, led: LedTarget) -> None:
         """Turn away what can't make its deadline any more."""
         led.armed = float("inf")
-        for refusal in led.queue.expired(self.player.now):
+        for refusal in led.queue.pop_expired(self.player.now):
             self._refused(led, refusal)
         self._arm(led)
 
@@ -239,7 +239,7 @@
         if req.status:
             return
         if outcome is AttemptOutcome.ANSWERED:
-            self.retries.succeeded()
+            self.retries.record_success()
             req.end(now, ANSWERED)
             self._cancel_others(attempt)
             return
@@ -258,7 +258,7 @@
                 continue
             led, ticket_id = self.led[name], f"{winner.req.id}#{number}"
             is_known = ticket_id in led.attempts
-            if is_known and not led.queue.cancelled(ticket_id, self.player.now):
+            if is_known and not led.queue.cancel(ticket_id, self.player.now):
                 self.attempt_ended(
                     led.attempts.pop(ticket_id), AttemptOutcome.CANCELLED
                 )
@@ -272,12 +272,12 @@
                 p.start <= now < p.end and not p.speed for p in target.phases
             )
             if target.is_down:
-                led.health.refused_connection(now)
+                led.health.record_connection_refused(now)
                 self._pause(led)
             elif not is_stalled:
-                led.health.answered(now)
+                led.health.record_answer(now)
                 self.player.at(now + REPORT_LAG, self._reported, led, target.is_cold)
-                started = led.queue.seen(str(target.incarnation), now)
+                started = led.queue.observe_incarnation(str(target.incarnation), now)
                 started += led.queue.resume(now)
                 self._start_all(led, started)
             self._arm(led)
@@ -285,7 +285,9 @@
 
     def _reported(self, led: LedTarget, is_cold: bool) -> None:
         """Take in a load report that has lagged."""
-        led.queue.reported(is_cold and not self.lies_warm, self.player.now, REPORT_LAG)
+        led.queue.set_reported_cold(
+            is_cold and not self.lies_warm, self.player.now, REPORT_LAG
+        )
         self._arm(led)
 
     def lose_vm(self, vm: int, seconds: float) -> None:
--- a/packages/bench/src/berylstage_bench/policy_slopes.py
+++ b/packages/bench/src/berylstage_bench/policy_slopes.py
@@ -59,11 +59,11 @@
 
 def fill_queue(waiting: int) -> TargetQueue:
     """Return a queue of two slots in which so many tickets wait."""
-    thresholds = DEFAULTS.replaced(queue_limit=float(waiting + 1), wait_share=1e9)
+    thresholds = DEFAULTS.with_values(queue_limit=float(waiting + 1), wait_share=1e9)
     queue = TargetQueue(2, thresholds, Random(1), 0.0)
-    queue.reported(False, 0.0)
+    queue.set_reported_cold(False, 0.0)
     while not queue.ramp.warm:
-        queue.ramp.completed(0.0, 1.0)
+        queue.ramp.record_completion(0.0, 1.0)
     for number in range(waiting + 2):
         queue.offer(make_ticket(number, max(1, waiting), 0.0, 1e6), 0.0)
     return queue
@@ -81,7 +81,7 @@
         for ticket in tickets:
             queue.offer(ticket, 0.0)
             done = slots.pop(0)
-            started = queue.finished(done, 0.0, 0.02, AttemptOutcome.ANSWERED, "a")
+            started = queue.finish(done, 0.0, 0.02, AttemptOutcome.ANSWERED, "a")
             slots.extend(found.id for found in started)
             queue.next_expiry()
         spent.append(process_time() - begun)
@@ -102,8 +102,8 @@
     def play() -> None:
         for number in range(count):
             name = choice.choose(names, number * 0.001)
-            choice.sent(name, "r", number * 0.001, "lookup")
-            choice.ended(name, "r", number * 0.001 + 0.02, True)
+            choice.record_sent(name, "r", number * 0.001, "lookup")
+            choice.record_end(name, "r", number * 0.001 + 0.02, True)
 
     return least_seconds(play) / count
 
@@ -155,7 +155,7 @@
     for number in range(targets):
         name = f"contract-book-{number}"
         choice.set_target(name, 2)
-        choice.sent(name, "r", 0.0, "lookup")
+        choice.record_sent(name, "r", 0.0, "lookup")
     return choice
 
 
--- a/packages/bench/tests/test_owned.py
+++ b/packages/bench/tests/test_owned.py
@@ -28,8 +28,8 @@
             "slow",
             [
                 (owned_model, "REPORT_PERIOD", 0.35),
-                (owned_model, "BALANCE_PERIOD", 0.35),
-                (key_loads, "HALF_LIFE", 1.5),
+                (owned_model, "REBALANCE_INTERVAL_SECONDS", 0.35),
+                (key_loads, "HALF_LIFE_SECONDS", 1.5),
             ],
         )
         with changed(slow):
@@ -37,6 +37,6 @@
 
     def test_calm_rounds_save_writes(self):
         writes = OwnedPlay(SETUP, 1).run().writes
-        always = Variation("always", [(rebalancing, "CALM_PERIOD", 0.0)])
+        always = Variation("always", [(rebalancing, "MIN_ROUND_INTERVAL_SECONDS", 0.0)])
         with changed(always):
             assert writes < 0.6 * OwnedPlay(SETUP, 1).run().writes
--- a/packages/cli/src/berylstage_cli/command.py
+++ b/packages/cli/src/berylstage_cli/command.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from berylstage_policy.thresholds import check
+from berylstage_policy.thresholds import check_overrides
 from berylstage_settings.errors import FaultySettings
 from berylstage_sheet.errors import FaultySheet
 from berylstage_sheet.reader import Sheet, read_sheet
@@ -75,7 +75,7 @@
 
     def read_sheet(self) -> Sheet:
         """Read and check the sheet that is named; ``-`` is standard input."""
-        return read_sheet(self._sheet_bytes(), check)
+        return read_sheet(self._sheet_bytes(), check_overrides)
 
     def _sheet_bytes(self) -> bytes:
         """Return the content of the sheet."""
--- a/packages/daemon/src/berylstage_daemon/connections.py
+++ b/packages/daemon/src/berylstage_daemon/connections.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from berylstage_entry.sockets import ReceiveState, unread_in
+from berylstage_entry.sockets import ReceiveState, peek_socket
 from tornado.httpserver import HTTPServer
 from tornado.httputil import HTTPMessageDelegate
 
@@ -137,4 +137,4 @@
     # Tornado tells in no other way that it holds half a head.
     if stream._read_buffer_size:
         return False
-    return unread_in(stream.socket) is not ReceiveState.BYTES
+    return peek_socket(stream.socket) is not ReceiveState.BYTES
--- a/packages/daemon/src/berylstage_daemon/free.py
+++ b/packages/daemon/src/berylstage_daemon/free.py
@@ -119,7 +119,7 @@
         else:
             answer = await self._hedged(req, tried, delay)
         if answer.outcome is Outcome.ANSWERED:
-            service.hedge.answered(now() - started)
+            service.hedge.record_answer(now() - started)
         return answer
 
     async def _hedged(
@@ -130,7 +130,7 @@
         tasks = [asyncio.ensure_future(self._patient(req, tried))]
         try:
             await asyncio.wait(tasks, timeout=delay)
-            if not tasks[0].done() and hedge.may_hedge():
+            if not tasks[0].done() and hedge.acquire_hedge():
                 self._app.metrics.count("hedged")
                 tasks.append(asyncio.ensure_future(self._impatient(req, tried)))
             return await _first_answer(tasks)
@@ -182,7 +182,7 @@
             answer = await self._try(req, others, tried, True)
             if answer.reason != BUSY:
                 return answer
-        service.hedge.declined()
+        service.hedge.refund()
         return not_run(BUSY)
 
     async def _try(
@@ -200,17 +200,17 @@
         if route is None:
             return not_run("no-owner")
         number = f"{req.request_id}#{next(self._numbers)}"
-        choice.sent(target, number, now(), req.kind.name)
+        choice.record_sent(target, number, now(), req.kind.name)
         try:
             answer = await self._send(req, route, may_decline)
         except BaseException:
             # A caller that goes away says nothing of the target. Counted against it,
             # a few impatient callers would empty a healthy target.
-            choice.withdrawn(target, number)
+            choice.record_withdrawn(target, number)
             raise
         if answer.outcome is Outcome.NOT_RUN and answer.reason in NOT_OF_TARGET:
-            choice.withdrawn(target, number)
-        choice.ended(target, number, now(), answer.outcome is Outcome.ANSWERED)
+            choice.record_withdrawn(target, number)
+        choice.record_end(target, number, now(), answer.outcome is Outcome.ANSWERED)
         return answer
 
 
--- a/packages/daemon/src/berylstage_daemon/leader.py
+++ b/packages/daemon/src/berylstage_daemon/leader.py
@@ -159,8 +159,8 @@
     def seen(self, incarnation: str, is_cold: bool) -> None:
         """Take in an answer of the target to a grant order."""
         # The word first: the sign of life ends a doubt and may start what waits.
-        self.queue.reported(is_cold, now())
-        self._begin(self.queue.seen(incarnation, now()))
+        self.queue.set_reported_cold(is_cold, now())
+        self._begin(self.queue.observe_incarnation(incarnation, now()))
         self._arm()
 
     def set_slots(self, slots: int) -> None:
@@ -179,7 +179,7 @@
         Left alone it would wait for slots that unsettled work may keep until its
         deadline, though the new leader could start it at once.
         """
-        for ticket in self.queue.hand_back():
+        for ticket in self.queue.remove_waiting():
             refusal = Refuse(ticket.id, RefuseReason.DRAINING, DEFAULT_RETRY_AFTER)
             self._turn_away(refusal)
         self._arm()
@@ -201,7 +201,7 @@
             else:
                 leave = not_run("moved")
             if not waiter.fut.done():
-                self.queue.cancelled(ticket_id, now())
+                self.queue.cancel(ticket_id, now())
                 waiter.fut.set_result(leave)
         self._arm()
 
@@ -255,7 +255,7 @@
         try:
             return await waiter.fut
         except asyncio.CancelledError:
-            if self.queue.cancelled(ticket.id, now()):
+            if self.queue.cancel(ticket.id, now()):
                 self._finish(ticket, 0.0, AttemptOutcome.CANCELLED)
             raise
         finally:
@@ -339,7 +339,7 @@
         incarnation: str = "",
     ) -> None:
         """Free a slot and start what waits for it."""
-        self._begin(self.queue.finished(ticket.id, now(), seconds, ended, incarnation))
+        self._begin(self.queue.finish(ticket.id, now(), seconds, ended, incarnation))
         self._arm()
 
     def _begin(self, tickets: list[Ticket]) -> None:
@@ -357,7 +357,7 @@
                 waiter.fut.set_result(None)
                 continue
             # Its caller has just gone: the slot would stay taken for good.
-            started += self.queue.finished(
+            started += self.queue.finish(
                 ticket.id, now(), 0.0, AttemptOutcome.CANCELLED
             )
 
@@ -381,7 +381,7 @@
     def _expire(self) -> None:
         """Turn away what can no longer make its deadline."""
         self._timer = None
-        for refusal in self.queue.expired(now()):
+        for refusal in self.queue.pop_expired(now()):
             self._turn_away(refusal)
         self._arm()
 
--- a/packages/daemon/src/berylstage_daemon/load.py
+++ b/packages/daemon/src/berylstage_daemon/load.py
@@ -86,7 +86,7 @@
             ]
         )
         for service, hot in sorted(self._keys.items()):
-            changes = hot.changes(self._slots[service], moment)
+            changes = hot.plan_changes(self._slots[service], moment)
             if changes.set_apart or changes.give_back:
                 digest.hot_keys.append(
                     HotKeyChange(
--- a/packages/daemon/src/berylstage_daemon/router.py
+++ b/packages/daemon/src/berylstage_daemon/router.py
@@ -126,7 +126,7 @@
             # The sheet has just removed the service.
             return None
         if answer.outcome is Outcome.ANSWERED:
-            policy.succeeded()
+            policy.record_success()
         if answer.outcome is Outcome.NOT_RUN and answer.reason not in ("cold", "shed"):
             # Our own queue turned it away for want of time or room: the same queue
             # would say the same again, and its caller is told when to come back.
--- a/packages/daemon/src/berylstage_daemon/servers.py
+++ b/packages/daemon/src/berylstage_daemon/servers.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from berylstage_entry.server import split_address
+from berylstage_entry.server import split_host_port
 from grpclib.server import Server
 from tornado.web import Application as WebApplication
 
@@ -43,7 +43,7 @@
         self._server = ConnectionServer(
             web, max_body_size=limit, max_buffer_size=2 * limit
         )
-        host, port = split_address(self._app.cfg.http)
+        host, port = split_host_port(self._app.cfg.http)
         self._server.listen(port, host)
 
     async def drain(self) -> None:
@@ -83,7 +83,7 @@
     async def start(self) -> None:
         """Listen."""
         self._server = Server([PeerService(self._app)])
-        host, port = split_address(self._app.cfg.peer)
+        host, port = split_host_port(self._app.cfg.peer)
         await self._server.start(host, port)
 
     async def stop(self) -> None:
--- a/packages/daemon/tests/test_leader.py
+++ b/packages/daemon/tests/test_leader.py
@@ -417,7 +417,7 @@
         async def play():
             rig = make_rig(slots=2)
             await rig.warm_up()
-            rig.leader.queue.ramp.doubted(now())
+            rig.leader.queue.ramp.suspect_restart(now())
             before = len(rig.target.sent)
             tasks = [rig.run(rig.request(str(number))) for number in range(3)]
             await let_run()
--- a/packages/entry/src/berylstage_entry/application.py
+++ b/packages/entry/src/berylstage_entry/application.py
@@ -9,30 +9,30 @@
 
 from logbook import Logger
 
-from berylstage_entry.assignment_delta import FORMAT as CHANGE_FORMAT
+from berylstage_entry.assignment_delta import MESSAGE_TYPE as ASSIGNMENT_DELTA_TYPE
 from berylstage_entry.clock import now
 from berylstage_entry.cluster_view import ClusterView
 from berylstage_entry.coordinator_election import (
-    CONTACT_PATH,
-    HAND_ON_PATH,
+    EXPORT_STATE_PATH,
+    STORE_CONTACT_PATH,
     CoordinatorElection,
 )
 from berylstage_entry.errors import InvalidRecord
 from berylstage_entry.grant_controller import GrantController
 from berylstage_entry.internal_http import InternalServer
-from berylstage_entry.load_reporter import FORMAT as COUNTS_FORMAT
+from berylstage_entry.load_reporter import MESSAGE_TYPE as KEY_COUNTS_TYPE
 from berylstage_entry.load_reporter import SPEEDS_PATH, LoadReporter
 from berylstage_entry.loop_lag import LoopLagMonitor
-from berylstage_entry.membership import UNKNOWN, Membership
+from berylstage_entry.membership import ASSUMED_STARTING_VMS, Membership
 from berylstage_entry.metrics import Metrics, format_shutdown_metrics
 from berylstage_entry.peer_datagrams import PeerDatagrams
-from berylstage_entry.peer_updates import TOLD_PATH, PeerUpdates
+from berylstage_entry.peer_updates import PUSH_PATH, PeerUpdates
 from berylstage_entry.peers import PeerClient
 from berylstage_entry.permit_client import PermitClient
 from berylstage_entry.permit_messages import (
-    ASK_FORMAT,
-    REPLY_FORMAT,
-    RETURN_FORMAT,
+    PERMIT_RELEASE_TYPE,
+    PERMIT_REPLY_TYPE,
+    PERMIT_REQUEST_TYPE,
     PermitRelease,
     PermitReply,
     PermitRequest,
@@ -42,7 +42,7 @@
 from berylstage_entry.request_log import RequestLog
 from berylstage_entry.responses import Response as PageResponse
 from berylstage_entry.router import Router
-from berylstage_entry.server import CallerServer, split_address
+from berylstage_entry.server import CallerServer, split_host_port
 from berylstage_entry.shutdown import (
     BALANCER_LAG_SECONDS,
     STOP_SIGNALS,
@@ -50,7 +50,7 @@
     PhaseTimer,
     ShutdownPlan,
 )
-from berylstage_entry.store_delta import FORMAT as NEWS_FORMAT
+from berylstage_entry.store_delta import MESSAGE_TYPE as STORE_DELTA_TYPE
 from berylstage_entry.store_delta import StoreDelta
 from berylstage_entry.store_watcher import StoreWatcher
 from berylstage_entry.target_clients import TargetClients
@@ -115,7 +115,7 @@
             cfg.vm,
         )
         self.membership = Membership(cfg, store, self.store_watcher)
-        self.peer_client = PeerClient(self.membership, cfg.control)
+        self.peer_client = PeerClient(self.membership, cfg.control_address)
         self.election = CoordinatorElection(
             cfg, store, self.store_watcher, self.peer_client, self.rng
         )
@@ -123,11 +123,13 @@
             store, self.store_watcher, self.cluster_view, self.election, targets
         )
         self.peer_updates = PeerUpdates(
-            self.store_watcher, self.membership, cfg.control
+            self.store_watcher, self.membership, cfg.control_address
         )
-        self.election.inherit = self.grant_controller.inherit
-        self.grant_controller.writer.listeners.append(self.peer_updates.tell)
-        self._host, _ = split_address(cfg.callers)
+        self.election.import_state = self.grant_controller.import_state
+        self.grant_controller.writer.listeners.append(
+            self.peer_updates.broadcast_change
+        )
+        self._host, _ = split_host_port(cfg.callers)
         host = self._host
         self.peer_datagrams = PeerDatagrams(self.membership, host, cfg.metrics_port)
         self.load_reporter = LoadReporter(
@@ -143,22 +145,34 @@
         )
         self.permit_client = PermitClient(self.membership, host)
         self.permit_server.send = self._send_permit_reply
-        self.permit_client.ask = self._send_permit_request
-        self.permit_client.give_back = self._send_permit_release
-        self.peer_datagrams.takers[ASK_FORMAT] = self.permit_server.take_ask
-        self.peer_datagrams.takers[RETURN_FORMAT] = self.permit_server.take_return
-        self.peer_datagrams.takers[REPLY_FORMAT] = self.permit_client.take_reply
-        self.router.turns = self.permit_client
-        self.peer_datagrams.takers[COUNTS_FORMAT] = self.load_reporter.take_counts
-        self.peer_datagrams.takers[NEWS_FORMAT] = self._handle_delta
-        self.peer_datagrams.takers[CHANGE_FORMAT] = self.peer_updates.take_change
+        self.permit_client.send_request = self._send_permit_request
+        self.permit_client.send_release = self._send_permit_release
+        self.peer_datagrams.handlers[PERMIT_REQUEST_TYPE] = (
+            self.permit_server.receive_request
+        )
+        self.peer_datagrams.handlers[PERMIT_RELEASE_TYPE] = (
+            self.permit_server.receive_release
+        )
+        self.peer_datagrams.handlers[PERMIT_REPLY_TYPE] = (
+            self.permit_client.receive_reply
+        )
+        self.router.permit_client = self.permit_client
+        self.peer_datagrams.handlers[KEY_COUNTS_TYPE] = (
+            self.load_reporter.receive_key_counts
+        )
+        self.peer_datagrams.handlers[STORE_DELTA_TYPE] = self._handle_delta
+        self.peer_datagrams.handlers[ASSIGNMENT_DELTA_TYPE] = (
+            self.peer_updates.receive_change
+        )
         self.peer_updates.send = self.peer_datagrams.send
-        self.store_watcher.is_teller = self.election.holds
-        self.store_watcher.tell = self._publish_delta
+        self.store_watcher.is_publisher = self.election.is_coordinator
+        self.store_watcher.publish = self._publish_delta
         self.store_watcher.is_standby = self._is_standby
-        self.store_watcher.is_deputy = self._is_local_publisher
-        self.store_watcher.leaves_duty = lambda: bool(self.membership.better())
-        self.election.better = self.membership.better
+        self.store_watcher.is_local_publisher = self._is_local_publisher
+        self.store_watcher.yields_coordination = lambda: bool(
+            self.membership.preferred_coordinator()
+        )
+        self.election.preferred_coordinator = self.membership.preferred_coordinator
         self.probes = LoadProbes(
             self.router.loads, self.cluster_view, self.permit_client, targets
         )
@@ -169,10 +183,10 @@
         self.ready_server = InternalServer({callers.ready_path: self._handle_ready})
         self.control_server = InternalServer(
             {
-                HAND_ON_PATH: self._handle_export,
-                CONTACT_PATH: self._handle_store_contact,
+                EXPORT_STATE_PATH: self._handle_export,
+                STORE_CONTACT_PATH: self._handle_store_contact,
                 SPEEDS_PATH: self._handle_service_times,
-                TOLD_PATH: self._handle_peer_updates,
+                PUSH_PATH: self._handle_peer_updates,
             }
         )
         self.metrics_server = InternalServer({"/metrics": self._handle_metrics})
@@ -187,7 +201,8 @@
     def ready(self) -> bool:
         """Return whether the load balancer should send callers to this VM."""
         has_view = (
-            self.cluster_view.configuration is not None and self.store_watcher.complete
+            self.cluster_view.configuration is not None
+            and self.store_watcher.has_synced
         )
         return has_view and not self.is_stopping
 
@@ -209,8 +224,8 @@
         """Start all components."""
         self.server.listen(self.cfg.callers)
         self.ready_server.listen(self.cfg.ready)
-        self.control_server.listen(self.cfg.control)
-        host, _ = split_address(self.cfg.callers)
+        self.control_server.listen(self.cfg.control_address)
+        host, _ = split_host_port(self.cfg.callers)
         self.metrics_server.listen(f"{host}:{self.cfg.metrics_port}")
         self.loop_lag_monitor.start()
         self.store_watcher.start()
@@ -312,24 +327,24 @@
 
     def _send_permit_request(self, host: str, ask: PermitRequest) -> None:
         if host == self._host:
-            self.permit_server.asked(ask, host)
+            self.permit_server.handle_request(ask, host)
         else:
             self.peer_datagrams.send_to(host, ask.encode())
 
     def _send_permit_release(self, host: str, release: PermitRelease) -> None:
         if host == self._host:
-            self.permit_server.returned(release, host)
+            self.permit_server.handle_release(release, host)
         else:
             self.peer_datagrams.send_to(host, release.encode())
 
     def _send_permit_reply(self, host: str, reply: PermitReply) -> None:
         if host == self._host:
-            self.permit_client.replied(reply)
+            self.permit_client.handle_reply(reply)
         else:
             self.peer_datagrams.send_to(host, reply.encode())
 
     def _is_standby(self) -> bool:
-        return self.membership.stands_by(self.election.holder_address())
+        return self.membership.is_standby(self.election.coordinator_address())
 
     def _is_local_publisher(self) -> bool:
         # Until its own record is known, every VM would consider itself the local
@@ -348,13 +363,13 @@
         if self._seen_members_revision != self.membership.revision:
             self._seen_members_revision = self.membership.revision
             names = self.membership.names()
-            self.router.cold.vm_names = names
-            vms = len(names) + UNKNOWN
-            self.router.vms = self.router.cold.vms = vms
-            self.target_clients.vms = self.store_watcher.vms = vms
+            self.router.cold_targets.vm_names = names
+            vms = len(names) + ASSUMED_STARTING_VMS
+            self.router.vm_count = self.router.cold_targets.vm_count = vms
+            self.target_clients.vm_count = self.store_watcher.vm_count = vms
 
     def _publish_delta(self, delta: StoreDelta) -> None:
-        if delta.large:
+        if delta.large_items:
             self._announce_task = asyncio.create_task(self._publish_large_items(delta))
         else:
             self._send_delta(delta)
@@ -362,17 +377,19 @@
     async def _publish_large_items(self, delta: StoreDelta) -> None:
         """Publish large items before the delta that refers to them."""
         began = now()
-        if self.election.holds():
-            await self.peer_updates.tell_first(delta.large)
+        if self.election.is_coordinator():
+            await self.peer_updates.push_large_items(delta.large_items)
         delta.age += now() - began
         self._send_delta(delta)
 
     def _send_delta(self, delta: StoreDelta) -> None:
-        for part in delta.parts():
+        for part in delta.split():
             data = part.encode()
             # The other VMs read items from the store that do not fit in a datagram.
             if data is not None:
-                self.peer_datagrams.send(data, near=not self.election.holds())
+                self.peer_datagrams.send(
+                    data, same_data_centre=not self.election.is_coordinator()
+                )
 
     def _handle_delta(self, data: bytes, host: str) -> None:
         try:
@@ -380,7 +397,7 @@
         except InvalidRecord as exc:
             log.warning("ignoring invalid store delta", extra={"cause": str(exc)})
             return
-        self.store_watcher.take_news(delta)
+        self.store_watcher.apply_delta(delta)
 
     def _handle_ready(self, body: bytes) -> PageResponse:
         return PageResponse(200 if self.ready() else UNAVAILABLE)
@@ -388,18 +405,22 @@
     def _handle_export(self, body: bytes) -> PageResponse:
         # While this VM is certainly the coordinator, its grants in flight may still
         # reach targets, so its state is not exported yet.
-        if not self.election.may_hand_on(body):
+        if not self.election.may_export_state(body):
             return PageResponse(UNAVAILABLE)
-        return PageResponse(200, body=self.grant_controller.handed_on())
+        return PageResponse(200, body=self.grant_controller.export_state())
 
     async def _handle_store_contact(self, body: bytes) -> PageResponse:
-        return PageResponse(200, body=str(await self.store_watcher.contact()).encode())
+        return PageResponse(
+            200, body=str(await self.store_watcher.probe_store()).encode()
+        )
 
     def _handle_service_times(self, body: bytes) -> PageResponse:
-        return PageResponse(200 if self.load_reporter.take_speeds(body) else 400)
+        return PageResponse(
+            200 if self.load_reporter.receive_service_times(body) else 400
+        )
 
     def _handle_peer_updates(self, body: bytes) -> PageResponse:
-        return PageResponse(200 if self.peer_updates.take(body) else 400)
+        return PageResponse(200 if self.peer_updates.receive_item(body) else 400)
 
     def _handle_metrics(self, body: bytes) -> PageResponse:
         headers = [("Content-Type", "text/plain; version=0.0.4")]
--- a/packages/entry/src/berylstage_entry/assignment.py
+++ b/packages/entry/src/berylstage_entry/assignment.py
@@ -13,7 +13,7 @@
     from collections.abc import Iterable, Sequence
 
 LAST_KEY = 65535
-KEYS = LAST_KEY + 1
+KEY_COUNT = LAST_KEY + 1
 
 
 class KeyRange:
@@ -25,12 +25,12 @@
         Keys, both inclusive.
     owner : str
         Name of the target; empty if the keys have no owner.
-    life : int
+    incarnation : int
         Incarnation of the owner.
     fence : int
-    former : str
+    previous_owner : str
         Target that may still hold the keys and must release them first; empty for none.
-    former_life : int
+    previous_incarnation : int
         Incarnation of that target.
     """
 
@@ -38,10 +38,10 @@
         "_digest",
         "fence",
         "first",
-        "former",
-        "former_life",
+        "previous_owner",
+        "previous_incarnation",
         "last",
-        "life",
+        "incarnation",
         "owner",
     )
 
@@ -50,25 +50,31 @@
         first: int,
         last: int,
         owner: str,
-        life: int,
+        incarnation: int,
         fence: int,
-        former: str = "",
-        former_life: int = 0,
+        previous_owner: str = "",
+        previous_incarnation: int = 0,
     ):
         self.first = first
         self.last = last
         self.owner = owner
-        self.life = life
+        self.incarnation = incarnation
         self.fence = fence
-        self.former = former
-        self.former_life = former_life
+        self.previous_owner = previous_owner
+        self.previous_incarnation = previous_incarnation
         self._digest = 0
 
     @property
     def digest(self) -> int:
         """Checksum of all fields, which must not change after the first access."""
         if not self._digest:
-            state = (self.owner, self.life, self.fence, self.former, self.former_life)
+            state = (
+                self.owner,
+                self.incarnation,
+                self.fence,
+                self.previous_owner,
+                self.previous_incarnation,
+            )
             text = f"{self.first} {self.last} {state}"
             self._digest = zlib.crc32(text.encode())
         return self._digest
@@ -79,20 +85,20 @@
             first,
             last,
             self.owner,
-            self.life,
+            self.incarnation,
             self.fence,
-            self.former,
-            self.former_life,
+            self.previous_owner,
+            self.previous_incarnation,
         )
 
     def equals_except_keys(self, other: KeyRange) -> bool:
         """Tell whether two ranges are equal apart from their keys."""
         return (
             self.owner == other.owner
-            and self.life == other.life
+            and self.incarnation == other.incarnation
             and self.fence == other.fence
-            and self.former == other.former
-            and self.former_life == other.former_life
+            and self.previous_owner == other.previous_owner
+            and self.previous_incarnation == other.previous_incarnation
         )
 
 
@@ -159,7 +165,7 @@
         total = self.next_fence + sum(r.digest for r in self.ranges)
         return total % self.DIGEST_MODULUS
 
-    def differing(self, old: Assignment) -> list[KeyRange]:
+    def ranges_changed_since(self, old: Assignment) -> list[KeyRange]:
         """Return the ranges, or parts of them, that differ from an older assignment."""
         return [r for r in self.ranges if not old.contains(r)]
 
@@ -176,7 +182,14 @@
         quarter of the time.
         """
         rows = [
-            [r.first, r.owner, r.life, r.fence, r.former, r.former_life]
+            [
+                r.first,
+                r.owner,
+                r.incarnation,
+                r.fence,
+                r.previous_owner,
+                r.previous_incarnation,
+            ]
             for r in self.ranges
         ]
         doc = {"next_fence": self.next_fence, "ranges": rows}
@@ -206,7 +219,7 @@
             ) from exc
 
 
-def nobody() -> Assignment:
+def unassigned() -> Assignment:
     """Return the assignment of a service whose keys have never had an owner."""
     return Assignment([KeyRange(0, LAST_KEY, "", 0, 0)], 1)
 
--- a/packages/entry/src/berylstage_entry/assignment_delta.py
+++ b/packages/entry/src/berylstage_entry/assignment_delta.py
@@ -19,7 +19,7 @@
     from berylstage_entry.assignment import Assignment
 
 # First byte of a datagram that contains a change.
-FORMAT = 18
+MESSAGE_TYPE = 18
 # Keeps a datagram within one packet: a range takes some 30 bytes compressed, mostly for
 # the names of two targets.
 MAX_RANGES_PER_DATAGRAM = 32
@@ -85,7 +85,7 @@
         new: Assignment,
     ) -> AssignmentDelta:
         """Return the change from an old assignment to a new one."""
-        ranges = new.differing(old)
+        ranges = new.ranges_changed_since(old)
         return cls(
             service, base_revision, revision, new.next_fence, ranges, new.digest()
         )
@@ -108,13 +108,21 @@
 
     def _encode_part(self, ranges: list[KeyRange], parts: int) -> bytes:
         rows = [
-            [r.first, r.last, r.owner, r.life, r.fence, r.former, r.former_life]
+            [
+                r.first,
+                r.last,
+                r.owner,
+                r.incarnation,
+                r.fence,
+                r.previous_owner,
+                r.previous_incarnation,
+            ]
             for r in ranges
         ]
         head = [self.service, self.base_revision, self.revision]
         doc = [*head, self.next_fence, rows, self.checksum, parts]
         text = json.dumps(doc, separators=(",", ":")).encode()
-        return bytes([FORMAT]) + zlib.compress(text)
+        return bytes([MESSAGE_TYPE]) + zlib.compress(text)
 
     def join(self, other: AssignmentDelta) -> None:
         """Add the ranges of another part of the same change."""
--- a/packages/entry/src/berylstage_entry/assignment_writer.py
+++ b/packages/entry/src/berylstage_entry/assignment_writer.py
@@ -7,11 +7,11 @@
 
 from logbook import Logger
 
-from berylstage_entry.assignment import nobody
+from berylstage_entry.assignment import unassigned
 from berylstage_entry.assignment_delta import AssignmentDelta
 from berylstage_entry.errors import Conflict, StoreRefused, StoreUnavailable
 from berylstage_entry.store import Condition, Write
-from berylstage_entry.store_keys import KEYS_PREFIX
+from berylstage_entry.store_keys import ASSIGNMENT_PREFIX
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -35,14 +35,16 @@
     Parameters
     ----------
     store : Store
-    feed : Feed
-    office : Office
+    store_watcher : Feed
+    election : Office
     """
 
-    def __init__(self, store: Store, feed: StoreWatcher, office: CoordinatorElection):
+    def __init__(
+        self, store: Store, store_watcher: StoreWatcher, election: CoordinatorElection
+    ):
         self._store = store
-        self._feed = feed
-        self._office = office
+        self._store_watcher = store_watcher
+        self._election = election
         # Called with each change after it was written.
         self.listeners: list[Callable[[AssignmentDelta], None]] = []
 
@@ -56,10 +58,10 @@
         StoreError
             The assignment is not in force and will not be.
         """
-        key = KEYS_PREFIX + service
-        revision = self._feed.revisions.get(service, 0)
-        conditions = [self._office.write_condition(), Condition(key, revision)]
-        old = self._feed.assignments.get(service) or nobody()
+        key = ASSIGNMENT_PREFIX + service
+        revision = self._store_watcher.assignment_revisions.get(service, 0)
+        conditions = [self._election.write_condition(), Condition(key, revision)]
+        old = self._store_watcher.assignments.get(service) or unassigned()
         value = assignment.encode()
         outcome_unknown = False
         while True:
@@ -81,12 +83,12 @@
                 log.info(
                     "outcome of assignment write unknown", extra={"cause": str(exc)}
                 )
-            if not self._office.holds():
+            if not self._election.is_coordinator():
                 raise Conflict(
                     f"{key}: not coordinator any more, outcome of the write unknown"
                 )
             await asyncio.sleep(RETRY_INTERVAL_SECONDS)
-        self._feed.take_assignment(service, assignment, new_revision)
+        self._store_watcher.apply_assignment(service, assignment, new_revision)
         change = AssignmentDelta.between(
             service, revision, old, new_revision, assignment
         )
@@ -98,13 +100,13 @@
                 "service": service,
                 "revision": new_revision,
                 "ranges": len(assignment.ranges),
-                "moving": sum(1 for r in assignment.ranges if r.former),
+                "moving": sum(1 for r in assignment.ranges if r.previous_owner),
             },
         )
 
     async def _wait_for_newer_assignment(self, service: str, revision: int) -> None:
         """Wait until this VM knows a newer assignment than before."""
-        while self._office.holds():
-            if self._feed.revisions.get(service, 0) > revision:
+        while self._election.is_coordinator():
+            if self._store_watcher.assignment_revisions.get(service, 0) > revision:
                 return
             await asyncio.sleep(POLL_INTERVAL_SECONDS)
--- a/packages/entry/src/berylstage_entry/cluster_view.py
+++ b/packages/entry/src/berylstage_entry/cluster_view.py
@@ -35,7 +35,9 @@
 
     def __init__(self, target: Target, now: float):
         self.target = target
-        self.cold_until = now + target.cold_left if target.cold_left else 0.0
+        self.cold_until = (
+            now + target.cold_seconds_left if target.cold_seconds_left else 0.0
+        )
         # When its record was removed, if an outage may be the cause; otherwise 0.
         self.expired_at = 0.0
 
@@ -57,14 +59,21 @@
         -------
         bool
         """
-        reported_cold_until = now + target.cold_left
+        reported_cold_until = now + target.cold_seconds_left
         if (
             self.expired_at
             or abs(reported_cold_until - max(now, self.cold_until))
             > COLD_END_TOLERANCE_SECONDS
         ):
             return True
-        fields = ("life", "service", "address", "data_centre", "slots", "leaving")
+        fields = (
+            "incarnation",
+            "service",
+            "address",
+            "data_centre",
+            "slots",
+            "is_draining",
+        )
         return any(getattr(target, f) != getattr(self.target, f) for f in fields)
 
 
@@ -79,7 +88,7 @@
         "_by_service",
         "_names_by_checksum",
         "_checksums_revision",
-        "closed",
+        "closed_data_centres",
         "configuration",
         "known",
         "revision",
@@ -88,7 +97,7 @@
     def __init__(self) -> None:
         self.configuration: Configuration | None = None
         self.known: dict[str, KnownTarget] = {}
-        self.closed: set[str] = set()
+        self.closed_data_centres: set[str] = set()
         # Incremented at each change of the usable targets.
         self.revision = 0
         self._by_service: dict[str, list[str]] | None = None
@@ -117,13 +126,16 @@
             return self._apply_configuration(record.configuration)
         if record.target is not None:
             return self._apply_target(record.target, now)
-        if record.gone:
-            return self._apply_removal(record.gone, now, outage)
-        if record.closed and record.closed not in self.closed:
-            self.closed.add(record.closed)
+        if record.removed_target:
+            return self._apply_removal(record.removed_target, now, outage)
+        if (
+            record.closed_data_centre
+            and record.closed_data_centre not in self.closed_data_centres
+        ):
+            self.closed_data_centres.add(record.closed_data_centre)
             return self._mark_changed("closed")
-        if record.opened in self.closed:
-            self.closed.discard(record.opened)
+        if record.reopened_data_centre in self.closed_data_centres:
+            self.closed_data_centres.discard(record.reopened_data_centre)
             return self._mark_changed("opened")
         return ""
 
@@ -151,8 +163,8 @@
         missing = [name for name in self.known if name not in names]
         for name in missing:
             self._apply_removal(name, now, outage)
-        if closed != self.closed:
-            self.closed = set(closed)
+        if closed != self.closed_data_centres:
+            self.closed_data_centres = set(closed)
             self._mark_changed("closed")
         return missing
 
@@ -193,7 +205,7 @@
             if known.expired_at:
                 known.expired_at = now
 
-    def named(self, checksum: int) -> str:
+    def target_name(self, checksum: int) -> str:
         """Return the name of the target with a checksum; empty if there is none."""
         if self._checksums_revision != self.revision:
             self._checksums_revision = self.revision
@@ -202,22 +214,25 @@
             }
         return self._names_by_checksum.get(checksum, "")
 
-    def usable(self, service: str) -> list[str]:
+    def usable_targets(self, service: str) -> list[str]:
         """Return the targets of a service that accept new requests."""
         if self._by_service is None:
             self._by_service = {}
             for name, known in self.known.items():
                 target = known.target
-                if not target.leaving and target.data_centre not in self.closed:
+                if (
+                    not target.is_draining
+                    and target.data_centre not in self.closed_data_centres
+                ):
                     self._by_service.setdefault(target.service, []).append(name)
         return self._by_service.get(service, [])
 
-    def may_use(self, name: str) -> bool:
+    def is_usable(self, name: str) -> bool:
         """Return whether a target accepts new requests."""
         known = self.known.get(name)
-        if known is None or known.target.leaving:
+        if known is None or known.target.is_draining:
             return False
-        return known.target.data_centre not in self.closed
+        return known.target.data_centre not in self.closed_data_centres
 
     def _apply_configuration(self, cfg: Configuration) -> str:
         old = self.configuration
@@ -228,13 +243,13 @@
 
     def _apply_target(self, target: Target, now: float) -> str:
         old = self.known.get(target.name)
-        if old is not None and old.target.life > target.life:
+        if old is not None and old.target.incarnation > target.incarnation:
             return ""
         self.known[target.name] = KnownTarget(target, now)
-        if old is None or old.target.life != target.life:
+        if old is None or old.target.incarnation != target.incarnation:
             return self._mark_changed("target")
         before = old.target
-        if before.leaving != target.leaving or before.address != target.address:
+        if before.is_draining != target.is_draining or before.address != target.address:
             return self._mark_changed("target")
         return ""
 
--- a/packages/entry/src/berylstage_entry/cold_targets.py
+++ b/packages/entry/src/berylstage_entry/cold_targets.py
@@ -19,7 +19,7 @@
 
     Parameters
     ----------
-    directory : ClusterView
+    cluster_view : ClusterView
     bounds : Bounds
     vm : str
         Name of this VM.
@@ -32,12 +32,12 @@
         Names of the known VMs; the list is replaced and never modified.
     """
 
-    def __init__(self, directory: ClusterView, bounds: Bounds, vm: str):
-        self._directory = directory
+    def __init__(self, cluster_view: ClusterView, bounds: Bounds, vm: str):
+        self._cluster_view = cluster_view
         self._bounds = bounds
         self._vm = vm
         self._limiters: dict[tuple[str, int], ColdRateLimiter] = {}
-        self.vms = 10
+        self.vm_count = 10
         self.vm_names: list[str] = []
         # Bound of each cold target, and whether this VM may send to it. Valid for
         # `_cold_senders_vms`.
@@ -59,14 +59,14 @@
         name : str
         service : Service
         """
-        known = self._directory.known[name]
+        known = self._cluster_view.known[name]
         if known.cold_until <= now():
             return None
         identity = known.target.identity
         limiter = self._limiters.get(identity)
         if limiter is None:
-            bound = self._bounds.cold_bound(service.cold_rate)
-            limiter = ColdRateLimiter(bound, self.vms, now())
+            bound = self._bounds.max_cold_requests(service.cold_requests_per_second)
+            limiter = ColdRateLimiter(bound, self.vm_count, now())
             self._limiters[identity] = limiter
         return limiter
 
@@ -93,7 +93,7 @@
         if self._cold_senders_vms is not self.vm_names:
             self._cold_senders_vms = self.vm_names
             self._cold_senders.clear()
-        bound = self._bounds.cold_bound(service.cold_rate)
+        bound = self._bounds.max_cold_requests(service.cold_requests_per_second)
         known = self._cold_senders.get(name)
         if known is None or known[0] != bound:
             is_sender = is_cold_sender(name, self._vm, self.vm_names, bound)
--- a/packages/entry/src/berylstage_entry/connection.py
+++ b/packages/entry/src/berylstage_entry/connection.py
@@ -167,7 +167,7 @@
         try:
             self._server.check_head(self._header_fields)
             target = self._request_target.decode("latin-1")
-            exchange.req = self._server.wire.request(
+            exchange.req = self._server.protocol.parse_request(
                 method, target, self._header_fields
             )
         except BadRequest as exc:
--- a/packages/entry/src/berylstage_entry/coordinator_election.py
+++ b/packages/entry/src/berylstage_entry/coordinator_election.py
@@ -28,7 +28,7 @@
     extended_grant_seconds,
 )
 from berylstage_entry.store import Condition, Item, Write
-from berylstage_entry.store_keys import DUTY_KEY, OWN_PREFIX
+from berylstage_entry.store_keys import COORDINATOR_KEY, INTERNAL_PREFIX
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -39,11 +39,11 @@
     from berylstage_entry.store_watcher import StoreWatcher
 
 # Key with the number of the current term and the last coordinator. It has no lease.
-TERM_KEY = OWN_PREFIX + "term"
+TERM_KEY = INTERNAL_PREFIX + "term"
 # Path at which a former coordinator returns its state to its successor.
-HAND_ON_PATH = "/duty/hand-on"
+EXPORT_STATE_PATH = "/duty/hand-on"
 # Path at which a VM tells for how long it has been in contact with the store.
-CONTACT_PATH = "/store/contact"
+STORE_CONTACT_PATH = "/store/contact"
 # Lease of the coordinator in the store. If its VM fails, another takes over within this
 # time, which is shorter than the duration of a grant.
 LEASE_SECONDS = 2.0
@@ -83,18 +83,18 @@
         Increases with each term.
     vm : str
         The coordinator.
-    control : str
+    control_address : str
         Address at which it listens for other VMs.
     settled : bool
         Whether all grants of earlier terms have expired.
     """
 
-    __slots__ = ("control", "number", "settled", "vm")
+    __slots__ = ("control_address", "number", "settled", "vm")
 
-    def __init__(self, number: int, vm: str, control: str, settled: bool):
+    def __init__(self, number: int, vm: str, control_address: str, settled: bool):
         self.number = number
         self.vm = vm
-        self.control = control
+        self.control_address = control_address
         self.settled = settled
 
     def encode(self) -> bytes:
@@ -102,7 +102,7 @@
         doc = {
             "term": self.number,
             "vm": self.vm,
-            "control": self.control,
+            "control": self.control_address,
             "settled": self.settled,
         }
         return json.dumps(doc).encode()
@@ -123,7 +123,7 @@
     ----------
     cfg : EntrySettings
     store : Store
-    feed : Feed
+    store_watcher : Feed
     peers : Peers
     rng : Random
     """
@@ -132,13 +132,13 @@
         self,
         cfg: EntrySettings,
         store: Store,
-        feed: StoreWatcher,
+        store_watcher: StoreWatcher,
         peers: PeerClient,
         rng: Random,
     ):
         self._cfg = cfg
         self._store = store
-        self._feed = feed
+        self._store_watcher = store_watcher
         self._peers = peers
         self._rng = rng
         self._lease = 0
@@ -155,19 +155,19 @@
         # Set when the coordinator's key has changed, and while this VM has the lease.
         self._key_changed = asyncio.Event()
         self._has_lease = asyncio.Event()
-        feed.listeners.append(self._on_store_change)
+        store_watcher.listeners.append(self._on_store_change)
         self.term = 0
         # Whether this very process was also the coordinator of the previous term.
         self.succeeds_itself = False
         # Called with the state of the previous coordinator. Returns the seconds until
         # all its grants have expired, or None if the state cannot be parsed.
-        self.inherit: Callable[[bytes], float | None] = lambda body: None
+        self.import_state: Callable[[bytes], float | None] = lambda body: None
         # Time by which all grants of other VMs have expired, as far as known.
         self.other_grants_expire_at = float("inf")
         # Start of the term.
         self._term_start = float("-inf")
         # Returns the address of a VM that should be coordinator instead, or "".
-        self.better: Callable[[], str] = lambda: ""
+        self.preferred_coordinator: Callable[[], str] = lambda: ""
         # Whether grants last long enough to outlast an outage of the store.
         self.extends_grants = False
 
@@ -175,7 +175,7 @@
         """Start to take part in the election."""
         self._task = asyncio.create_task(self._run())
 
-    def holds(self) -> bool:
+    def is_coordinator(self) -> bool:
         """Tell whether this VM is the coordinator and may still grant keys.
 
         Callers must check this right before each grant, because the process may have
@@ -187,15 +187,15 @@
         """Wait until this VM has the coordinator lease, even if it may not grant."""
         await self._has_lease.wait()
 
-    def hold(self) -> float:
+    def grant_seconds(self) -> float:
         """Return the duration in seconds of a grant made now."""
         return (
-            extended_grant_seconds(self._cfg.bounds.longest_hold)
+            extended_grant_seconds(self._cfg.bounds.max_grant_seconds)
             if self.extends_grants
             else GRANT_SECONDS
         )
 
-    def may_hand_on(self, body: bytes) -> bool:
+    def may_export_state(self, body: bytes) -> bool:
         """Tell whether this process was the coordinator of a term and no longer is.
 
         A process that was restarted at the address of the former coordinator knows
@@ -208,15 +208,15 @@
         body : bytes
             Number of the term.
         """
-        return body == str(self.term).encode() and not self.holds()
+        return body == str(self.term).encode() and not self.is_coordinator()
 
     def write_condition(self) -> Condition:
         """Return the condition under which this VM may write assignments."""
-        return Condition(DUTY_KEY, self._key_revision)
+        return Condition(COORDINATOR_KEY, self._key_revision)
 
-    def holder_address(self) -> str:
+    def coordinator_address(self) -> str:
         """Return the coordinator's address for other VMs, or "" if it is unknown."""
-        item = self._feed.own.get(DUTY_KEY)
+        item = self._store_watcher.internal_items.get(COORDINATOR_KEY)
         if item is None or item.value is None:
             return ""
         return json.loads(item.value)["control"]
@@ -235,9 +235,9 @@
             return
         try:
             if was_coordinator:
-                conditions = [Condition(DUTY_KEY, revision)]
-                await self._store.write(conditions, [], [DUTY_KEY])
-            await self._store.end_lease(self._acquired_lease)
+                conditions = [Condition(COORDINATOR_KEY, revision)]
+                await self._store.write(conditions, [], [COORDINATOR_KEY])
+            await self._store.revoke_lease(self._acquired_lease)
         except LeaseExpired:
             log.debug("the coordinator's lease has already expired")
         except StoreError as exc:
@@ -256,7 +256,7 @@
                     await self._renew_lease()
                 elif self._lacks_coordinator():
                     wait = self._rng.uniform(0, MAX_JITTER_SECONDS) + election_delay(
-                        self._cfg.power
+                        self._cfg.relative_capacity
                     )
                     await asyncio.sleep(wait)
                     await self._campaign()
@@ -274,7 +274,7 @@
         Hundreds of VMs take part in the election. As long as the key names a
         coordinator, only a change of the key wakes them.
         """
-        if self.holder_address():
+        if self.coordinator_address():
             self._key_changed.clear()
             await self._key_changed.wait()
         else:
@@ -282,25 +282,25 @@
             await asyncio.sleep(VACANCY_CHECK_SECONDS)
 
     def _on_store_change(self, changed: str) -> None:
-        if changed in (DUTY_KEY, "read"):
+        if changed in (COORDINATOR_KEY, "read"):
             self._key_changed.set()
 
     def _lacks_coordinator(self) -> bool:
-        item = self._feed.own.get(DUTY_KEY)
+        item = self._store_watcher.internal_items.get(COORDINATOR_KEY)
         no_coordinator = item is None or item.value is None
         # Only wait until the store answers again: extended grants may expire 1.3 s
         # after the store is back, and 3 s more left all keys without an owner.
-        return no_coordinator and self._feed.is_in_touch()
+        return no_coordinator and self._store_watcher.is_up_to_date()
 
     async def _renew_lease(self) -> None:
-        item = self._feed.own.get(DUTY_KEY)
+        item = self._store_watcher.internal_items.get(COORDINATOR_KEY)
         if item is not None and item.revision > self._key_revision:
             self._step_down("another VM has it")
             return
         sent = now()
         try:
             async with asyncio.timeout(LEASE_RENEWAL_TIMEOUT_SECONDS):
-                await self._store.keep_lease(self._lease)
+                await self._store.renew_lease(self._lease)
             self._lease_renewed_at = sent
             self.extends_grants = False
             await self._yield_to_preferred()
@@ -318,11 +318,11 @@
         starting. Under load it grants keys late, targets then count as unresponsive,
         and moving their keys adds to the load.
         """
-        address = self.better()
+        address = self.preferred_coordinator()
         if not address or now() - self._term_start < MIN_TERM_SECONDS:
             return
         # A VM's record remains for the duration of its lease after the VM has failed.
-        answer = await self._peers.ask(address, CONTACT_PATH)
+        answer = await self._peers.call(address, STORE_CONTACT_PATH)
         if answer is None or float(answer) <= 0:
             return
         await self._give_up_lease("a VM with more room for it is there")
@@ -330,9 +330,9 @@
 
     async def _extend_grants(self) -> None:
         """Extend grants if other VMs have lost the store as well."""
-        if self.extends_grants or not self.holds():
+        if self.extends_grants or not self.is_coordinator():
             return
-        answers = await self._peers.ask_all(CONTACT_PATH)
+        answers = await self._peers.call_all(STORE_CONTACT_PATH)
         reported = [answer for answer in answers if answer is not None]
         lost = [answer for answer in reported if float(answer) <= 0]
         # At least half of all VMs must have lost the store, and none may reach it. No
@@ -340,7 +340,7 @@
         if (
             2 * len(lost) >= len(answers)
             and len(lost) == len(reported)
-            and self.holds()
+            and self.is_coordinator()
         ):
             self.extends_grants = True
         log.info(
@@ -357,19 +357,21 @@
         if not self._lacks_coordinator():
             return
         sent = now()
-        lease = await self._store.take_lease(
-            max(LEASE_SECONDS, self._cfg.shortest_lease)
+        lease = await self._store.create_lease(
+            max(LEASE_SECONDS, self._cfg.min_store_lease_seconds)
         )
         self._acquired_lease = lease
-        old = self._feed.own.get(TERM_KEY)
+        old = self._store_watcher.internal_items.get(TERM_KEY)
         previous = _Term.decode(old.value if old else None)
-        current = _Term(previous.number + 1, self._cfg.vm, self._cfg.control, False)
+        current = _Term(
+            previous.number + 1, self._cfg.vm, self._cfg.control_address, False
+        )
         conditions = [
-            Condition(DUTY_KEY, 0),
+            Condition(COORDINATOR_KEY, 0),
             Condition(TERM_KEY, old.revision if old else 0),
         ]
         value = current.encode()
-        writes = [Write(DUTY_KEY, value, lease), Write(TERM_KEY, value)]
+        writes = [Write(COORDINATOR_KEY, value, lease), Write(TERM_KEY, value)]
         try:
             revision = await self._store.write(conditions, writes)
         except (Conflict, LeaseExpired):
@@ -381,10 +383,10 @@
         self._term_start = sent
         self.term = current.number
         self.extends_grants = False
-        self._feed.take_written(Item(DUTY_KEY, value, revision))
-        self._feed.take_written(Item(TERM_KEY, value, revision))
+        self._store_watcher.apply_written_item(Item(COORDINATOR_KEY, value, revision))
+        self._store_watcher.apply_written_item(Item(TERM_KEY, value, revision))
         self.other_grants_expire_at = now()
-        if previous.control and not (self.succeeds_itself and previous.settled):
+        if previous.control_address and not (self.succeeds_itself and previous.settled):
             self.other_grants_expire_at = compute_expiry(
                 now(), self._extended_grant_seconds()
             )
@@ -392,7 +394,7 @@
             "duty taken",
             extra={
                 "term": self.term,
-                "former": previous.control,
+                "former": previous.control_address,
                 "settled": previous.settled,
                 "revision": revision,
             },
@@ -402,14 +404,15 @@
         )
 
     def _extended_grant_seconds(self) -> float:
-        return extended_grant_seconds(self._cfg.bounds.longest_hold)
+        return extended_grant_seconds(self._cfg.bounds.max_grant_seconds)
 
     async def _await_earlier_grants(self, previous: _Term, current: _Term) -> None:
         """Determine when the grants of earlier terms expire, then store that fact."""
         start_time = now()
-        if previous.control and not self.succeeds_itself:
+        if previous.control_address and not self.succeeds_itself:
             had_contact, seconds_left = await asyncio.gather(
-                self._had_contact(previous.control), self._query_predecessor(previous)
+                self._had_contact(previous.control_address),
+                self._query_predecessor(previous),
             )
             expiries = [self.other_grants_expire_at]
             if previous.settled and had_contact:
@@ -430,14 +433,14 @@
 
     async def _had_contact(self, former: str) -> bool:
         """Tell whether over half of the VMs had unbroken contact with the store."""
-        if self._feed.steady() < MIN_CONTACT_SECONDS:
+        if self._store_watcher.contact_seconds() < MIN_CONTACT_SECONDS:
             return False
         # The former coordinator extended grants only if half of the other VMs had lost
         # the store. More than half of them with unbroken contact, this one included,
         # rule that out.
-        addresses = [a for a in self._peers.others() if a != former]
+        addresses = [a for a in self._peers.other_addresses() if a != former]
         answers = await asyncio.gather(
-            *(self._peers.ask(a, CONTACT_PATH) for a in addresses)
+            *(self._peers.call(a, STORE_CONTACT_PATH) for a in addresses)
         )
         in_contact = [
             a for a in answers if a is not None and float(a) >= MIN_CONTACT_SECONDS
@@ -448,9 +451,11 @@
         """Return the seconds until the former coordinator's grants expire."""
         for _ in range(QUERY_ATTEMPTS):
             term = str(previous.number).encode()
-            answer = await self._peers.ask(previous.control, HAND_ON_PATH, term)
+            answer = await self._peers.call(
+                previous.control_address, EXPORT_STATE_PATH, term
+            )
             if answer:
-                return self.inherit(answer)
+                return self.import_state(answer)
             await asyncio.sleep(QUERY_INTERVAL_SECONDS)
         return None
 
@@ -459,7 +464,7 @@
         current.settled = True
         while self._lease and self.term == current.number:
             try:
-                item = self._feed.own[TERM_KEY]
+                item = self._store_watcher.internal_items[TERM_KEY]
                 conditions = [
                     self.write_condition(),
                     Condition(TERM_KEY, item.revision),
--- a/packages/entry/src/berylstage_entry/coordinator_watch.py
+++ b/packages/entry/src/berylstage_entry/coordinator_watch.py
@@ -9,7 +9,7 @@
 
 from berylstage_entry.errors import RevisionCompacted, StoreError
 from berylstage_entry.store import Item
-from berylstage_entry.store_keys import DUTY_KEY
+from berylstage_entry.store_keys import COORDINATOR_KEY
 
 if TYPE_CHECKING:
     from berylstage_entry.store import Store
@@ -34,12 +34,12 @@
     Parameters
     ----------
     store : Store
-    feed : Feed
+    store_watcher : Feed
     """
 
-    def __init__(self, store: Store, feed: StoreWatcher):
+    def __init__(self, store: Store, store_watcher: StoreWatcher):
         self._store = store
-        self._feed = feed
+        self._store_watcher = store_watcher
         # Revision up to which the key is known, if newer than that of all keys.
         self._revision = 0
 
@@ -51,14 +51,14 @@
             if not self._should_watch():
                 await asyncio.sleep(CHECK_INTERVAL_SECONDS)
                 continue
-            revision = max(self._feed.revision, self._revision)
+            revision = max(self._store_watcher.revision, self._revision)
             try:
                 while self._should_watch():
                     changes = await self._store.watch(
-                        DUTY_KEY, revision, WATCH_TIMEOUT_SECONDS
+                        COORDINATOR_KEY, revision, WATCH_TIMEOUT_SECONDS
                     )
                     for item in changes.items:
-                        self._feed.take_own(item)
+                        self._store_watcher.apply_internal_item(item)
                     revision = max(revision, changes.revision)
             except RevisionCompacted:
                 await self._read()
@@ -66,19 +66,21 @@
                 log.info(
                     "watch of the coordinator's key failed", extra={"cause": str(exc)}
                 )
-                await asyncio.sleep(max(MIN_RETRY_SECONDS, self._feed.retry_pause()))
+                await asyncio.sleep(
+                    max(MIN_RETRY_SECONDS, self._store_watcher.retry_delay())
+                )
 
     async def _read(self) -> None:
         """Read the coordinator's key, whose changes the store has compacted."""
         try:
-            changes = await self._store.read(DUTY_KEY)
+            changes = await self._store.read(COORDINATOR_KEY)
         except StoreError as exc:
-            self._feed.note_failure(exc)
-            await asyncio.sleep(self._feed.retry_pause())
+            self._store_watcher.record_failure(exc)
+            await asyncio.sleep(self._store_watcher.retry_delay())
             return
-        found = [item for item in changes.items if item.key == DUTY_KEY]
-        removed = Item(DUTY_KEY, None, changes.revision)
-        self._feed.take_own(found[0] if found else removed)
+        found = [item for item in changes.items if item.key == COORDINATOR_KEY]
+        removed = Item(COORDINATOR_KEY, None, changes.revision)
+        self._store_watcher.apply_internal_item(found[0] if found else removed)
         self._revision = changes.revision
 
     def _should_watch(self) -> bool:
@@ -87,10 +89,10 @@
         While there is no coordinator, all VMs that may become it watch. The rest stop
         as soon as there is one.
         """
-        if not self._feed.complete or self._feed.is_teller():
+        if not self._store_watcher.has_synced or self._store_watcher.is_publisher():
             return False
-        item = self._feed.own.get(DUTY_KEY)
+        item = self._store_watcher.internal_items.get(COORDINATOR_KEY)
         no_coordinator = item is None or item.value is None
-        return self._feed.is_standby() or (
-            no_coordinator and not self._feed.leaves_duty()
+        return self._store_watcher.is_standby() or (
+            no_coordinator and not self._store_watcher.yields_coordination()
         )
--- a/packages/entry/src/berylstage_entry/errors.py
+++ b/packages/entry/src/berylstage_entry/errors.py
@@ -50,16 +50,16 @@
     ----------
     retry_after : float
         Seconds until the target is expected to have capacity.
-    turn : str
+    permit : str
         Refused permit and the VM that refused it, for the log.
     """
 
-    def __init__(self, retry_after: float, turn: str = ""):
+    def __init__(self, retry_after: float, permit: str = ""):
         super().__init__(
             f"no capacity before the deadline; retry in {retry_after:.2f} s"
         )
         self.retry_after = retry_after
-        self.turn = turn
+        self.permit = permit
 
 
 class BadRequest(EntryError):
--- a/packages/entry/src/berylstage_entry/grant_controller.py
+++ b/packages/entry/src/berylstage_entry/grant_controller.py
@@ -7,7 +7,7 @@
 
 from logbook import Logger
 
-from berylstage_entry.assignment import KeyRange, nobody
+from berylstage_entry.assignment import KeyRange, unassigned
 from berylstage_entry.assignment_writer import AssignmentWriter
 from berylstage_entry.clock import now
 from berylstage_entry.coordinator_election import VACANCY_CHECK_SECONDS
@@ -16,8 +16,8 @@
 from berylstage_entry.grant_renewer import GrantRenewer, log_task_failure
 from berylstage_entry.key_loads import KeyLoads
 from berylstage_entry.key_moves import FENCES_PER_MOVE, KeyMoves
-from berylstage_entry.range_placement import deal, merge_ranges
-from berylstage_entry.rebalancing import CALM_PERIOD, Rebalancer
+from berylstage_entry.range_placement import merge_ranges, place_ranges
+from berylstage_entry.rebalancing import MIN_ROUND_INTERVAL_SECONDS, Rebalancer
 from berylstage_entry.service_times import TargetServiceTimes
 
 if TYPE_CHECKING:
@@ -33,7 +33,7 @@
 # Seconds between two checks whether keys should move for balance. With 0.35 s, half a
 # second of requests queued at the owner of keys that had become hot: the worst seconds
 # of 44 targets earn 0.85 of the credit, and 0.90 with 0.1 s (`make bench-owned`).
-BALANCE_PERIOD = 0.1
+REBALANCE_INTERVAL_SECONDS = 0.1
 # Initial number of ranges per target. Hot keys are close to each other and not known in
 # advance; with one range per target, a single target would own them all for the first
 # second.
@@ -88,26 +88,30 @@
     Parameters
     ----------
     store : Store
-    feed : Feed
-    directory : Directory
-    office : Office
-    wire : TargetWire
+    store_watcher : Feed
+    cluster_view : Directory
+    election : Office
+    protocol : TargetWire
     """
 
     def __init__(
         self,
         store: Store,
-        feed: StoreWatcher,
-        directory: ClusterView,
-        office: CoordinatorElection,
-        wire: TargetProtocol,
+        store_watcher: StoreWatcher,
+        cluster_view: ClusterView,
+        election: CoordinatorElection,
+        protocol: TargetProtocol,
     ):
-        self._feed = feed
-        self._directory = directory
-        self._office = office
-        self.writer = AssignmentWriter(store, feed, office)
-        self._grant_renewer = GrantRenewer(feed, directory, office, wire)
-        self._key_moves = KeyMoves(directory, office, wire, self._grant_renewer)
+        self._store_watcher = store_watcher
+        self._cluster_view = cluster_view
+        self._election = election
+        self.writer = AssignmentWriter(store, store_watcher, election)
+        self._grant_renewer = GrantRenewer(
+            store_watcher, cluster_view, election, protocol
+        )
+        self._key_moves = KeyMoves(
+            cluster_view, election, protocol, self._grant_renewer
+        )
         self._services: dict[str, _ServiceState] = {}
         self._task: asyncio.Task | None = None
         self._term = 0
@@ -122,14 +126,14 @@
             self._task.cancel()
         self._cancel_tasks()
 
-    def counted(self, service: str, counts: dict[int, int]) -> None:
+    def add_key_counts(self, service: str, counts: dict[int, int]) -> None:
         """Add a VM's request counts by key since its last report."""
         state = self._get_state(service)
         for key, count in counts.items():
             state.loads.add(key, count)
 
-    def told_speeds(
-        self, service: str, mean: float, slowness: dict[str, float]
+    def add_service_times(
+        self, service: str, mean: float, service_time_ratio: dict[str, float]
     ) -> None:
         """Add a VM's measurements of target speed.
 
@@ -137,14 +141,14 @@
         ----------
         service : str
         mean, slowness
-            As for :meth:`TargetServiceTimes.told`.
+            As for :meth:`TargetServiceTimes.observe`.
         """
-        self._get_state(service).speeds.told(mean, slowness)
+        self._get_state(service).speeds.observe(mean, service_time_ratio)
 
     async def _run(self) -> None:
         while True:
             try:
-                if self._office.holds():
+                if self._election.is_coordinator():
                     await self._reconcile()
                 elif len(self._grant_renewer):
                     self._cancel_tasks()
@@ -153,14 +157,14 @@
                 if isinstance(exc, Conflict):
                     # The previous coordinator may have stopped before it announced its
                     # last write.
-                    self._feed.hurry()
+                    self._store_watcher.request_refresh()
                 await asyncio.sleep(GRANT_RENEWAL_INTERVAL_SECONDS / 4)
-            if self._office.holds():
+            if self._election.is_coordinator():
                 await asyncio.sleep(RECONCILE_INTERVAL_SECONDS)
             else:
                 # The VM becomes coordinator again if it renews its lease late.
                 await asyncio.sleep(VACANCY_CHECK_SECONDS)
-                await self._office.wait_for_lease()
+                await self._election.wait_for_lease()
 
     def _cancel_tasks(self) -> None:
         self._grant_renewer.stop_renewing()
@@ -172,24 +176,24 @@
 
     def _begin_term(self) -> None:
         self._cancel_tasks()
-        self._term = self._office.term
-        if not self._office.succeeds_itself:
+        self._term = self._election.term
+        if not self._election.succeeds_itself:
             self._key_moves.reset()
 
-    def handed_on(self) -> bytes:
+    def export_state(self) -> bytes:
         """Return the state of ongoing moves for the next coordinator."""
-        return self._key_moves.handed_on()
+        return self._key_moves.export_state()
 
-    def inherit(self, body: bytes) -> float | None:
-        """Import the state of a former coordinator, like :meth:`KeyMoves.inherit`."""
-        if self._term != self._office.term:
+    def import_state(self, body: bytes) -> float | None:
+        """Import a former coordinator's state; see :meth:`KeyMoves.import_state`."""
+        if self._term != self._election.term:
             self._begin_term()
-        return self._key_moves.inherit(body)
+        return self._key_moves.import_state(body)
 
     async def _reconcile(self) -> None:
-        if self._term != self._office.term:
+        if self._term != self._election.term:
             self._begin_term()
-        cfg = self._directory.configuration
+        cfg = self._cluster_view.configuration
         if cfg is None:
             return
         self._grant_renewer.probe_terminated()
@@ -199,13 +203,13 @@
 
     async def _reconcile_service(self, service: str) -> None:
         state = self._get_state(service)
-        assignment = self._feed.assignments.get(service) or nobody()
+        assignment = self._store_watcher.assignments.get(service) or unassigned()
         self._grant_renewer.start_renewals(assignment)
         self._start_move_tasks(service, state, assignment)
-        if not self._office.holds():
+        if not self._election.is_coordinator():
             return
         async with state.lock:
-            assignment = self._feed.assignments.get(service) or nobody()
+            assignment = self._store_watcher.assignments.get(service) or unassigned()
             changed = self._plan_changes(service, state, assignment)
             if changed is not None:
                 await self._write_assignment(service, state, changed)
@@ -230,20 +234,20 @@
             for r in assignment.ranges
             if not self._is_usable_owner(r) and self._key_moves.may_reassign(r)
         ]
-        state.loads.fade(moment)
+        state.loads.decay(moment)
         if displaced:
             rates = state.loads.rates()
             max_parts = INITIAL_RANGES_PER_TARGET * len(capacities)
-            moves = deal(displaced, assignment, rates, capacities, max_parts)
+            moves = place_ranges(displaced, assignment, rates, capacities, max_parts)
             return self._with_moves(assignment, moves) if moves else None
-        if moment - state.rebalanced_at < BALANCE_PERIOD:
+        if moment - state.rebalanced_at < REBALANCE_INTERVAL_SECONDS:
             return None
         state.rebalanced_at = moment
         rates = state.loads.rates()
         max_ranges = MAX_RANGES_PER_TARGET * max(1, len(capacities))
         if (
             len(assignment.ranges) > max_ranges
-            and moment - state.merged_at >= CALM_PERIOD
+            and moment - state.merged_at >= MIN_ROUND_INTERVAL_SECONDS
         ):
             # This comes before any move for balance: under load there is always a move
             # that helps, and each of them splits ranges further.
@@ -251,7 +255,7 @@
             merged = self._merge(assignment, rates, capacities)
             if merged is not None:
                 return merged
-        moves = state.rebalancer.moves(moment, assignment, rates, capacities)
+        moves = state.rebalancer.due_moves(moment, assignment, rates, capacities)
         if not moves:
             return None
         log.info(
@@ -270,26 +274,26 @@
 
     def _is_usable_owner(self, r: KeyRange) -> bool:
         """Tell whether the owner of a range can remain its owner."""
-        if not r.owner or not self._directory.may_use(r.owner):
+        if not r.owner or not self._cluster_view.is_usable(r.owner):
             return False
-        if self._directory.known[r.owner].target.life != r.life:
+        if self._cluster_view.known[r.owner].target.incarnation != r.incarnation:
             return False
-        identity = (r.owner, r.life)
+        identity = (r.owner, r.incarnation)
         unresponsive = self._grant_renewer.is_unresponsive(identity)
         return not unresponsive or self._grant_renewer.may_hold_keys(identity)
 
     def _capacities(self, service: str, state: _ServiceState) -> dict[str, float]:
         """Return the requests per second of each target that may own keys."""
-        cfg = self._directory.configuration
+        cfg = self._cluster_view.configuration
         assert cfg is not None
         capacities = {}
-        for name in self._directory.usable(service):
-            entry = self._directory.known[name]
+        for name in self._cluster_view.usable_targets(service):
+            entry = self._cluster_view.known[name]
             if self._grant_renewer.is_unresponsive(entry.target.identity):
                 continue
-            capacities[name] = entry.target.slots / state.speeds.seconds(name)
+            capacities[name] = entry.target.slots / state.speeds.expected_seconds(name)
             if entry.cold_until > now():
-                rate = cfg.services[service].cold_rate
+                rate = cfg.services[service].cold_requests_per_second
                 capacities[name] = min(capacities[name], COLD_UTILIZATION * rate)
         return capacities
 
@@ -298,14 +302,16 @@
         fence = assignment.next_fence
         new = []
         for move in moves:
-            life = self._directory.known[move.owner].target.life
+            incarnation = self._cluster_view.known[move.owner].target.incarnation
             for r in assignment.ranges:
                 if r.last < move.first or r.first > move.last:
                     continue
                 first, last = max(r.first, move.first), min(r.last, move.last)
                 fence += FENCES_PER_MOVE
                 new.append(
-                    self._key_moves.start_move(r, first, last, move.owner, life, fence)
+                    self._key_moves.start_move(
+                        r, first, last, move.owner, incarnation, fence
+                    )
                 )
         return assignment.replace(new, fence + 1)
 
@@ -315,10 +321,15 @@
         new = []
         ranges = assignment.ranges
         for one, other in zip(ranges[::2], ranges[1::2], strict=False):
-            settled = not one.former and not other.former
-            if settled and (one.owner, one.life) == (other.owner, other.life):
+            settled = not one.previous_owner and not other.previous_owner
+            if settled and (one.owner, one.incarnation) == (
+                other.owner,
+                other.incarnation,
+            ):
                 new.append(
-                    KeyRange(one.first, other.last, one.owner, one.life, fence + 1)
+                    KeyRange(
+                        one.first, other.last, one.owner, one.incarnation, fence + 1
+                    )
                 )
                 fence += 1
         return assignment.replace(new, fence + 1) if new else None
@@ -333,7 +344,7 @@
                 del state.move_tasks[move]
         for r in assignment.ranges:
             move = (r.first, r.last, r.fence)
-            if r.former and move not in state.move_tasks:
+            if r.previous_owner and move not in state.move_tasks:
                 state.move_tasks[move] = asyncio.create_task(self._move(service, r))
 
     async def _move(self, service: str, r: KeyRange) -> None:
@@ -345,8 +356,8 @@
         if handover is None or not self._is_current(service, r):
             return
         self._key_moves.record_release(r, handover)
-        known = self._directory.known.get(r.owner)
-        if known is None or known.target.life != r.life:
+        known = self._cluster_view.known.get(r.owner)
+        if known is None or known.target.incarnation != r.incarnation:
             return
         if not await self._grant_renewer.grant(known.target, r, handover):
             return
@@ -356,7 +367,7 @@
                 "service": service,
                 "first": r.first,
                 "last": r.last,
-                "from": r.former,
+                "from": r.previous_owner,
                 "to": r.owner,
                 "fence": r.fence,
                 "handover": bool(handover),
@@ -385,14 +396,14 @@
         """
         pending_write = self._get_state(service).pending_write
         known = [
-            self._feed.assignments[service],
+            self._store_watcher.assignments[service],
             *([pending_write] if pending_write else []),
         ]
         return all(each.contains(r) for each in known)
 
     async def _store_completions(self, service: str, state: _ServiceState) -> None:
         """Store the end of moves, in one write for those that end together."""
-        while state.completed and self._office.holds():
+        while state.completed and self._election.is_coordinator():
             await asyncio.sleep(COMPLETION_DELAY_SECONDS)
             try:
                 async with state.lock:
@@ -404,12 +415,12 @@
                 await asyncio.sleep(RECONCILE_INTERVAL_SECONDS)
 
     async def _write_completed(self, service: str, completed: list[KeyRange]) -> None:
-        assignment = self._feed.assignments[service]
+        assignment = self._store_watcher.assignments[service]
         done = []
         for r in completed:
             current = assignment.find(r.first)
-            if current.fence == r.fence and current.former:
-                done.append(KeyRange(r.first, r.last, r.owner, r.life, r.fence))
+            if current.fence == r.fence and current.previous_owner:
+                done.append(KeyRange(r.first, r.last, r.owner, r.incarnation, r.fence))
         if done:
             new = assignment.replace(done, assignment.next_fence)
             await self._write_assignment(service, self._get_state(service), new)
--- a/packages/entry/src/berylstage_entry/grant_renewer.py
+++ b/packages/entry/src/berylstage_entry/grant_renewer.py
@@ -53,23 +53,23 @@
 
     Parameters
     ----------
-    feed : Feed
-    directory : Directory
-    office : Office
-    wire : TargetWire
+    store_watcher : Feed
+    cluster_view : Directory
+    election : Office
+    protocol : TargetWire
     """
 
     def __init__(
         self,
-        feed: StoreWatcher,
-        directory: ClusterView,
-        office: CoordinatorElection,
-        wire: TargetProtocol,
+        store_watcher: StoreWatcher,
+        cluster_view: ClusterView,
+        election: CoordinatorElection,
+        protocol: TargetProtocol,
     ):
-        self._feed = feed
-        self._directory = directory
-        self._office = office
-        self._wire = wire
+        self._store_watcher = store_watcher
+        self._cluster_view = cluster_view
+        self._election = election
+        self._protocol = protocol
         self._target_grants: dict[tuple[str, int], TargetGrants] = {}
         self._renewal_tasks: dict[tuple[str, int], asyncio.Task] = {}
         # Ranges that are not being moved, by owner, of the last assignment of each
@@ -113,17 +113,21 @@
         if grants is not None and grants.is_terminated:
             return False
         expires_at = grants.expires_at if grants is not None else float("-inf")
-        return now() < max(expires_at, self._office.other_grants_expire_at)
+        return now() < max(expires_at, self._election.other_grants_expire_at)
 
     async def grant(self, target: Target, r: KeyRange, handover: str = "") -> bool:
         """Grant one range and tell whether the target accepted it."""
         grants = self.get_grants(target.identity)
-        request = GrantRequest(r.first, r.last, r.fence, self._office.hold(), handover)
-        if not self._office.holds():
+        request = GrantRequest(
+            r.first, r.last, r.fence, self._election.grant_seconds(), handover
+        )
+        if not self._election.is_coordinator():
             return False
-        sent = grants.record_sent(now(), request.hold, r.first, r.last)
+        sent = grants.record_sent(now(), request.seconds, r.first, r.last)
         try:
-            accepted = await self._wire.grant(target, request, GRANT_TIMEOUT_SECONDS)
+            accepted = await self._protocol.grant(
+                target, request, GRANT_TIMEOUT_SECONDS
+            )
         except CallFailed as exc:
             if isinstance(exc, NeverSent):
                 grants.record_unsent(sent)
@@ -158,7 +162,7 @@
                 log_task_failure(task)
                 del self._renewal_tasks[identity]
         for r in assignment.ranges:
-            identity = (r.owner, r.life)
+            identity = (r.owner, r.incarnation)
             if not r.owner or identity in self._renewal_tasks:
                 continue
             if (
@@ -166,8 +170,8 @@
                 and self._target_grants[identity].is_terminated
             ):
                 continue
-            known = self._directory.known.get(r.owner)
-            if known is not None and known.target.life == r.life:
+            known = self._cluster_view.known.get(r.owner)
+            if known is not None and known.target.incarnation == r.incarnation:
                 task = asyncio.create_task(self._renew(known.target))
                 self._renewal_tasks[identity] = task
 
@@ -184,8 +188,8 @@
                 or now() - grants.probed_at < TERMINATED_PROBE_INTERVAL_SECONDS
             ):
                 continue
-            known = self._directory.known.get(identity[0])
-            if known is None or known.target.life != identity[1]:
+            known = self._cluster_view.known.get(identity[0])
+            if known is None or known.target.incarnation != identity[1]:
                 continue
             grants.probed_at = now()
             self._probe_tasks[identity] = asyncio.create_task(
@@ -208,7 +212,7 @@
         self._granted_targets[target.identity] = target
         granted: set[tuple[int, int, int]] = set()
         renewed_at, were_extended = float("-inf"), False
-        while self._office.holds() and not grants.is_terminated:
+        while self._election.is_coordinator() and not grants.is_terminated:
             if not self._stable_ranges(target):
                 return
             if not await self.is_responsive(target):
@@ -218,13 +222,13 @@
             moment = now()
             is_due = (
                 moment - renewed_at >= GRANT_RENEWAL_INTERVAL_SECONDS
-                or were_extended != self._office.extends_grants
+                or were_extended != self._election.extends_grants
             )
             # New ranges are granted at once and alone: with a few moves per second,
             # three in four of all grants renewed ranges that had just been renewed.
             due = owned if is_due else [r for r in owned if _range_id(r) not in granted]
             if is_due:
-                renewed_at, were_extended = moment, self._office.extends_grants
+                renewed_at, were_extended = moment, self._election.extends_grants
             await asyncio.gather(*(self._renew_range(target, r) for r in due))
             granted = {_range_id(r) for r in owned}
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
@@ -258,12 +262,14 @@
 
     async def _probe(self, target: Target) -> bool:
         """Probe a target and tell whether it answered."""
-        cfg = self._directory.configuration
+        cfg = self._cluster_view.configuration
         service = cfg.services.get(target.service) if cfg is not None else None
         if service is None:
             return True
         try:
-            await self._wire.probe(target, service.health_path, GRANT_TIMEOUT_SECONDS)
+            await self._protocol.probe(
+                target, service.health_path, GRANT_TIMEOUT_SECONDS
+            )
         except (CallFailed, TargetReplaced) as exc:
             if isinstance(exc, NothingListens):
                 self._record_refusal(target)
@@ -283,15 +289,15 @@
 
     def _stable_ranges(self, target: Target) -> list[KeyRange]:
         """Return the ranges of a target that are not being moved."""
-        assignment = self._feed.assignments.get(target.service)
+        assignment = self._store_watcher.assignments.get(target.service)
         if assignment is None:
             return []
         known = self._stable_by_owner.get(target.service)
         if known is None or known[0] is not assignment:
             by_owner: dict[tuple[str, int], list[KeyRange]] = {}
             for r in assignment.ranges:
-                if not r.former:
-                    by_owner.setdefault((r.owner, r.life), []).append(r)
+                if not r.previous_owner:
+                    by_owner.setdefault((r.owner, r.incarnation), []).append(r)
             known = self._stable_by_owner[target.service] = (assignment, by_owner)
         return known[1].get(target.identity, [])
 
--- a/packages/entry/src/berylstage_entry/internal_http.py
+++ b/packages/entry/src/berylstage_entry/internal_http.py
@@ -17,8 +17,8 @@
 
 from berylstage_entry.clock import now
 from berylstage_entry.responses import Response
-from berylstage_entry.server import DEFAULT_MAX_BODY_BYTES, split_address
-from berylstage_entry.sockets import ReceiveState, socket_send_queue_bytes, unread_in
+from berylstage_entry.server import DEFAULT_MAX_BODY_BYTES, split_host_port
+from berylstage_entry.sockets import ReceiveState, peek_socket, socket_send_queue_bytes
 
 if TYPE_CHECKING:
     from asyncio import Future
@@ -73,7 +73,7 @@
         if self.is_serving or self.stream.writing():
             return True
         sock = self.stream.socket
-        if socket_send_queue_bytes(sock) > 0 or unread_in(sock) is ReceiveState.BYTES:
+        if socket_send_queue_bytes(sock) > 0 or peek_socket(sock) is ReceiveState.BYTES:
             return True
         # Between two reads, the stream buffers bytes of a request that the HTTP parser
         # has not seen yet.
@@ -144,7 +144,7 @@
     def listen(self, address: str) -> None:
         """Start to accept connections."""
         self._server = HTTPServer(self, max_body_size=DEFAULT_MAX_BODY_BYTES)
-        host, port = split_address(address)
+        host, port = split_host_port(address)
         self._server.listen(port, host)
 
     def start_request(self, server_conn, request_conn) -> HTTPMessageDelegate:
--- a/packages/entry/src/berylstage_entry/key_loads.py
+++ b/packages/entry/src/berylstage_entry/key_loads.py
@@ -14,7 +14,7 @@
 # key by a handful of requests, short enough for keys that are hot for 4 s. With 1.5 s
 # the worst seconds of 44 targets earn 0.87 of the credit, with 0.7 s 0.90 (`make
 # bench-owned`).
-HALF_LIFE = 0.7
+HALF_LIFE_SECONDS = 0.7
 # Lower bound of the seconds over which a rate is computed. Shorter periods say little:
 # one request within 0.2 s would count as five per second.
 MIN_AGE_SECONDS = 0.7
@@ -37,11 +37,11 @@
         """Add requests for a key."""
         self.weights[key] = self.weights.get(key, 0.0) + count
 
-    def fade(self, now: float) -> None:
+    def decay(self, now: float) -> None:
         """Apply the decay up to a time."""
         if not self.weights:
             self._counting_since = now
-        factor = 0.5 ** ((now - self._decayed_at) / HALF_LIFE)
+        factor = 0.5 ** ((now - self._decayed_at) / HALF_LIFE_SECONDS)
         self._decayed_at = now
         decayed = {key: weight * factor for key, weight in self.weights.items()}
         self.weights = {k: w for k, w in decayed.items() if w >= MIN_WEIGHT}
@@ -53,8 +53,8 @@
         # idle for a second after the first request and after each change of the
         # coordinator.
         age = max(MIN_AGE_SECONDS, self._decayed_at - self._counting_since)
-        steady_state_share = 1 - 0.5 ** (age / HALF_LIFE)
-        scale = log(2) / HALF_LIFE / steady_state_share
+        steady_state_share = 1 - 0.5 ** (age / HALF_LIFE_SECONDS)
+        scale = log(2) / HALF_LIFE_SECONDS / steady_state_share
         return sorted((key, weight * scale) for key, weight in self.weights.items())
 
 
--- a/packages/entry/src/berylstage_entry/key_moves.py
+++ b/packages/entry/src/berylstage_entry/key_moves.py
@@ -41,22 +41,22 @@
 
     Parameters
     ----------
-    directory : Directory
-    office : Office
-    wire : TargetWire
+    cluster_view : Directory
+    election : Office
+    protocol : TargetWire
     grant_renewer : Renewals
     """
 
     def __init__(
         self,
-        directory: ClusterView,
-        office: CoordinatorElection,
-        wire: TargetProtocol,
+        cluster_view: ClusterView,
+        election: CoordinatorElection,
+        protocol: TargetProtocol,
         grant_renewer: GrantRenewer,
     ):
-        self._directory = directory
-        self._office = office
-        self._wire = wire
+        self._cluster_view = cluster_view
+        self._election = election
+        self._protocol = protocol
         self._grant_renewer = grant_renewer
         # Moves whose previous owner no longer holds the keys, with its handover.
         self._released: dict[tuple[int, int, int], str] = {}
@@ -79,7 +79,7 @@
         """Record that the previous owner no longer holds a moving range."""
         self._released[r.first, r.last, r.fence] = handover
 
-    def handed_on(self) -> bytes:
+    def export_state(self) -> bytes:
         """Return the state of ongoing moves for the next coordinator."""
         doc = {
             "lapse_in": self._grant_renewer.seconds_until_expiry(),
@@ -89,7 +89,7 @@
         }
         return json.dumps(doc).encode()
 
-    def inherit(self, body: bytes) -> float | None:
+    def import_state(self, body: bytes) -> float | None:
         """Import a former coordinator's state of ongoing moves.
 
         Parameters
@@ -124,11 +124,19 @@
         # owner is the only one that may hold them.
         started_here = r.fence in self._term_fences
         return (
-            not r.former or started_here or (r.first, r.last, r.fence) in self._released
+            not r.previous_owner
+            or started_here
+            or (r.first, r.last, r.fence) in self._released
         )
 
     def start_move(
-        self, r: KeyRange, first: int, last: int, owner: str, life: int, fence: int
+        self,
+        r: KeyRange,
+        first: int,
+        last: int,
+        owner: str,
+        incarnation: int,
+        fence: int,
     ) -> KeyRange:
         """Return part of a range as it is while it moves to a new owner.
 
@@ -138,7 +146,7 @@
             The range before the move.
         first, last : int
         owner : str
-        life : int
+        incarnation : int
         fence : int
             The highest of the move.
 
@@ -146,19 +154,24 @@
         -------
         KeyRange
         """
-        former, former_life = r.owner, r.life
-        if r.former and (r.first, r.last, r.fence) not in self._released:
-            former, former_life = r.former, r.former_life
+        previous_owner, previous_incarnation = r.owner, r.incarnation
+        if r.previous_owner and (r.first, r.last, r.fence) not in self._released:
+            previous_owner, previous_incarnation = (
+                r.previous_owner,
+                r.previous_incarnation,
+            )
         self._term_fences.add(fence)
-        return KeyRange(first, last, owner, life, fence, former, former_life)
+        return KeyRange(
+            first, last, owner, incarnation, fence, previous_owner, previous_incarnation
+        )
 
     async def revoke(self, r: KeyRange) -> str | None:
         """Return the handover once the previous owner holds no keys, else None."""
-        identity = (r.former, r.former_life)
+        identity = (r.previous_owner, r.previous_incarnation)
         grants = self._grant_renewer.get_grants(identity)
         if r.fence not in self._term_fences:
             return await self._wait_for_expiry(r)
-        known = self._directory.known.get(r.former)
+        known = self._cluster_view.known.get(r.previous_owner)
         target = known.target if known is not None else None
         if target is None:
             target = self._grant_renewer.get_granted_target(identity)
@@ -177,9 +190,11 @@
 
     def _have_grants_expired(self, r: KeyRange) -> bool:
         """Tell whether all grants of moving keys by any VM have expired."""
-        grants = self._grant_renewer.get_grants((r.former, r.former_life))
+        grants = self._grant_renewer.get_grants(
+            (r.previous_owner, r.previous_incarnation)
+        )
         expires_at = grants.expiry_for(r.first, r.last)
-        return now() >= max(expires_at, self._office.other_grants_expire_at)
+        return now() >= max(expires_at, self._election.other_grants_expire_at)
 
     async def _wait_for_expiry(self, r: KeyRange) -> str | None:
         """Wait out a move that another VM started, and whose state is unknown.
@@ -199,22 +214,24 @@
     ) -> str | None:
         """Revoke keys from a target that may answer; None if it does not."""
         fence = self._next_revocation_fence(r)
-        if not fence or not self._office.holds():
+        if not fence or not self._election.is_coordinator():
             return None
         try:
             # A renewal from this VM or a former coordinator may still be in transit and
             # be applied after the release; two targets would then hold the keys (for
             # 2.5 s in one case). Unlike a release, a grant sets a fence, so the target
             # then rejects the renewal.
-            request = GrantRequest(r.first, r.last, fence, self._office.hold())
-            sent = grants.record_sent(now(), request.hold, r.first, r.last)
+            request = GrantRequest(
+                r.first, r.last, fence, self._election.grant_seconds()
+            )
+            sent = grants.record_sent(now(), request.seconds, r.first, r.last)
             try:
-                await self._wire.grant(target, request, GRANT_TIMEOUT_SECONDS)
+                await self._protocol.grant(target, request, GRANT_TIMEOUT_SECONDS)
             except NeverSent:
                 grants.record_unsent(sent)
                 raise
             grants.record_answer()
-            handover = await self._wire.release(
+            handover = await self._protocol.release(
                 target, r.first, r.last, fence, RELEASE_TIMEOUT_SECONDS
             )
         except CallFailed as exc:
@@ -232,7 +249,7 @@
             # centre's targets that restart under other names.
             grants.record_termination(now())
             return ""
-        return handover if target.life == r.former_life else ""
+        return handover if target.incarnation == r.previous_incarnation else ""
 
     def _next_revocation_fence(self, r: KeyRange) -> int:
         """Return the fence for the next attempt to revoke keys; 0 if none is left."""
--- a/packages/entry/src/berylstage_entry/line_writers.py
+++ b/packages/entry/src/berylstage_entry/line_writers.py
@@ -22,14 +22,14 @@
 
     Attributes
     ----------
-    writing : float
+    write_seconds : float
         Seconds for which writes have blocked the caller since the start.
     """
 
-    __slots__ = ("writing",)
+    __slots__ = ("write_seconds",)
 
     def __init__(self) -> None:
-        self.writing = 0.0
+        self.write_seconds = 0.0
 
     @abstractmethod
     def write(self, data: bytes) -> bool:
@@ -73,7 +73,7 @@
             self._buffer = b""
             return True
         finally:
-            self.writing += now() - began
+            self.write_seconds += now() - began
         self._buffer = self._buffer[written:]
         return True
 
--- a/packages/entry/src/berylstage_entry/load_reporter.py
+++ b/packages/entry/src/berylstage_entry/load_reporter.py
@@ -20,7 +20,7 @@
 from berylstage_transfers.errors import CallFailed
 from logbook import Logger
 
-from berylstage_entry.server import split_address
+from berylstage_entry.server import split_host_port
 
 if TYPE_CHECKING:
     from random import Random
@@ -34,7 +34,7 @@
 # Path at which the coordinator receives service times.
 SPEEDS_PATH = "/load"
 # Interval between two reports of key counts; equal to the interval of the rebalancing.
-PERIOD = 0.1
+COUNT_INTERVAL_SECONDS = 0.1
 # Reports of service times per second by all VMs together: the more VMs, the less often
 # each of them reports. Service times take seconds to change, and ten reports a second
 # are enough to tell a change from noise (`berylstage_entry.service_times`).
@@ -42,7 +42,7 @@
 # Timeout of a report of service times, which is not retried.
 REPORT_TIMEOUT_SECONDS = 0.5
 # First byte of a datagram with key counts; a checksum of the service's name follows.
-FORMAT = 17
+MESSAGE_TYPE = 17
 _HEADER = struct.Struct("<BI")
 # A key and its number of requests.
 _COUNT = struct.Struct("<HB")
@@ -59,9 +59,9 @@
     Parameters
     ----------
     router : Router
-    granting : GrantController
-    office : CoordinatorElection
-    directory : ClusterView
+    grant_controller : GrantController
+    election : CoordinatorElection
+    cluster_view : ClusterView
     datagrams : PeerDatagrams
     rng : Random
     """
@@ -69,16 +69,16 @@
     def __init__(
         self,
         router: Router,
-        granting: GrantController,
-        office: CoordinatorElection,
-        directory: ClusterView,
+        grant_controller: GrantController,
+        election: CoordinatorElection,
+        cluster_view: ClusterView,
         datagrams: PeerDatagrams,
         rng: Random,
     ):
         self._router = router
-        self._granting = granting
-        self._office = office
-        self._directory = directory
+        self._grant_controller = grant_controller
+        self._election = election
+        self._cluster_view = cluster_view
         self._datagrams = datagrams
         self._rng = rng
         self._client: CallClient | None = None
@@ -100,7 +100,7 @@
         if self._client is not None:
             self._client.close()
 
-    def take_counts(self, data: bytes, host: str = "") -> None:
+    def receive_key_counts(self, data: bytes, host: str = "") -> None:
         """Add another VM's key counts; ignore an invalid datagram."""
         try:
             _, checksum = _HEADER.unpack_from(data)
@@ -108,19 +108,22 @@
         except struct.error as exc:
             log.warning("invalid key counts ignored", extra={"cause": str(exc)})
             return
-        cfg = self._directory.configuration
+        cfg = self._cluster_view.configuration
         for service in cfg.services.values() if cfg is not None else ():
             if service.owns_keys and crc32(service.name.encode()) == checksum:
-                self._granting.counted(service.name, dict(rows))
+                self._grant_controller.add_key_counts(service.name, dict(rows))
 
-    def take_speeds(self, body: bytes) -> bool:
+    def receive_service_times(self, body: bytes) -> bool:
         """Add another VM's service times; return False if they are invalid."""
         try:
-            for service, mean, slowness in json.loads(body):
+            for service, mean, service_time_ratio in json.loads(body):
                 service_times = {
-                    str(name): float(value) for name, value in slowness.items()
+                    str(name): float(value)
+                    for name, value in service_time_ratio.items()
                 }
-                self._granting.told_speeds(str(service), float(mean), service_times)
+                self._grant_controller.add_service_times(
+                    str(service), float(mean), service_times
+                )
         except (ValueError, KeyError, TypeError, AttributeError) as exc:
             log.warning("invalid service times ignored", extra={"cause": str(exc)})
             return False
@@ -128,33 +131,35 @@
 
     async def _send_counts(self) -> None:
         while True:
-            await asyncio.sleep(PERIOD)
-            await self._router.has_counted.wait()
+            await asyncio.sleep(COUNT_INTERVAL_SECONDS)
+            await self._router.has_key_counts.wait()
             counts = self._router.take_key_counts()
-            if self._office.holds():
+            if self._election.is_coordinator():
                 for service, pairs in counts.items():
-                    self._granting.counted(service, pairs)
+                    self._grant_controller.add_key_counts(service, pairs)
                 continue
-            address = self._office.holder_address()
+            address = self._election.coordinator_address()
             if not address:
                 continue
             for service, pairs in counts.items():
                 for data in encode_key_counts(service, pairs):
-                    self._datagrams.send_to(split_address(address)[0], data)
+                    self._datagrams.send_to(split_host_port(address)[0], data)
 
     async def _send_service_times(self) -> None:
         # Otherwise VMs that started together would all report at the same moments.
         await asyncio.sleep(
-            self._rng.random() * self._router.vms / SERVICE_TIME_REPORTS_PER_SECOND
+            self._rng.random() * self._router.vm_count / SERVICE_TIME_REPORTS_PER_SECOND
         )
         while True:
-            await asyncio.sleep(self._router.vms / SERVICE_TIME_REPORTS_PER_SECOND)
+            await asyncio.sleep(self._router.vm_count / SERVICE_TIME_REPORTS_PER_SECOND)
             service_times = self._collect_service_times()
-            if self._office.holds():
-                for service, mean, slowness in service_times:
-                    self._granting.told_speeds(service, mean, slowness)
+            if self._election.is_coordinator():
+                for service, mean, service_time_ratio in service_times:
+                    self._grant_controller.add_service_times(
+                        service, mean, service_time_ratio
+                    )
                 continue
-            address = self._office.holder_address()
+            address = self._election.coordinator_address()
             if address and service_times:
                 await self._post(address, json.dumps(service_times).encode())
 
@@ -177,18 +182,20 @@
 
     def _collect_service_times(self) -> list[tuple[str, float, dict[str, float]]]:
         """Return service, mean time and ratios per target for services with keys."""
-        cfg = self._directory.configuration
+        cfg = self._cluster_view.configuration
         found = []
         for service in cfg.services.values() if cfg is not None else ():
-            loads = self._router.loads.seen(service.name)
+            loads = self._router.loads.find(service.name)
             if service.owns_keys and loads is not None:
-                found.append((service.name, loads.mean, loads.slowness()))
+                found.append(
+                    (service.name, loads.mean_seconds, loads.service_time_ratio())
+                )
         return found
 
 
 def encode_key_counts(service: str, counts: dict[int, int]) -> list[bytes]:
     """Return datagrams with the number of requests for each key of a service."""
-    header = _HEADER.pack(FORMAT, crc32(service.encode()))
+    header = _HEADER.pack(MESSAGE_TYPE, crc32(service.encode()))
     rows = [_COUNT.pack(k, min(n, _MAX_COUNT)) for k, n in counts.items()]
     return [
         header + b"".join(rows[first : first + MAX_KEYS_PER_DATAGRAM])
--- a/packages/entry/src/berylstage_entry/logs.py
+++ b/packages/entry/src/berylstage_entry/logs.py
@@ -32,9 +32,9 @@
         set_datetime_format(lambda: datetime.now(timezone.utc))
 
     @property
-    def writing(self) -> float:
+    def write_seconds(self) -> float:
         """Seconds for which writes have blocked the event loop since the start."""
-        return self._writer.writing
+        return self._writer.write_seconds
 
     def emit(self, record: LogRecord) -> None:
         """Write one record."""
--- a/packages/entry/src/berylstage_entry/loop_lag.py
+++ b/packages/entry/src/berylstage_entry/loop_lag.py
@@ -172,7 +172,7 @@
     def _record(self, lag: LoopLag) -> None:
         if lag.lag_seconds < MIN_LOGGED_LAG_SECONDS:
             return
-        self._metrics.loop_late(lag.lag_seconds)
+        self._metrics.record_loop_lag(lag.lag_seconds)
         extra = {
             "late": round(lag.lag_seconds, 3),
             "processor": round(lag.cpu_seconds, 3),
--- a/packages/entry/src/berylstage_entry/membership.py
+++ b/packages/entry/src/berylstage_entry/membership.py
@@ -7,20 +7,20 @@
 from typing import TYPE_CHECKING
 
 from berylstage_policy.candidates import Candidate
-from berylstage_policy.standby import should_give_up, stands_by
+from berylstage_policy.standby import is_standby, should_yield
 from logbook import Logger
 
 from berylstage_entry.errors import LeaseExpired, StoreError
-from berylstage_entry.server import split_address
+from berylstage_entry.server import split_host_port
 from berylstage_entry.store import Write
-from berylstage_entry.store_keys import OWN_PREFIX
+from berylstage_entry.store_keys import INTERNAL_PREFIX
 
 if TYPE_CHECKING:
     from berylstage_entry.settings import EntrySettings
     from berylstage_entry.store import Store
     from berylstage_entry.store_watcher import StoreWatcher
 
-VMS_PREFIX = OWN_PREFIX + "vm/"
+VMS_PREFIX = INTERNAL_PREFIX + "vm/"
 # Term of a VM's lease. The number of VMs only divides limits among them, so it need not
 # be exact.
 LEASE_SECONDS = 20.0
@@ -31,7 +31,7 @@
 # Shortest delay before a failed call is retried.
 RETRY_SECONDS = 1.0
 # Number of VMs assumed to be starting, in addition to the known ones.
-UNKNOWN = 2
+ASSUMED_STARTING_VMS = 2
 
 log = Logger(__name__)
 
@@ -42,10 +42,10 @@
     Parameters
     ----------
     name : str
-    control : str
+    control_address : str
         Address at which it listens for other VMs.
     data_centre : str
-    power : float
+    relative_capacity : float
         Share of the resources needed by a coordinator that the VM has, up to 1.
 
     Attributes
@@ -54,14 +54,20 @@
         Host part of the address.
     """
 
-    __slots__ = ("control", "data_centre", "host", "name", "power")
+    __slots__ = ("control_address", "data_centre", "host", "name", "relative_capacity")
 
-    def __init__(self, name: str, control: str, data_centre: str, power: float):
+    def __init__(
+        self,
+        name: str,
+        control_address: str,
+        data_centre: str,
+        relative_capacity: float,
+    ):
         self.name = name
-        self.control = control
-        self.host, _ = split_address(control)
+        self.control_address = control_address
+        self.host, _ = split_host_port(control_address)
         self.data_centre = data_centre
-        self.power = power
+        self.relative_capacity = relative_capacity
 
 
 class Membership:
@@ -71,13 +77,13 @@
     ----------
     cfg : EntrySettings
     store : Store
-    feed : StoreWatcher
+    store_watcher : StoreWatcher
     """
 
-    def __init__(self, cfg: EntrySettings, store: Store, feed: StoreWatcher):
+    def __init__(self, cfg: EntrySettings, store: Store, store_watcher: StoreWatcher):
         self._cfg = cfg
         self._store = store
-        self._feed = feed
+        self._store_watcher = store_watcher
         self._lease = 0
         # The lease obtained last. The store may have attached this VM's record to it
         # even if the answer to the write was lost.
@@ -88,7 +94,7 @@
         self._members: list[Member] = []
         # Incremented at each change of the known VMs.
         self.revision = 0
-        feed.listeners.append(self._on_store_change)
+        store_watcher.listeners.append(self._on_store_change)
 
     def start(self) -> None:
         """Start to register this VM and keep its lease alive."""
@@ -100,7 +106,7 @@
             self._task.cancel()
         if self._latest_lease:
             try:
-                await self._store.end_lease(self._latest_lease)
+                await self._store.revoke_lease(self._latest_lease)
             except StoreError as exc:
                 log.info("VM not deregistered", extra={"cause": str(exc)})
 
@@ -110,13 +116,13 @@
 
     def addresses(self) -> list[str]:
         """Return the addresses of the known VMs, this one included."""
-        return [member.control for member in self._members]
+        return [member.control_address for member in self._members]
 
     def names(self) -> list[str]:
         """Return the names of the known VMs, this one included."""
         return [member.name for member in self._members]
 
-    def stands_by(self, holder: str) -> bool:
+    def is_standby(self, holder: str) -> bool:
         """Return whether this VM is the standby coordinator of its data centre.
 
         Parameters
@@ -127,22 +133,30 @@
         """
         home = self._cfg.data_centre
         neighbours = [
-            Candidate(member.name, member.power)
+            Candidate(member.name, member.relative_capacity)
             for member in self._members
-            if member.data_centre == home and member.control != holder
+            if member.data_centre == home and member.control_address != holder
         ]
-        return stands_by(self._cfg.vm, neighbours)
+        return is_standby(self._cfg.vm, neighbours)
 
-    def better(self) -> str:
+    def preferred_coordinator(self) -> str:
         """Return the address of a VM better suited as coordinator; empty for none."""
-        best = max(self._members, key=lambda member: member.power, default=None)
-        if best is None or not should_give_up(self._cfg.power, best.power):
+        best = max(
+            self._members, key=lambda member: member.relative_capacity, default=None
+        )
+        if best is None or not should_yield(
+            self._cfg.relative_capacity, best.relative_capacity
+        ):
             return ""
-        return best.control
+        return best.control_address
 
     def _on_store_change(self, what: str) -> None:
         if what == "read":
-            keys = {key for key in self._feed.own if key.startswith(VMS_PREFIX)}
+            keys = {
+                key
+                for key in self._store_watcher.internal_items
+                if key.startswith(VMS_PREFIX)
+            }
             changed = [
                 key for key in keys | set(self._entries) if self._update_member(key)
             ]
@@ -161,7 +175,7 @@
         records. Only the changed one is decoded; otherwise the work would grow with the
         square of the number of VMs and delay callers.
         """
-        item = self._feed.own.get(key)
+        item = self._store_watcher.internal_items.get(key)
         if item is None or item.value is None:
             return self._entries.pop(key, None) is not None
         known = self._entries.get(key)
@@ -177,25 +191,27 @@
         while True:
             try:
                 if self._lease:
-                    await self._store.keep_lease(self._lease)
+                    await self._store.renew_lease(self._lease)
                 else:
                     await self._register()
-                self._feed.note_answer()
+                self._store_watcher.record_success()
                 await asyncio.sleep(RENEWAL_INTERVAL_SECONDS)
             except LeaseExpired:
                 self._lease = 0
             except StoreError as exc:
-                self._feed.note_failure(exc)
+                self._store_watcher.record_failure(exc)
                 log.info("lease of the VM not renewed", extra={"cause": str(exc)})
-                await asyncio.sleep(max(RETRY_SECONDS, 2 * self._feed.retry_pause()))
+                await asyncio.sleep(
+                    max(RETRY_SECONDS, 2 * self._store_watcher.retry_delay())
+                )
 
     async def _register(self) -> None:
-        lease = await self._store.take_lease(LEASE_SECONDS)
+        lease = await self._store.create_lease(LEASE_SECONDS)
         self._latest_lease = lease
         doc = {
-            "control": self._cfg.control,
+            "control": self._cfg.control_address,
             "data_centre": self._cfg.data_centre,
-            "power": self._cfg.power,
+            "power": self._cfg.relative_capacity,
         }
         value = json.dumps(doc).encode()
         write = Write(VMS_PREFIX + self._cfg.vm, value, lease)
--- a/packages/entry/src/berylstage_entry/metrics.py
+++ b/packages/entry/src/berylstage_entry/metrics.py
@@ -50,11 +50,11 @@
         self._loop_delay_count = 0
         self._loop_delay_seconds = 0.0
 
-    def count(self, name: str, amount: int = 1) -> None:
+    def increment(self, name: str, amount: int = 1) -> None:
         """Increase a counter."""
         self._counts[name] = self._counts.get(name, 0) + amount
 
-    def loop_late(self, seconds: float) -> None:
+    def record_loop_lag(self, seconds: float) -> None:
         """Record a delay of the event loop.
 
         Parameters
@@ -65,7 +65,7 @@
         self._loop_delay_count += 1
         self._loop_delay_seconds += seconds
 
-    def request(self, tenant: str, outcome: str, seconds: float) -> None:
+    def record_request(self, tenant: str, outcome: str, seconds: float) -> None:
         """Record a finished request.
 
         Parameters
--- a/packages/entry/src/berylstage_entry/owners.py
+++ b/packages/entry/src/berylstage_entry/owners.py
@@ -36,7 +36,7 @@
 # would be refused immediately again, although most moves end within a few times
 # MOVE_POLL_SECONDS. The rest is for the request itself, which takes less than half of
 # the timeout on all current routes.
-WAIT_SHARE = 0.5
+OWNER_WAIT_SHARE = 0.5
 
 
 class OwnerResolver:
@@ -44,13 +44,13 @@
 
     Parameters
     ----------
-    feed : StoreWatcher
-    directory : ClusterView
+    store_watcher : StoreWatcher
+    cluster_view : ClusterView
     """
 
-    def __init__(self, feed: StoreWatcher, directory: ClusterView):
-        self._feed = feed
-        self._directory = directory
+    def __init__(self, store_watcher: StoreWatcher, cluster_view: ClusterView):
+        self._store_watcher = store_watcher
+        self._cluster_view = cluster_view
 
     async def find(self, ctx: RequestContext) -> str:
         """Return the target that should receive a request with a key.
@@ -69,18 +69,20 @@
             No usable owner was found in time.
         """
         started_at = now()
-        retry_at = started_at + ctx.pause
-        min_left = WAIT_SHARE * min(ctx.route.timeout, ctx.left(started_at))
+        retry_at = started_at + ctx.retry_delay
+        min_left = OWNER_WAIT_SHARE * min(
+            ctx.route.timeout, ctx.seconds_left(started_at)
+        )
         while True:
             key_range = self._find_range(ctx)
             if key_range is not None and self._is_usable_owner(key_range):
                 revision = self._revision(ctx)
-                if ctx.turned_away != (key_range.owner, revision) or now() >= retry_at:
+                if ctx.rejected_by != (key_range.owner, revision) or now() >= retry_at:
                     return key_range.owner
-            if ctx.left(now()) < min_left:
+            if ctx.seconds_left(now()) < min_left:
                 raise NoOwner(self._describe(ctx, key_range))
             if now() - started_at >= REFRESH_AFTER_SECONDS:
-                self._feed.hurry()
+                self._store_watcher.request_refresh()
             await asyncio.sleep(MOVE_POLL_SECONDS)
 
     def is_owner(self, ctx: RequestContext, name: str) -> bool:
@@ -94,29 +96,30 @@
 
     def turned_away(self, ctx: RequestContext, name: str) -> None:
         """Record that an owner rejected a request, and increase its retry delay."""
-        ctx.turned_away = (name, self._revision(ctx))
-        ctx.pause = min(
-            max(INITIAL_RETRY_DELAY_SECONDS, 2 * ctx.pause), MAX_RETRY_DELAY_SECONDS
+        ctx.rejected_by = (name, self._revision(ctx))
+        ctx.retry_delay = min(
+            max(INITIAL_RETRY_DELAY_SECONDS, 2 * ctx.retry_delay),
+            MAX_RETRY_DELAY_SECONDS,
         )
 
     def _find_range(self, ctx: RequestContext) -> KeyRange | None:
-        assignment = self._feed.assignments.get(ctx.service.name)
+        assignment = self._store_watcher.assignments.get(ctx.service.name)
         assert ctx.req.key is not None
         return assignment.find(ctx.req.key) if assignment else None
 
     def _revision(self, ctx: RequestContext) -> int:
-        return self._feed.revisions.get(ctx.service.name, 0)
+        return self._store_watcher.assignment_revisions.get(ctx.service.name, 0)
 
     def _is_usable_owner(self, key_range: KeyRange) -> bool:
         return (
             bool(key_range.owner)
-            and not key_range.former
-            and self._directory.may_use(key_range.owner)
+            and not key_range.previous_owner
+            and self._cluster_view.is_usable(key_range.owner)
         )
 
     def _describe(self, ctx: RequestContext, key_range: KeyRange | None) -> str:
         range_text = (
-            f"owner {key_range.owner} former {key_range.former}"
+            f"owner {key_range.owner} former {key_range.previous_owner}"
             if key_range is not None
             else ""
         )
--- a/packages/entry/src/berylstage_entry/peer_datagrams.py
+++ b/packages/entry/src/berylstage_entry/peer_datagrams.py
@@ -34,7 +34,7 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._task: asyncio.Task | None = None
         # Handlers by first byte; they get the datagram and the sender's host.
-        self.takers: dict[int, Callable[[bytes, str], None]] = {}
+        self.handlers: dict[int, Callable[[bytes, str], None]] = {}
 
     def start(self) -> None:
         """Open the socket."""
@@ -47,7 +47,7 @@
 
     def datagram_received(self, data: bytes, addr: tuple) -> None:
         """Dispatch a datagram to its handler."""
-        taker = self.takers.get(data[0]) if data else None
+        taker = self.handlers.get(data[0]) if data else None
         if taker is None:
             log.info(
                 "datagram of unknown type ignored",
@@ -60,18 +60,20 @@
         """Ignore an unreachable VM: it will come up, or its record will expire."""
         log.debug("datagram not delivered", extra={"cause": str(exc)})
 
-    def send(self, data: bytes, near: bool = False) -> None:
+    def send(self, data: bytes, same_data_centre: bool = False) -> None:
         """Send a datagram to all other VMs.
 
         Parameters
         ----------
         data : bytes
-        near : bool
+        same_data_centre : bool
             Whether to send it within this data centre only.
         """
         members = self._membership.members()
         home = {m.data_centre for m in members if m.host == self._host}
-        hosts = {m.host for m in members if not near or m.data_centre in home}
+        hosts = {
+            m.host for m in members if not same_data_centre or m.data_centre in home
+        }
         for host in hosts - {self._host}:
             self.send_to(host, data)
 
--- a/packages/entry/src/berylstage_entry/peer_updates.py
+++ b/packages/entry/src/berylstage_entry/peer_updates.py
@@ -18,7 +18,7 @@
 from berylstage_transfers.errors import CallFailed
 from logbook import Logger
 
-from berylstage_entry.assignment import nobody
+from berylstage_entry.assignment import unassigned
 from berylstage_entry.assignment_delta import AssignmentDelta
 from berylstage_entry.errors import InvalidRecord
 from berylstage_entry.store import Item
@@ -30,7 +30,7 @@
     from berylstage_entry.store_watcher import StoreWatcher
 
 # Path at which a VM receives pushed values.
-TOLD_PATH = "/told"
+PUSH_PATH = "/told"
 # Timeout of one push. A VM that misses a push reads the value at its next read.
 PUSH_TIMEOUT_SECONDS = 0.3
 # Largest compressed value that is pushed. A configuration of 12 routes takes 500 bytes,
@@ -61,7 +61,7 @@
     async def _run(self) -> None:
         while self.pending:
             _, body = self.pending.popitem()
-            url = f"http://{self.address}{TOLD_PATH}"
+            url = f"http://{self.address}{PUSH_PATH}"
             try:
                 await self.client.call(
                     Call("POST", url, {}, body, PUSH_TIMEOUT_SECONDS)
@@ -84,14 +84,16 @@
 
     Parameters
     ----------
-    feed : StoreWatcher
+    store_watcher : StoreWatcher
     membership : Membership
     own_address : str
         Address at which this VM listens for the others.
     """
 
-    def __init__(self, feed: StoreWatcher, membership: Membership, own_address: str):
-        self._feed = feed
+    def __init__(
+        self, store_watcher: StoreWatcher, membership: Membership, own_address: str
+    ):
+        self._store_watcher = store_watcher
         self._membership = membership
         self._own_address = own_address
         self._peers: dict[str, _Peer] = {}
@@ -100,12 +102,12 @@
         # Change of each service of which some parts are still missing.
         self._partial: dict[str, AssignmentDelta] = {}
 
-    def tell(self, change: AssignmentDelta) -> None:
+    def broadcast_change(self, change: AssignmentDelta) -> None:
         """Send all other VMs a change of an assignment that the store has accepted."""
         for data in change.encode():
             self.send(data)
 
-    def take_change(self, data: bytes, host: str = "") -> None:
+    def receive_change(self, data: bytes, host: str = "") -> None:
         """Apply a change of an assignment that another VM has sent.
 
         If it cannot be decoded or its base revision is not this VM's, the VM gets the
@@ -118,18 +120,18 @@
                 "invalid change of an assignment ignored", extra={"cause": str(exc)}
             )
             return
-        known = self._feed.revisions.get(change.service, 0)
+        known = self._store_watcher.assignment_revisions.get(change.service, 0)
         if known >= change.revision:
             return
         change = self._merge_parts(change)
         if change.parts_left:
             return
-        old = self._feed.assignments.get(change.service) or nobody()
+        old = self._store_watcher.assignments.get(change.service) or unassigned()
         new = change.apply(old) if known == change.base_revision else None
         if new is None:
-            self._feed.hurry()
+            self._store_watcher.request_refresh()
             return
-        self._feed.take_assignment(change.service, new, change.revision)
+        self._store_watcher.apply_assignment(change.service, new, change.revision)
 
     def _merge_parts(self, change: AssignmentDelta) -> AssignmentDelta:
         """Return a change merged with its other parts that have arrived."""
@@ -142,7 +144,7 @@
         partial.join(change)
         return partial
 
-    async def tell_first(self, items: Sequence[Item]) -> None:
+    async def push_large_items(self, items: Sequence[Item]) -> None:
         """Push large values, and return when the other VMs have them.
 
         Parameters
@@ -172,7 +174,7 @@
                 peer = self._peers[address] = _Peer(address)
             peer.push(key, body)
 
-    def take(self, body: bytes) -> bool:
+    def receive_item(self, body: bytes) -> bool:
         """Apply a value that another VM has pushed; return False if it is invalid."""
         try:
             doc = json.loads(zlib.decompress(body))
@@ -181,7 +183,7 @@
         except (zlib.error, ValueError, KeyError, TypeError, AttributeError) as exc:
             log.warning("invalid pushed value ignored", extra={"cause": str(exc)})
             return False
-        return self._feed.take_told(item)
+        return self._store_watcher.apply_pushed_item(item)
 
     def close(self) -> None:
         """Cancel all pushes and close all connections."""
--- a/packages/entry/src/berylstage_entry/peers.py
+++ b/packages/entry/src/berylstage_entry/peers.py
@@ -37,11 +37,11 @@
         self._own_address = own_address
         self._client: CallClient | None = None
 
-    def others(self) -> list[str]:
+    def other_addresses(self) -> list[str]:
         """Return the addresses of the other known VMs."""
         return sorted(set(self._membership.addresses()) - {self._own_address})
 
-    async def ask(self, address: str, path: str, body: bytes = b"") -> bytes | None:
+    async def call(self, address: str, path: str, body: bytes = b"") -> bytes | None:
         """Return a VM's answer, or None if the call fails."""
         if self._client is None:
             self._client = CallClient(MAX_CONCURRENT_CALLS)
@@ -53,9 +53,11 @@
             return None
         return answer.body if answer.status == STATUS_OK else None
 
-    async def ask_all(self, path: str) -> Sequence[bytes | None]:
+    async def call_all(self, path: str) -> Sequence[bytes | None]:
         """Call all other known VMs at once and return their answers."""
-        return await asyncio.gather(*(self.ask(a, path) for a in self.others()))
+        return await asyncio.gather(
+            *(self.call(a, path) for a in self.other_addresses())
+        )
 
     def close(self) -> None:
         """Close all connections."""
--- a/packages/entry/src/berylstage_entry/permit_client.py
+++ b/packages/entry/src/berylstage_entry/permit_client.py
@@ -147,12 +147,12 @@
         self._lost_servers: dict[str, float] = {}
         self._reply_timeout = ReplyTimeout()
         # Send a message to the VM of a host, which may be this one.
-        self.ask: Callable[[str, PermitRequest], None] = lambda host, ask: None
-        self.give_back: Callable[[str, PermitRelease], None] = lambda host, release: (
+        self.send_request: Callable[[str, PermitRequest], None] = lambda host, ask: None
+        self.send_release: Callable[[str, PermitRelease], None] = lambda host, release: (
             None
         )
 
-    async def take(
+    async def acquire(
         self, ctx: RequestContext, queue: str, data_centre: str = ""
     ) -> Permit | None:
         """Wait for a permit for a request.
@@ -188,24 +188,24 @@
                 )
         return None
 
-    def done(
-        self, turn: Permit, failed: bool = False, load: LoadReport | None = None
+    def release(
+        self, permit: Permit, failed: bool = False, load: LoadReport | None = None
     ) -> None:
         """Release a permit.
 
         Parameters
         ----------
-        turn : Permit
+        permit : Permit
         failed : bool
             Whether the target failed the request or did not answer.
         load : LoadReport, optional
             Load of the target without the answered request.
         """
-        queue = checksum(turn.queue)
-        release = PermitRelease(turn.number, queue, turn.target, failed, load)
-        self.give_back(turn.server, release)
+        queue = checksum(permit.queue)
+        release = PermitRelease(permit.number, queue, permit.target, failed, load)
+        self.send_release(permit.server, release)
 
-    def take_reply(self, data: bytes, host: str) -> None:
+    def receive_reply(self, data: bytes, host: str) -> None:
         """Handle the datagram of a permit server's reply."""
         try:
             reply = PermitReply.decode(data)
@@ -214,9 +214,9 @@
             return
         # The permit server was late, not lost.
         self._lost_servers.pop(host, None)
-        self.replied(reply)
+        self.handle_reply(reply)
 
-    def replied(self, reply: PermitReply) -> None:
+    def handle_reply(self, reply: PermitReply) -> None:
         """Handle a permit server's reply."""
         replies = self._replies.get(reply.number)
         if replies is not None:
@@ -226,25 +226,25 @@
         self, ctx: RequestContext, queue: str, server: str
     ) -> Permit:
         number = next(self._request_numbers) % REQUEST_NUMBERS
-        turn = Permit(number, queue, server)
+        permit = Permit(number, queue, server)
         replies = self._replies[number] = asyncio.Queue()
         try:
-            turn.target = await self._await_grant(ctx, turn, replies)
-            return turn
+            permit.target = await self._await_grant(ctx, permit, replies)
+            return permit
         finally:
             del self._replies[number]
-            if not turn.target:
+            if not permit.target:
                 # Refused or cancelled: the slot or queue position becomes free.
-                self.done(turn)
+                self.release(permit)
 
     async def _await_grant(
-        self, ctx: RequestContext, turn: Permit, replies: asyncio.Queue[PermitReply]
+        self, ctx: RequestContext, permit: Permit, replies: asyncio.Queue[PermitReply]
     ) -> int:
         """Return the checksum of the target for which the permit is granted."""
         unanswered, is_measured = 0, False
         first_sent_at = now()
         while True:
-            self.ask(turn.server, self._build_request(ctx, turn))
+            self.send_request(permit.server, self._build_request(ctx, permit))
             is_answered, timeout = False, self._reply_timeout.timeout
             while True:
                 reply = await _next_reply(replies, timeout)
@@ -257,11 +257,11 @@
                 if reply.status == PermitStatus.GRANTED.value:
                     return reply.target
                 if reply.status == PermitStatus.REFUSED.value:
-                    raise PermitRefused(reply.retry_after, turn.describe())
+                    raise PermitRefused(reply.retry_after, permit.describe())
                 if reply.status == PermitStatus.QUEUE_CLOSED.value:
                     raise _ServerLost
-            if ctx.left(now()) <= 0:
-                raise PermitRefused(0.0, turn.describe())
+            if ctx.seconds_left(now()) <= 0:
+                raise PermitRefused(0.0, permit.describe())
             if not is_answered:
                 unanswered += 1
             if unanswered >= MAX_ATTEMPTS:
@@ -269,16 +269,16 @@
                     self._reply_timeout.record(now() - first_sent_at)
                 raise _ServerLost
 
-    def _build_request(self, ctx: RequestContext, turn: Permit) -> PermitRequest:
+    def _build_request(self, ctx: RequestContext, permit: Permit) -> PermitRequest:
         moment = now()
         route = ctx.route
         return PermitRequest(
-            turn.number,
-            checksum(turn.queue),
+            permit.number,
+            checksum(permit.queue),
             checksum(route.name),
-            ctx.wanted - moment,
+            ctx.soft_deadline - moment,
             route.objective,
-            ctx.left(moment),
+            ctx.seconds_left(moment),
             route.priority,
         )
 
@@ -294,7 +294,7 @@
         Parameters
         ----------
         queue, data_centre : str
-            As for :meth:`take`.
+            As for :meth:`acquire`.
         """
         # Until any VM is known, each VM serves its own requests.
         return self._servers_for(queue, data_centre)[:1] in ([], [self._host])
@@ -322,7 +322,7 @@
         self._members_revision = self._membership.revision
         by_data_centre: dict[str, list[Candidate]] = {ALL_DATA_CENTRES: []}
         for member in self._membership.members():
-            candidate = Candidate(member.host, member.power)
+            candidate = Candidate(member.host, member.relative_capacity)
             by_data_centre[ALL_DATA_CENTRES].append(candidate)
             by_data_centre.setdefault(member.data_centre, []).append(candidate)
         hosts = {centre: eligible_vms(vms) for centre, vms in by_data_centre.items()}
--- a/packages/entry/src/berylstage_entry/permit_messages.py
+++ b/packages/entry/src/berylstage_entry/permit_messages.py
@@ -9,9 +9,9 @@
 from berylstage_entry.targets import LoadReport
 
 # First byte of each kind of datagram.
-ASK_FORMAT = 20
-REPLY_FORMAT = 21
-RETURN_FORMAT = 22
+PERMIT_REQUEST_TYPE = 20
+PERMIT_REPLY_TYPE = 21
+PERMIT_RELEASE_TYPE = 22
 _MILLISECONDS = 1000
 _SLOWDOWN_UNITS = 20
 _MAX_BYTE = 255
@@ -46,7 +46,7 @@
         Number of the request, counted by the requesting VM.
     queue, kind : int
         Checksums of the names of the queue and the route.
-    wanted : float
+    soft_deadline : float
         Seconds until the soft deadline; negative if it has passed.
     objective : float
         Seconds from the request's arrival to the soft deadline.
@@ -62,7 +62,7 @@
         "objective",
         "priority",
         "queue",
-        "wanted",
+        "soft_deadline",
     )
 
     def __init__(
@@ -70,7 +70,7 @@
         number: int,
         queue: int,
         kind: int,
-        wanted: float,
+        soft_deadline: float,
         objective: float,
         deadline: float,
         priority: int,
@@ -78,22 +78,23 @@
         self.number = number
         self.queue = queue
         self.kind = kind
-        self.wanted = wanted
+        self.soft_deadline = soft_deadline
         self.objective = objective
         self.deadline = deadline
         self.priority = priority
 
     def encode(self) -> bytes:
         """Return the request as a datagram."""
-        wanted = max(
-            -_MAX_SHORT // 2, min(_MAX_SHORT // 2, round(self.wanted * _MILLISECONDS))
+        soft_deadline = max(
+            -_MAX_SHORT // 2,
+            min(_MAX_SHORT // 2, round(self.soft_deadline * _MILLISECONDS)),
         )
         return _REQUEST.pack(
-            ASK_FORMAT,
+            PERMIT_REQUEST_TYPE,
             self.number,
             self.queue,
             self.kind,
-            wanted,
+            soft_deadline,
             min(_MAX_SHORT, round(self.objective * _MILLISECONDS)),
             max(0, min(_MAX_SHORT, round(self.deadline * _MILLISECONDS))),
             min(_MAX_BYTE, max(0, self.priority)),
@@ -108,11 +109,11 @@
         UnreadableRecord
             The datagram is malformed.
         """
-        _, number, queue, kind, wanted, objective, deadline, priority = _unpack(
+        _, number, queue, kind, soft_deadline, objective, deadline, priority = _unpack(
             _REQUEST, data
         )
         times = (
-            wanted / _MILLISECONDS,
+            soft_deadline / _MILLISECONDS,
             objective / _MILLISECONDS,
             deadline / _MILLISECONDS,
         )
@@ -144,7 +145,7 @@
     def encode(self) -> bytes:
         """Return the reply as a datagram."""
         ms = min(_MAX_SHORT, round(self.retry_after * _MILLISECONDS))
-        return _REPLY.pack(REPLY_FORMAT, self.number, self.status, ms, self.target)
+        return _REPLY.pack(PERMIT_REPLY_TYPE, self.number, self.status, ms, self.target)
 
     @classmethod
     def decode(cls, data: bytes) -> PermitReply:
@@ -193,17 +194,19 @@
 
     def encode(self) -> bytes:
         """Return the release as a datagram."""
-        active, pace = 0, 0
+        active, machine_slowdown = 0, 0
         if self.load is not None:
             active = min(_MAX_BYTE, self.load.running)
-            pace = max(1, min(_MAX_BYTE, round(self.load.pace * _SLOWDOWN_UNITS)))
+            machine_slowdown = max(
+                1, min(_MAX_BYTE, round(self.load.machine_slowdown * _SLOWDOWN_UNITS))
+            )
         return _RELEASE.pack(
-            RETURN_FORMAT,
+            PERMIT_RELEASE_TYPE,
             self.number,
             self.queue,
             self.target,
             active,
-            pace,
+            machine_slowdown,
             self.failed,
         )
 
@@ -216,7 +219,13 @@
         UnreadableRecord
             The datagram is malformed.
         """
-        _, number, queue, target, active, pace, failed = _unpack(_RELEASE, data)
+        _, number, queue, target, active, machine_slowdown, failed = _unpack(
+            _RELEASE, data
+        )
         # A slowdown of 0 means that the target reported no load.
-        load = LoadReport(active, 0, 0, pace / _SLOWDOWN_UNITS) if pace else None
+        load = (
+            LoadReport(active, 0, 0, machine_slowdown / _SLOWDOWN_UNITS)
+            if machine_slowdown
+            else None
+        )
         return cls(number, queue, target, bool(failed), load)
--- a/packages/entry/src/berylstage_entry/permit_server.py
+++ b/packages/entry/src/berylstage_entry/permit_server.py
@@ -53,15 +53,15 @@
     ----------
     loads : TargetLoads
         Provides the service times of targets.
-    directory : ClusterView
+    cluster_view : ClusterView
     membership : Membership
     """
 
     def __init__(
-        self, loads: TargetLoads, directory: ClusterView, membership: Membership
+        self, loads: TargetLoads, cluster_view: ClusterView, membership: Membership
     ):
         self._loads = loads
-        self._directory = directory
+        self._cluster_view = cluster_view
         self._membership = membership
         self._queues: dict[str, SlotQueue] = {}
         # When each queue's set of targets was last updated.
@@ -94,21 +94,21 @@
         for queue in self._queues.values():
             self._send_decisions(queue.close())
 
-    def take_ask(self, data: bytes, host: str) -> None:
+    def receive_request(self, data: bytes, host: str) -> None:
         """Handle the datagram of a permit request."""
         try:
-            self.asked(PermitRequest.decode(data), host)
+            self.handle_request(PermitRequest.decode(data), host)
         except InvalidRecord as exc:
             log.warning("invalid permit request ignored", extra={"cause": str(exc)})
 
-    def take_return(self, data: bytes, host: str) -> None:
+    def receive_release(self, data: bytes, host: str) -> None:
         """Handle the datagram of a permit release."""
         try:
-            self.returned(PermitRelease.decode(data), host)
+            self.handle_release(PermitRelease.decode(data), host)
         except InvalidRecord as exc:
             log.warning("invalid permit release ignored", extra={"cause": str(exc)})
 
-    def asked(self, ask: PermitRequest, host: str) -> None:
+    def handle_request(self, ask: PermitRequest, host: str) -> None:
         """Handle a permit request."""
         queue = self._find_queue(ask.queue)
         if queue is None:
@@ -121,7 +121,7 @@
             self._names.get(ask.kind, ""),
             self._find_data_centre(host),
             ask.priority,
-            moment + ask.wanted,
+            moment + ask.soft_deadline,
             ask.objective,
             moment + ask.deadline,
             moment,
@@ -132,7 +132,7 @@
         if len(queue):
             self._has_queued.set()
 
-    def returned(self, release: PermitRelease, host: str) -> None:
+    def handle_release(self, release: PermitRelease, host: str) -> None:
         """Handle a permit release."""
         queue = self._find_queue(release.queue)
         if queue is None:
@@ -144,14 +144,16 @@
             self._loads.record_outcome(name, release.failed)
         if name and release.load is not None:
             active = release.load.running
-            self._loads.apply_remote_report(name, active, release.load.pace, moment)
+            self._loads.apply_remote_report(
+                name, active, release.load.machine_slowdown, moment
+            )
             report = TargetReport(name, active)
         self._send_decisions(
             queue.release(RequestId(host, release.number), moment, report)
         )
 
     def _find_queue(self, number: int) -> SlotQueue | None:
-        if self._revision != self._directory.revision:
+        if self._revision != self._cluster_view.revision:
             self._refresh_names()
         name = self._names.get(number)
         service = self._find_service(name) if name is not None else None
@@ -159,7 +161,7 @@
             return None
         queue = self._queues.get(name)
         if queue is None:
-            times = QueueServiceTimes(self._loads, self._directory, service.name)
+            times = QueueServiceTimes(self._loads, self._cluster_view, service.name)
             queue = self._queues[name] = SlotQueue(times)
         if (
             now() - self._targets_updated_at.get(name, float("-inf"))
@@ -171,21 +173,21 @@
 
     def _find_service(self, name: str) -> Service | None:
         """Return the service of a queue, or None if the queue is unknown."""
-        cfg = self._directory.configuration
+        cfg = self._cluster_view.configuration
         if cfg is None:
             return None
-        known = self._directory.known.get(name)
+        known = self._cluster_view.known.get(name)
         return cfg.services.get(known.target.service if known else name)
 
     def _target_slots(self, name: str, service: Service) -> dict[str, int]:
         """Return the number of slots of each target of a queue."""
-        known = self._directory.known
+        known = self._cluster_view.known
         if name in known:
             return {name: known[name].target.slots}
         # Requests to cold targets are limited per VM and need no permit.
         warm = [
             n
-            for n in self._directory.usable(service.name)
+            for n in self._cluster_view.usable_targets(service.name)
             if known[n].cold_until <= now()
         ]
         non_ejected = self._loads.non_ejected(service.name, warm) or warm
@@ -193,9 +195,9 @@
 
     def _refresh_names(self) -> None:
         """Update the names of queues, targets and request kinds."""
-        self._revision = self._directory.revision
-        known = self._directory.known
-        cfg = self._directory.configuration
+        self._revision = self._cluster_view.revision
+        known = self._cluster_view.known
+        cfg = self._cluster_view.configuration
         names = list(known)
         if cfg is not None:
             names += [*cfg.services, *(route.name for route in cfg.routes)]
@@ -239,7 +241,7 @@
                         "back_in": round(decision.retry_after, 3),
                         "waiting": len(queue),
                         "targets": queue.describe(now()),
-                        "left_out": self._log_limiter.take_left_out(),
+                        "left_out": self._log_limiter.take_suppressed_count(),
                     },
                 )
 
--- a/packages/entry/src/berylstage_entry/probes.py
+++ b/packages/entry/src/berylstage_entry/probes.py
@@ -39,23 +39,23 @@
     Parameters
     ----------
     loads : TargetLoads
-    directory : ClusterView
-    turns : PermitClient
+    cluster_view : ClusterView
+    permit_client : PermitClient
         Determines the queues that this VM serves.
-    wire : TargetProtocol
+    protocol : TargetProtocol
     """
 
     def __init__(
         self,
         loads: TargetLoads,
-        directory: ClusterView,
-        turns: PermitClient,
-        wire: TargetProtocol,
+        cluster_view: ClusterView,
+        permit_client: PermitClient,
+        protocol: TargetProtocol,
     ):
         self._loads = loads
-        self._directory = directory
-        self._turns = turns
-        self._wire = wire
+        self._cluster_view = cluster_view
+        self._permit_client = permit_client
+        self._protocol = protocol
         self._running: dict[str, asyncio.Task] = {}
         self._not_before: dict[str, float] = {}
         self._task: asyncio.Task | None = None
@@ -86,10 +86,12 @@
 
     def _is_idle(self) -> bool:
         """Tell whether targets are known, but none is assigned to this VM."""
-        return bool(self._directory.known) and not self.targets() and not self._assigned
+        return (
+            bool(self._cluster_view.known) and not self.targets() and not self._assigned
+        )
 
     def _start_due(self, moment: float) -> None:
-        cfg = self._directory.configuration
+        cfg = self._cluster_view.configuration
         if cfg is None:
             return
         for target in self.targets():
@@ -108,12 +110,12 @@
 
         Cold targets are excluded, since a probe counts against their request limit.
         """
-        known = (self._directory.revision, self._turns.revision)
+        known = (self._cluster_view.revision, self._permit_client.revision)
         if known != self._seen_revisions:
             self._seen_revisions = known
             self._assigned = self._find_assigned()
         moment = now()
-        cold = self._directory.known
+        cold = self._cluster_view.known
         return [
             t
             for t in self._assigned
@@ -121,26 +123,29 @@
         ]
 
     def _find_assigned(self) -> list[Target]:
-        cfg = self._directory.configuration
+        cfg = self._cluster_view.configuration
         assigned = []
-        for known in self._directory.known.values():
+        for known in self._cluster_view.known.values():
             target = known.target
-            if target.leaving or target.data_centre in self._directory.closed:
+            if (
+                target.is_draining
+                or target.data_centre in self._cluster_view.closed_data_centres
+            ):
                 continue
             service = cfg.services.get(target.service) if cfg is not None else None
             if service is None:
                 continue
             if service.owns_keys:
-                serves = self._turns.serves(target.name, target.data_centre)
+                serves = self._permit_client.serves(target.name, target.data_centre)
             else:
-                serves = self._turns.serves(target.service)
+                serves = self._permit_client.serves(target.service)
             if serves:
                 assigned.append(target)
         return assigned
 
     async def _probe(self, target: Target, service: Service) -> None:
         try:
-            report = await self._wire.probe(
+            report = await self._protocol.probe(
                 target, service.health_path, PROBE_TIMEOUT_SECONDS
             )
         except (CallFailed, TargetReplaced) as exc:
--- a/packages/entry/src/berylstage_entry/protocols.py
+++ b/packages/entry/src/berylstage_entry/protocols.py
@@ -85,7 +85,7 @@
     misdirected : bool
         Whether another target than the requested one answered, or one that does not own
         the key.
-    genuine : bool
+    is_from_target : bool
         Whether the answer carries the header that only targets set.
     load : LoadReport or None
     closing : bool
@@ -95,7 +95,7 @@
     __slots__ = (
         "body",
         "closing",
-        "genuine",
+        "is_from_target",
         "headers",
         "load",
         "misdirected",
@@ -110,7 +110,7 @@
         body: bytes,
         not_run: bool,
         misdirected: bool,
-        genuine: bool,
+        is_from_target: bool,
         load: LoadReport | None,
         closing: bool,
     ):
@@ -119,7 +119,7 @@
         self.body = body
         self.not_run = not_run
         self.misdirected = misdirected
-        self.genuine = genuine
+        self.is_from_target = is_from_target
         self.load = load
         self.closing = closing
 
@@ -130,7 +130,7 @@
     ready_path = "/ready"
 
     @abstractmethod
-    def request(
+    def parse_request(
         self, method: str, uri: str, headers: Iterable[tuple[str, str]]
     ) -> CallerRequest:
         """Interpret a request head.
@@ -142,7 +142,7 @@
         """
 
     @abstractmethod
-    def refusal_headers(self, retry_after: float) -> list[tuple[str, str]]:
+    def retry_after_headers(self, retry_after: float) -> list[tuple[str, str]]:
         """Return the headers that tell a rejected caller when to retry."""
 
 
@@ -155,28 +155,28 @@
         First and last key, both included.
     fence : int
         Fence token of the grant.
-    hold : float
+    seconds : float
         Seconds for which the grant is valid after its arrival.
     handover : str
         State that the previous owner handed over; empty if none.
     """
 
-    __slots__ = ("fence", "first", "handover", "hold", "last")
+    __slots__ = ("fence", "first", "handover", "seconds", "last")
 
     def __init__(
-        self, first: int, last: int, fence: int, hold: float, handover: str = ""
+        self, first: int, last: int, fence: int, seconds: float, handover: str = ""
     ):
         self.first = first
         self.last = last
         self.fence = fence
-        self.hold = hold
+        self.seconds = seconds
         self.handover = handover
 
 
 class TargetProtocol(ABC):
     """Protocol between the entry VM and targets."""
 
-    echo_header = b"request-id"
+    request_id_header = b"request-id"
 
     @abstractmethod
     def request_headers(
@@ -193,7 +193,7 @@
         """
 
     @abstractmethod
-    def answer(self, answer: Answer) -> TargetAnswer:
+    def parse_answer(self, answer: Answer) -> TargetAnswer:
         """Interpret a target's answer."""
 
     @abstractmethod
@@ -252,29 +252,35 @@
     ----------
     configuration : Configuration, optional
     target : Target, optional
-    gone : str
+    removed_target : str
         Name of a target whose record has been removed.
-    closed : str
+    closed_data_centre : str
         Name of a data centre that receives no more requests.
-    opened : str
+    reopened_data_centre : str
         Name of a data centre that receives requests again.
     """
 
-    __slots__ = ("closed", "configuration", "gone", "opened", "target")
+    __slots__ = (
+        "closed_data_centre",
+        "configuration",
+        "removed_target",
+        "reopened_data_centre",
+        "target",
+    )
 
     def __init__(
         self,
         configuration: Configuration | None = None,
         target: Target | None = None,
-        gone: str = "",
-        closed: str = "",
-        opened: str = "",
+        removed_target: str = "",
+        closed_data_centre: str = "",
+        reopened_data_centre: str = "",
     ):
         self.configuration = configuration
         self.target = target
-        self.gone = gone
-        self.closed = closed
-        self.opened = opened
+        self.removed_target = removed_target
+        self.closed_data_centre = closed_data_centre
+        self.reopened_data_centre = reopened_data_centre
 
 
 class RecordReader(ABC):
--- a/packages/entry/src/berylstage_entry/queue_service_times.py
+++ b/packages/entry/src/berylstage_entry/queue_service_times.py
@@ -18,15 +18,15 @@
     Parameters
     ----------
     loads : TargetLoads
-    directory : ClusterView
+    cluster_view : ClusterView
     service : str
     """
 
-    __slots__ = ("_directory", "_loads", "_service")
+    __slots__ = ("_cluster_view", "_loads", "_service")
 
-    def __init__(self, loads: TargetLoads, directory: ClusterView, service: str):
+    def __init__(self, loads: TargetLoads, cluster_view: ClusterView, service: str):
         self._loads = loads
-        self._directory = directory
+        self._cluster_view = cluster_view
         self._service = service
 
     def seconds(self, target: str, kind: str) -> float:  # noqa: D102
@@ -35,7 +35,7 @@
     def locality_penalty(  # noqa: D102
         self, target: str, origin: str, kind: str
     ) -> float:
-        known = self._directory.known.get(target)
+        known = self._cluster_view.known.get(target)
         if known is None or known.target.data_centre == origin:
             return 0.0
         size = self._loads.answer_size(kind)
--- a/packages/entry/src/berylstage_entry/range_placement.py
+++ b/packages/entry/src/berylstage_entry/range_placement.py
@@ -9,7 +9,7 @@
 
 from typing import TYPE_CHECKING
 
-from berylstage_entry.assignment import KEYS, LAST_KEY
+from berylstage_entry.assignment import KEY_COUNT, LAST_KEY
 from berylstage_entry.key_loads import KeyMove, rates_by_range
 
 if TYPE_CHECKING:
@@ -24,13 +24,13 @@
 MAX_MERGES_PER_ROUND = 24
 # Keys that may change owner per round in order to merge ranges: a hundredth of all,
 # since each change has a cost.
-MAX_MERGED_KEYS_PER_ROUND = KEYS // 100
+MAX_MERGED_KEYS_PER_ROUND = KEY_COUNT // 100
 # Widest range that may change owner in order to be merged: changes have a cost, and
 # keys that were hot for a moment are seldom wider.
 MAX_MERGED_WIDTH = 1024
 
 
-def deal(
+def place_ranges(
     displaced: Sequence[KeyRange],
     assignment: Assignment,
     rates: Sequence[tuple[int, float]],
@@ -134,7 +134,7 @@
     ranges = rates_by_range(assignment, rates)
     candidates = []
     for i, (r, keys) in enumerate(ranges):
-        if r.former or r.last - r.first >= MAX_MERGED_WIDTH:
+        if r.previous_owner or r.last - r.first >= MAX_MERGED_WIDTH:
             continue
         neighbours = [ranges[n][0] for n in (i - 1, i + 1) if 0 <= n < len(ranges)]
         owner = _choose_merge_owner(r, neighbours, capacities)
@@ -166,7 +166,7 @@
     if any(other.owner == r.owner for other in neighbours):
         # No key needs to change owner; it suffices to give both ranges one fence.
         return ""
-    eligible = [b for b in neighbours if not b.former and b.owner in capacities]
+    eligible = [b for b in neighbours if not b.previous_owner and b.owner in capacities]
     # Neighbours with the same owner turn three ranges into one, others two.
     eligible.sort(key=lambda b: b.last - b.first)
     return eligible[-1].owner if eligible else ""
--- a/packages/entry/src/berylstage_entry/rebalancing.py
+++ b/packages/entry/src/berylstage_entry/rebalancing.py
@@ -21,8 +21,8 @@
 # Utilization from which a target may give keys away, and by how much a move must lower
 # the utilization of the busier of its two targets. Smaller differences are noise, given
 # the few dozen requests that a target gets within the half-life.
-RELIEVED_ABOVE = 0.4
-LEAST_GAIN = 0.12
+MIN_DONOR_UTILIZATION = 0.4
+MIN_GAIN = 0.12
 # Utilization from which keys are moved at once, and by how much such a move must lower
 # the utilization of the busier target: it has a growing queue while others have free
 # capacity. Otherwise a round waits until this many seconds after the last one that
@@ -30,9 +30,9 @@
 # A single key with more requests than any target can serve, or targets that are all
 # overloaded, would otherwise cause rounds all the time: without these bounds, 3 to 5
 # times the writes earn the same credit (`make bench-owned`).
-URGENT_ABOVE = 0.8
+URGENT_UTILIZATION = 0.8
 MIN_URGENT_GAIN = 0.25
-CALM_PERIOD = 1.0
+MIN_ROUND_INTERVAL_SECONDS = 1.0
 # Lower bound of the moves allowed per round, and the number of targets per move if
 # there are many targets. Each move interrupts its keys until the requests in progress
 # there are complete, a tenth of a second.
@@ -84,9 +84,9 @@
     __slots__ = ("_moved_at",)
 
     def __init__(self, now: float):
-        self._moved_at = now - CALM_PERIOD
+        self._moved_at = now - MIN_ROUND_INTERVAL_SECONDS
 
-    def moves(
+    def due_moves(
         self,
         now: float,
         assignment: Assignment,
@@ -105,7 +105,7 @@
         -------
         list of KeyMove
         """
-        urgent = now - self._moved_at < CALM_PERIOD
+        urgent = now - self._moved_at < MIN_ROUND_INTERVAL_SECONDS
         moves = rebalance(assignment, rates, capacities, urgent)
         if moves:
             self._moved_at = now
@@ -213,7 +213,10 @@
     def is_urgent(self) -> bool:
         """Whether it stops a queue from growing."""
         before = self.donor.utilization
-        return before >= URGENT_ABOVE and before - self.utilization >= MIN_URGENT_GAIN
+        return (
+            before >= URGENT_UTILIZATION
+            and before - self.utilization >= MIN_URGENT_GAIN
+        )
 
 
 def _next_move(
@@ -230,7 +233,7 @@
     targets there is such a key nearly all the time, and queues would grow at all other
     targets.
     """
-    threshold = URGENT_ABOVE if urgent else RELIEVED_ABOVE
+    threshold = URGENT_UTILIZATION if urgent else MIN_DONOR_UTILIZATION
     by_utilization = sorted(loads.values(), key=lambda load: load.utilization)
     fastest = sorted(by_utilization, key=lambda load: -load.capacity)[
         :FASTEST_RECIPIENTS
@@ -260,7 +263,7 @@
 ) -> _RatedMove | None:
     best: _RatedMove | None = None
     for hot_range in hot_ranges:
-        if hot_range.range.former or _overlaps(hot_range.range, moves):
+        if hot_range.range.previous_owner or _overlaps(hot_range.range, moves):
             continue
         for recipient in recipients:
             if recipient is donor:
@@ -273,7 +276,7 @@
                 if best is None or utilization < best.utilization:
                     move = KeyMove(first, last, recipient.name)
                     best = _RatedMove(move, donor, recipient, rate, utilization)
-    if best is None or best.utilization > donor.utilization - LEAST_GAIN:
+    if best is None or best.utilization > donor.utilization - MIN_GAIN:
         return None
     return best
 
--- a/packages/entry/src/berylstage_entry/request_context.py
+++ b/packages/entry/src/berylstage_entry/request_context.py
@@ -46,25 +46,25 @@
     service : Service
     deadline : float
         Monotonic seconds by which a target must answer.
-    wanted : float
+    soft_deadline : float
         Monotonic seconds by which an answer meets the route's latency objective.
     """
 
     __slots__ = (
         "attempts",
         "deadline",
-        "failure",
-        "lost",
-        "pause",
+        "failed_answer",
+        "lost_reason",
+        "retry_delay",
         "req",
         "route",
         "service",
-        "shed",
-        "tried",
-        "turn",
-        "turned_away",
+        "rejections",
+        "tried_targets",
+        "permit",
+        "rejected_by",
         "waited",
-        "wanted",
+        "soft_deadline",
     )
 
     def __init__(
@@ -73,34 +73,38 @@
         route: Route,
         service: Service,
         deadline: float,
-        wanted: float,
+        soft_deadline: float,
     ):
         self.req = req
         self.route = route
         self.service = service
         self.deadline = deadline
-        self.wanted = wanted
+        self.soft_deadline = soft_deadline
         # Permit to send to the target, to be released; None while there is none.
-        self.turn: Permit | None = None
+        self.permit: Permit | None = None
         self.waited = 0.0
         # Times that a target rejected it although it had a permit.
-        self.shed = 0
+        self.rejections = 0
         self.attempts = 0
-        self.tried: set[str] = set()
+        self.tried_targets: set[str] = set()
         # Why the last attempt that may have been executed failed; empty if none.
-        self.lost = ""
+        self.lost_reason = ""
         # Owner of the key that rejected the request, with the revision of the
         # assignment that named it, and the seconds before it is tried again.
-        self.turned_away: tuple[str, int] = ("", -1)
-        self.pause = 0.0
+        self.rejected_by: tuple[str, int] = ("", -1)
+        self.retry_delay = 0.0
         # A target's error answer, returned to the caller if no retry succeeds.
-        self.failure: RoutedAnswer | None = None
+        self.failed_answer: RoutedAnswer | None = None
 
-    def trace(self) -> str:
+    def describe(self) -> str:
         """Return the time waited and the targets tried, for the log."""
-        tried = f" tried {','.join(sorted(self.tried))}" if self.tried else ""
+        tried = (
+            f" tried {','.join(sorted(self.tried_targets))}"
+            if self.tried_targets
+            else ""
+        )
         return f"waited {self.waited:.3f} s{tried}"
 
-    def left(self, moment: float) -> float:
+    def seconds_left(self, moment: float) -> float:
         """Return the seconds until the deadline."""
         return self.deadline - moment
--- a/packages/entry/src/berylstage_entry/request_log.py
+++ b/packages/entry/src/berylstage_entry/request_log.py
@@ -35,17 +35,17 @@
 
     Attributes
     ----------
-    left_out : int
+    suppressed : int
         Lines suppressed since they were last reported.
     """
 
-    __slots__ = ("_rate", "_refilled_at", "_tokens", "left_out")
+    __slots__ = ("_rate", "_refilled_at", "_tokens", "suppressed")
 
     def __init__(self, rate: float):
         self._rate = rate
         self._tokens = rate * BURST_SECONDS
         self._refilled_at = now()
-        self.left_out = 0
+        self.suppressed = 0
 
     def take(self) -> bool:
         """Take a token and return True, or count a suppressed line."""
@@ -54,15 +54,15 @@
         self._tokens = min(self._rate * BURST_SECONDS, filled)
         self._refilled_at = moment
         if self._tokens < 1:
-            self.left_out += 1
+            self.suppressed += 1
             return False
         self._tokens -= 1
         return True
 
-    def take_left_out(self) -> int:
+    def take_suppressed_count(self) -> int:
         """Return and reset the number of suppressed lines."""
-        left_out, self.left_out = self.left_out, 0
-        return left_out
+        suppressed, self.suppressed = self.suppressed, 0
+        return suppressed
 
 
 class RequestLog:
@@ -84,7 +84,7 @@
         """Log a target's answer that is returned to the caller."""
         answer = result.answer
         outcome = "failed" if answer.status >= SERVER_ERROR else "answered"
-        self._metrics.request(req.host, outcome, seconds)
+        self._metrics.record_request(req.host, outcome, seconds)
         failed = outcome == "failed"
         limiter = self._failure_limiter if failed else self._success_limiter
         if not limiter.take():
@@ -98,7 +98,7 @@
                 "attempts": result.attempts,
                 "seconds": round(seconds, 4),
                 "waited": round(req.waited + result.waited, 4),
-                "left_out": limiter.take_left_out(),
+                "left_out": limiter.take_suppressed_count(),
             },
         )
 
@@ -124,7 +124,7 @@
         detail : str
             Facts that led to this outcome, and their age.
         """
-        self._metrics.request(req.host, reason, seconds)
+        self._metrics.record_request(req.host, reason, seconds)
         if not self._failure_limiter.take():
             return
         log.info(
@@ -137,12 +137,12 @@
                 "path": req.path,
                 "seconds": round(seconds, 4),
                 "time_left": round(req.time_left - seconds, 4),
-                "left_out": self._failure_limiter.take_left_out(),
+                "left_out": self._failure_limiter.take_suppressed_count(),
             },
         )
 
     def log_malformed(self, cause: str) -> None:
         """Log a request that could not be parsed or was rejected before routing."""
-        self._metrics.count("malformed")
+        self._metrics.increment("malformed")
         if self._failure_limiter.take():
             log.info("request malformed", extra={"cause": cause})
