--- a/packages/entry/src/berylstage_entry/router.py
+++ b/packages/entry/src/berylstage_entry/router.py
@@ -40,20 +40,20 @@
     from berylstage_entry.targets import LoadReport
 
 # Seconds of a request's time limit reserved for returning the answer to the caller.
-ANSWER_WAY = 0.02
+ANSWER_DELIVERY_SECONDS = 0.02
 # Minimum seconds left for an attempt; a request with less is not sent.
-LEAST_TIME = 0.02
+MIN_ATTEMPT_SECONDS = 0.02
 # Range of the retry delay suggested to callers when a service has no free slots. It
 # uses up to a third of a caller's time; the spread avoids simultaneous retries.
 MIN_RETRY_AFTER_SECONDS = 0.05
 MAX_RETRY_AFTER_SECONDS = 0.25
 # Retry delay in seconds when the target rejected a request although it had free slots.
-RETURN_AT_ONCE = 0.01
+IMMEDIATE_RETRY_SECONDS = 0.01
 # Refused callers are spread from the expected wait to this multiple of it.
 RETRY_AFTER_SPREAD = 1.25
 # Share of the retry bound that is used. The rest allows for the VMs' clocks, which do
 # not divide time into the same windows.
-BUDGET_USE = 0.8
+RETRY_BUDGET_SHARE = 0.8
 # A request is refused if the owner of its key is expected to complete it later than
 # this multiple of the route's objective. With 1.0, requests were refused for which a
 # slot became free a moment later; without a limit, all requests for a key that needs
@@ -67,9 +67,9 @@
 
     Parameters
     ----------
-    directory : ClusterView
-    feed : StoreWatcher
-    senders : TargetClients
+    cluster_view : ClusterView
+    store_watcher : StoreWatcher
+    target_clients : TargetClients
     bounds : Bounds
     rng : Random
     data_centre : str
@@ -85,33 +85,33 @@
 
     def __init__(
         self,
-        directory: ClusterView,
-        feed: StoreWatcher,
-        senders: TargetClients,
+        cluster_view: ClusterView,
+        store_watcher: StoreWatcher,
+        target_clients: TargetClients,
         bounds: Bounds,
         rng: Random,
         data_centre: str = "",
         vm: str = "",
     ):
-        self._directory = directory
-        self._owner_resolver = OwnerResolver(feed, directory)
-        self._clients = senders
+        self._cluster_view = cluster_view
+        self._owner_resolver = OwnerResolver(store_watcher, cluster_view)
+        self._clients = target_clients
         self._bounds = bounds
         self._rng = rng
         self._data_centre = data_centre
-        self.loads = TargetLoads(directory, rng)
-        self.cold = ColdTargets(directory, bounds, vm)
+        self.loads = TargetLoads(cluster_view, rng)
+        self.cold_targets = ColdTargets(cluster_view, bounds, vm)
         self._retry_budgets: dict[str, RetryBudget] = {}
         self._splits: dict[str, tuple[tuple, WeightedRoundRobin]] = {}
         self._seen_revision = -1
         # Number of known VMs, plus some that may be starting.
-        self.vms = 10
+        self.vm_count = 10
         # Acquires permits for targets from the permit servers.
-        self.turns: PermitClient | None = None
+        self.permit_client: PermitClient | None = None
         # Requests by service and key since the last report to the coordinator.
         self._key_counts: dict[str, dict[int, int]] = {}
         # Set while there are counts to report.
-        self.has_counted = asyncio.Event()
+        self.has_key_counts = asyncio.Event()
 
     async def serve(self, req: CallerRequest) -> RoutedAnswer:
         """Route one request and return its answer.
@@ -120,9 +120,9 @@
         ------
         BadRequest, Refused, Unanswered
         """
-        if self._seen_revision != self._directory.revision:
+        if self._seen_revision != self._cluster_view.revision:
             self._drop_removed_targets()
-        cfg = self._directory.configuration
+        cfg = self._cluster_view.configuration
         if cfg is None:
             raise Refused("no-configuration", MAX_RETRY_AFTER_SECONDS)
         route = cfg.table.find(req.host, req.path.partition("?")[0])
@@ -133,29 +133,29 @@
         service = cfg.services.get(self._choose_service(route))
         if service is None:
             raise Refused("no-service", MAX_RETRY_AFTER_SECONDS)
-        wait = min(req.time_left - ANSWER_WAY, route.timeout)
+        wait = min(req.time_left - ANSWER_DELIVERY_SECONDS, route.timeout)
         moment = now() - req.waited
-        wanted = moment + route.objective - ANSWER_WAY
-        ctx = RequestContext(req, route, service, moment + wait, wanted)
-        self._retry_budget(service.name).earn()
+        soft_deadline = moment + route.objective - ANSWER_DELIVERY_SECONDS
+        ctx = RequestContext(req, route, service, moment + wait, soft_deadline)
+        self._retry_budget(service.name).deposit()
         self.loads.record_request(service.name)
         if service.owns_keys and req.key is not None:
             counts = self._key_counts.setdefault(service.name, {})
             counts[req.key] = counts.get(req.key, 0) + 1
-            self.has_counted.set()
+            self.has_key_counts.set()
         return await self._forward(ctx)
 
     def take_key_counts(self) -> dict[str, dict[int, int]]:
         """Return the requests by service and key since the last call."""
         counts, self._key_counts = self._key_counts, {}
-        self.has_counted.clear()
+        self.has_key_counts.clear()
         return counts
 
     def _drop_removed_targets(self) -> None:
-        self._seen_revision = self._directory.revision
-        names = set(self._directory.known)
+        self._seen_revision = self._cluster_view.revision
+        names = set(self._cluster_view.known)
         self._clients.retain(names)
-        self.cold.retain(names)
+        self.cold_targets.retain(names)
 
     async def _forward(self, ctx: RequestContext) -> RoutedAnswer:
         """Send until there is an answer to return, or no further attempt is allowed."""
@@ -167,13 +167,13 @@
                     attempts, waited = ctx.attempts, ctx.waited
                     return RoutedAnswer(answer, name, attempts, waited)
         except (Refused, Unanswered):
-            if ctx.failure is None:
+            if ctx.failed_answer is None:
                 raise
-            return ctx.failure
+            return ctx.failed_answer
 
     async def _choose_target(self, ctx: RequestContext) -> str:
         """Return the target for the next attempt."""
-        if ctx.left(now()) < LEAST_TIME:
+        if ctx.seconds_left(now()) < MIN_ATTEMPT_SECONDS:
             raise self._build_error(ctx, "no-time")
         if ctx.service.owns_keys and ctx.req.key is not None:
             name = await self._choose_owner(ctx)
@@ -184,9 +184,9 @@
         return name
 
     def _check_retry_limits(self, ctx: RequestContext, name: str) -> None:
-        if ctx.attempts >= ctx.route.attempts and name not in ctx.tried:
+        if ctx.attempts >= ctx.route.attempts and name not in ctx.tried_targets:
             raise self._build_error(ctx, "attempts")
-        if not self._retry_budget(ctx.service.name).spend():
+        if not self._retry_budget(ctx.service.name).try_withdraw():
             raise self._build_error(ctx, "budget")
 
     async def _choose_owner(self, ctx: RequestContext) -> str:
@@ -196,15 +196,15 @@
                 name = await self._owner_resolver.find(ctx)
             except NoOwner as exc:
                 raise self._build_error(ctx, "no-owner", str(exc)) from exc
-            if not self.cold.may_send(name, ctx.service):
+            if not self.cold_targets.may_send(name, ctx.service):
                 raise self._build_error(ctx, "cold")
-            data_centre = self._directory.known[name].target.data_centre
+            data_centre = self._cluster_view.known[name].target.data_centre
             await self._acquire_permit(ctx, name, data_centre)
             if not self._owner_resolver.is_owner(ctx, name):
                 # The key moved, or its owner became unusable, during the wait.
                 self._release_permit(ctx)
                 continue
-            if ctx.turn is None:
+            if ctx.permit is None:
                 return self._check_owner_load(ctx, name)
             return name
 
@@ -212,17 +212,17 @@
         self, ctx: RequestContext, queue: str, data_centre: str = ""
     ) -> None:
         """Wait for a permit from a queue; set none if no VM serves the queue."""
-        if self.turns is None:
+        if self.permit_client is None:
             return
         started_at = now()
         try:
-            ctx.turn = await self.turns.take(ctx, queue, data_centre)
+            ctx.permit = await self.permit_client.acquire(ctx, queue, data_centre)
         except PermitRefused as exc:
             ctx.waited += now() - started_at
             reason = "owner-busy" if data_centre else "no-room"
-            raise self._build_error(ctx, reason, exc.turn, exc.retry_after) from exc
+            raise self._build_error(ctx, reason, exc.permit, exc.retry_after) from exc
         ctx.waited += now() - started_at
-        if ctx.left(now()) < LEAST_TIME:
+        if ctx.seconds_left(now()) < MIN_ATTEMPT_SECONDS:
             self._release_permit(ctx)
             raise self._build_error(ctx, "no-time")
 
@@ -232,16 +232,16 @@
         failed: bool = False,
         load: LoadReport | None = None,
     ) -> None:
-        if ctx.turn is not None and self.turns is not None:
-            self.turns.done(ctx.turn, failed, load)
-        ctx.turn = None
+        if ctx.permit is not None and self.permit_client is not None:
+            self.permit_client.release(ctx.permit, failed, load)
+        ctx.permit = None
 
     def _check_owner_load(self, ctx: RequestContext, name: str) -> str:
         """Refuse a request if this VM's data shows that the owner is overloaded."""
         loads = self.loads.for_service(ctx.service.name)
-        loads.load(name, self._directory.known[name].target.slots)
-        expected = loads.expected(name, ctx.route.name, now())
-        limit = min(OWNER_WAIT * ctx.route.objective, ctx.left(now()))
+        loads.load(name, self._cluster_view.known[name].target.slots)
+        expected = loads.expected_seconds(name, ctx.route.name, now())
+        limit = min(OWNER_WAIT * ctx.route.objective, ctx.seconds_left(now()))
         if expected > limit:
             detail = loads.describe(name, now())
             raise self._build_error(ctx, "owner-busy", detail)
@@ -250,7 +250,9 @@
     async def _choose_without_key(self, ctx: RequestContext) -> str:
         """Return the target of a request without a key, with a permit if possible."""
         names = self._eligible_targets(ctx)
-        cold = [n for n in names if self.cold.limiter(n, ctx.service) is not None]
+        cold = [
+            n for n in names if self.cold_targets.limiter(n, ctx.service) is not None
+        ]
         if ctx.attempts or len(cold) == len(names):
             # A retry avoids the targets that have failed it.
             return self._choose_by_load(ctx, names)
@@ -261,10 +263,10 @@
                 return name
         await self._acquire_permit(ctx, ctx.service.name)
         name = ""
-        if ctx.turn is not None:
-            name = self._directory.named(ctx.turn.target)
+        if ctx.permit is not None:
+            name = self._cluster_view.target_name(ctx.permit.target)
         # Targets may have become unusable during the wait.
-        names = [n for n in names if self._directory.may_use(n)]
+        names = [n for n in names if self._cluster_view.is_usable(n)]
         if name in names:
             return name
         # The permit server learns of a removed target later or earlier than this VM.
@@ -275,17 +277,19 @@
 
     def _eligible_targets(self, ctx: RequestContext) -> list[str]:
         """Return the targets that may receive a request without a key."""
-        names = self._directory.usable(ctx.service.name)
+        names = self._cluster_view.usable_targets(ctx.service.name)
         loads = self.loads.for_service(ctx.service.name)
-        known = self._directory.known
+        known = self._cluster_view.known
         eligible = []
         for name in names:
-            if name in ctx.tried or not self.cold.may_send(name, ctx.service):
+            if name in ctx.tried_targets or not self.cold_targets.may_send(
+                name, ctx.service
+            ):
                 continue
             target = known[name].target
             load = loads.load(name, target.slots)
             if target.data_centre != self._data_centre:
-                load.distance = OTHER_DATA_CENTRE
+                load.locality_penalty = OTHER_DATA_CENTRE
             eligible.append(name)
         if not eligible:
             raise self._build_error(ctx, "no-target")
@@ -296,33 +300,33 @@
         loads = self.loads.for_service(ctx.service.name)
         kind = ctx.route.name
         name = loads.choose(eligible, kind, now())
-        if loads.expected(name, kind, now()) > ctx.left(now()):
+        if loads.expected_seconds(name, kind, now()) > ctx.seconds_left(now()):
             raise self._build_error(ctx, "no-room", loads.describe(name, now()))
         return name
 
     async def _attempt(self, ctx: RequestContext, name: str) -> TargetAnswer | None:
         """Send once; return None if the request may be sent again."""
-        target = self._directory.known[name].target
-        client = self._clients.get(target, ctx.service.connections)
+        target = self._cluster_view.known[name].target
+        client = self._clients.get(target, ctx.service.max_connections_per_target)
         loads = self.loads.for_service(ctx.service.name)
         load = loads.load(name, target.slots)
-        self.cold.record_request(name, ctx.service)
+        self.cold_targets.record_request(name, ctx.service)
         load.inflight += 1
         started_at = now()
-        failed, report, had_permit = True, None, ctx.turn is not None
+        failed, report, had_permit = True, None, ctx.permit is not None
         try:
-            answer = await client.send(ctx.req, ctx.left(started_at))
+            answer = await client.send(ctx.req, ctx.seconds_left(started_at))
             failed, report = is_failure(answer), build_load_report(answer)
         except asyncio.CancelledError:
             # The caller has disconnected, which is no failure of the target.
-            if ctx.turn is not None:
-                ctx.turn.target = 0
+            if ctx.permit is not None:
+                ctx.permit.target = 0
             raise
         except NeverSent as exc:
-            load.failed(now())
-            ctx.tried.add(name)
+            load.record_failure(now())
+            ctx.tried_targets.add(name)
             self._owner_resolver.turned_away(ctx, name)
-            if ctx.left(now()) < LEAST_TIME:
+            if ctx.seconds_left(now()) < MIN_ATTEMPT_SECONDS:
                 raise self._build_error(ctx, "unreachable") from exc
             return None
         except AnswerLost as exc:
@@ -334,21 +338,21 @@
         kind, service = ctx.route.name, ctx.service.name
         self.loads.record_answer(name, kind, service, answer, now() - started_at)
         if answer.not_run and not answer.misdirected and had_permit:
-            ctx.shed += 1
+            ctx.rejections += 1
         return self._handle_answer(ctx, name, answer)
 
     def _handle_lost_answer(
         self, ctx: RequestContext, name: str, exc: AnswerLost
     ) -> None:
         ctx.attempts += 1
-        ctx.tried.add(name)
+        ctx.tried_targets.add(name)
         moment = now()
-        late = ctx.left(moment) < LEAST_TIME
-        ctx.lost = "timeout" if late else "answer-lost"
-        self.loads.for_service(ctx.service.name).load(name, 1).failed(moment)
+        late = ctx.seconds_left(moment) < MIN_ATTEMPT_SECONDS
+        ctx.lost_reason = "timeout" if late else "answer-lost"
+        self.loads.for_service(ctx.service.name).load(name, 1).record_failure(moment)
         if not ctx.route.idempotent or late:
             detail = f"target {name} attempts {ctx.attempts}: {exc}"
-            raise Unanswered(ctx.lost, late, detail) from exc
+            raise Unanswered(ctx.lost_reason, late, detail) from exc
         # Some targets reset connections when they are full.
         self._owner_resolver.turned_away(ctx, name)
 
@@ -361,23 +365,23 @@
             # be asked again once this VM has learned of the move.
             self._owner_resolver.turned_away(ctx, name)
             return None
-        ctx.tried.add(name)
+        ctx.tried_targets.add(name)
         if answer.not_run:
             # The target is full. Without a delay its owner would be asked again within
             # a millisecond, and the retry budget would be spent on attempts that fail.
             # A target that rejects a request with a permit has free slots, and a delay
             # would only make the answer late.
-            if ctx.shed != 1:
+            if ctx.rejections != 1:
                 self._owner_resolver.turned_away(ctx, name)
             return None
         failed = answer.status >= SERVER_ERROR
         if failed and ctx.route.idempotent and self._can_retry(ctx):
-            ctx.failure = RoutedAnswer(answer, name, ctx.attempts)
+            ctx.failed_answer = RoutedAnswer(answer, name, ctx.attempts)
             return None
         return answer
 
     def _can_retry(self, ctx: RequestContext) -> bool:
-        has_time = ctx.left(now()) > ctx.route.objective / 2
+        has_time = ctx.seconds_left(now()) > ctx.route.objective / 2
         return has_time and ctx.attempts < ctx.route.attempts
 
     def _build_error(
@@ -387,15 +391,15 @@
         detail: str = "",
         expected_wait: float = 0.0,
     ) -> Refused | Unanswered:
-        detail = f"{detail} attempts {ctx.attempts} {ctx.trace()}".strip()
-        if ctx.lost:
-            return Unanswered(ctx.lost, False, detail)
+        detail = f"{detail} attempts {ctx.attempts} {ctx.describe()}".strip()
+        if ctx.lost_reason:
+            return Unanswered(ctx.lost_reason, False, detail)
         retry_after = self._rng.uniform(
             MIN_RETRY_AFTER_SECONDS, MAX_RETRY_AFTER_SECONDS
         )
-        if ctx.shed:
+        if ctx.rejections:
             # Slots are free, so a delay would not improve the next attempt.
-            retry_after = RETURN_AT_ONCE
+            retry_after = IMMEDIATE_RETRY_SECONDS
         if expected_wait:
             retry_after = max(
                 MIN_RETRY_AFTER_SECONDS, expected_wait
@@ -403,20 +407,20 @@
         return Refused(reason, retry_after, detail)
 
     def _choose_service(self, route: Route) -> str:
-        if len(route.shares) == 1:
-            return route.shares[0].service
-        weights = tuple((s.service, s.weight) for s in route.shares)
+        if len(route.weighted_services) == 1:
+            return route.weighted_services[0].service
+        weights = tuple((s.service, s.weight) for s in route.weighted_services)
         known = self._splits.get(route.name)
         if known is None or known[0] != weights:
             split = WeightedRoundRobin([w for _, w in weights], self._rng.random())
             known = self._splits[route.name] = (weights, split)
-        return route.shares[known[1].take()].service
+        return route.weighted_services[known[1].pick()].service
 
     def _retry_budget(self, service: str) -> RetryBudget:
         budget = self._retry_budgets.get(service)
         if budget is None:
-            share = self._bounds.retry_ratio * BUDGET_USE
-            reserve = self._bounds.retry_allowance / (2 * self.vms)
+            share = self._bounds.retry_ratio * RETRY_BUDGET_SHARE
+            reserve = self._bounds.retry_allowance / (2 * self.vm_count)
             budget = self._retry_budgets[service] = RetryBudget(
                 share, max(1.0, reserve)
             )
--- a/packages/entry/src/berylstage_entry/routes.py
+++ b/packages/entry/src/berylstage_entry/routes.py
@@ -35,7 +35,7 @@
         Host in lower case, without a port.
     prefix : str
         Path prefix that begins and ends with a slash.
-    shares : sequence of WeightedService
+    weighted_services : sequence of WeightedService
         Services among which the requests are split.
     idempotent : bool
         Whether a request may be executed more than once.
@@ -57,7 +57,7 @@
         "objective",
         "prefix",
         "priority",
-        "shares",
+        "weighted_services",
         "timeout",
     )
 
@@ -66,7 +66,7 @@
         name: str,
         host: str,
         prefix: str,
-        shares: Sequence[WeightedService],
+        weighted_services: Sequence[WeightedService],
         idempotent: bool,
         attempts: int,
         timeout: float,
@@ -76,7 +76,7 @@
         self.name = name
         self.host = host
         self.prefix = prefix
-        self.shares = tuple(shares)
+        self.weighted_services = tuple(weighted_services)
         self.idempotent = idempotent
         self.attempts = attempts
         self.timeout = timeout
--- a/packages/entry/src/berylstage_entry/server.py
+++ b/packages/entry/src/berylstage_entry/server.py
@@ -19,7 +19,7 @@
     UNAVAILABLE,
     Response,
 )
-from berylstage_entry.router import LEAST_TIME, RETURN_AT_ONCE
+from berylstage_entry.router import IMMEDIATE_RETRY_SECONDS, MIN_ATTEMPT_SECONDS
 from berylstage_entry.shutdown import PendingWork
 
 if TYPE_CHECKING:
@@ -79,7 +79,7 @@
         self.bytes_cut = 0
 
 
-def split_address(address: str) -> tuple[str, int]:
+def split_host_port(address: str) -> tuple[str, int]:
     """Return the host and the port of ``ip:port``."""
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
@@ -90,7 +90,7 @@
 
     Parameters
     ----------
-    wire : CallerProtocol
+    protocol : CallerProtocol
     router : Router
     request_log : RequestLog
     limits : callable
@@ -99,12 +99,12 @@
 
     def __init__(
         self,
-        wire: CallerProtocol,
+        protocol: CallerProtocol,
         router: Router,
         request_log: RequestLog,
         limits: Callable[[], Limits | None],
     ):
-        self.wire = wire
+        self.protocol = protocol
         self._router = router
         self._request_log = request_log
         self._limits = limits
@@ -127,7 +127,7 @@
 
     def listen(self, address: str) -> None:
         """Start to accept connections."""
-        self._socket = create_server(split_address(address), backlog=LISTEN_BACKLOG)
+        self._socket = create_server(split_host_port(address), backlog=LISTEN_BACKLOG)
         self._open_task = asyncio.create_task(self._open(self._socket))
 
     async def _open(self, sock: socket) -> None:
@@ -199,7 +199,7 @@
     def set_limits(self, limits: Limits) -> None:
         """Apply the configured idle timeout."""
         self.idle_timeout = (
-            max(limits.idle_time, limits.header_time) + IDLE_MARGIN_SECONDS
+            max(limits.idle_timeout, limits.header_timeout) + IDLE_MARGIN_SECONDS
         )
 
     def body_limit(self) -> int:
@@ -253,7 +253,9 @@
         """Log a request that cannot be served, and return its response."""
         self._request_log.log_malformed(str(exc) if exc else "unreadable request")
         if isinstance(exc, Refused):
-            return Response(UNAVAILABLE, self.wire.refusal_headers(exc.retry_after))
+            return Response(
+                UNAVAILABLE, self.protocol.retry_after_headers(exc.retry_after)
+            )
         return Response(exc.status if exc else BAD_REQUEST)
 
     async def handle_request(self, req: CallerRequest) -> Response:
@@ -269,7 +271,9 @@
             self._request_log.log_unanswered(
                 req, UNAVAILABLE, exc.reason, now() - began, exc.detail
             )
-            return Response(UNAVAILABLE, self.wire.refusal_headers(exc.retry_after))
+            return Response(
+                UNAVAILABLE, self.protocol.retry_after_headers(exc.retry_after)
+            )
         except Unanswered as exc:
             status = GATEWAY_TIMEOUT if exc.timed_out else BAD_GATEWAY
             self._request_log.log_unanswered(
@@ -297,8 +301,8 @@
         if self.shutdown_time_left is None:
             return
         left = self.shutdown_time_left()
-        if left < LEAST_TIME:
-            raise Refused("stopping", RETURN_AT_ONCE)
+        if left < MIN_ATTEMPT_SECONDS:
+            raise Refused("stopping", IMMEDIATE_RETRY_SECONDS)
         req.time_left = min(req.time_left, left + req.waited)
 
     async def close(self) -> None:
--- a/packages/entry/src/berylstage_entry/service_times.py
+++ b/packages/entry/src/berylstage_entry/service_times.py
@@ -18,23 +18,23 @@
         self._mean = INITIAL_SERVICE_SECONDS
         self._slowness: dict[str, float] = {}
 
-    def told(self, mean: float, slowness: dict[str, float]) -> None:
+    def observe(self, mean: float, service_time_ratio: dict[str, float]) -> None:
         """Add one VM's report.
 
         Parameters
         ----------
         mean : float
             Mean service time in seconds; 0 if unknown.
-        slowness : dict of str to float
+        service_time_ratio : dict of str to float
             Service time of each target over the typical one.
         """
         if mean:
             self._mean += SPEED_GAIN * (mean - self._mean)
-        for target, value in slowness.items():
+        for target, value in service_time_ratio.items():
             old = self._slowness.get(target, 1.0)
             self._slowness[target] = old + SPEED_GAIN * (value - old)
 
-    def seconds(self, target: str) -> float:
+    def expected_seconds(self, target: str) -> float:
         """Return the expected service time of a request at a target, in seconds.
 
         Parameters
--- a/packages/entry/src/berylstage_entry/services.py
+++ b/packages/entry/src/berylstage_entry/services.py
@@ -20,39 +20,39 @@
     name : str
     health_path : str
         Path of the health check.
-    connections : int
+    max_connections_per_target : int
         Connections that one target accepts from all VMs together.
-    warm_up : float
+    warm_up_seconds : float
         Seconds for which a target is cold after its start.
-    cold_rate : float
+    cold_requests_per_second : float
         Requests per second that a cold target can handle, from all VMs together.
     owns_keys : bool
         Whether each key is served only by the target that has its grant.
     """
 
     __slots__ = (
-        "cold_rate",
-        "connections",
+        "cold_requests_per_second",
+        "max_connections_per_target",
         "health_path",
         "name",
         "owns_keys",
-        "warm_up",
+        "warm_up_seconds",
     )
 
     def __init__(
         self,
         name: str,
         health_path: str,
-        connections: int,
-        warm_up: float,
-        cold_rate: float,
+        max_connections_per_target: int,
+        warm_up_seconds: float,
+        cold_requests_per_second: float,
         owns_keys: bool,
     ):
         self.name = name
         self.health_path = health_path
-        self.connections = connections
-        self.warm_up = warm_up
-        self.cold_rate = cold_rate
+        self.max_connections_per_target = max_connections_per_target
+        self.warm_up_seconds = warm_up_seconds
+        self.cold_requests_per_second = cold_requests_per_second
         self.owns_keys = owns_keys
 
 
@@ -63,20 +63,24 @@
     ----------
     header_bytes, body_bytes : int
         Largest size of a request's header and body.
-    header_time, idle_time : float
+    header_timeout, idle_timeout : float
         Seconds within which a header must arrive, and until an idle connection is
         closed.
     """
 
-    __slots__ = ("body_bytes", "header_bytes", "header_time", "idle_time")
+    __slots__ = ("body_bytes", "header_bytes", "header_timeout", "idle_timeout")
 
     def __init__(
-        self, header_bytes: int, body_bytes: int, header_time: float, idle_time: float
+        self,
+        header_bytes: int,
+        body_bytes: int,
+        header_timeout: float,
+        idle_timeout: float,
     ):
         self.header_bytes = header_bytes
         self.body_bytes = body_bytes
-        self.header_time = header_time
-        self.idle_time = idle_time
+        self.header_timeout = header_timeout
+        self.idle_timeout = idle_timeout
 
 
 class Configuration:
--- a/packages/entry/src/berylstage_entry/settings.py
+++ b/packages/entry/src/berylstage_entry/settings.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from berylstage_policy.candidates import power_of
+from berylstage_policy.candidates import compute_relative_capacity
 
 
 class Bounds:
@@ -21,14 +21,14 @@
         Further requests that a cold target may get in one second.
     stop_timeout : float
         Seconds from SIGTERM to the end of the process.
-    longest_hold : float
+    max_grant_seconds : float
         Longest duration, in seconds, of a grant that targets accept.
     """
 
     __slots__ = (
         "cold_overshoot",
         "cold_slack",
-        "longest_hold",
+        "max_grant_seconds",
         "retry_allowance",
         "retry_ratio",
         "stop_timeout",
@@ -41,16 +41,16 @@
         cold_overshoot: float,
         cold_slack: float,
         stop_timeout: float,
-        longest_hold: float,
+        max_grant_seconds: float,
     ):
         self.retry_ratio = retry_ratio
         self.retry_allowance = retry_allowance
         self.cold_overshoot = cold_overshoot
         self.cold_slack = cold_slack
         self.stop_timeout = stop_timeout
-        self.longest_hold = longest_hold
+        self.max_grant_seconds = max_grant_seconds
 
-    def cold_bound(self, rate: float) -> float:
+    def max_cold_requests(self, rate: float) -> float:
         """Return the most requests that a cold target may get in any one second."""
         return rate * self.cold_overshoot + self.cold_slack
 
@@ -66,30 +66,30 @@
         ``ip:port`` to listen on for callers.
     ready : str
         ``ip:port`` to listen on for readiness checks of the load balancer.
-    control : str
+    control_address : str
         ``ip:port`` to listen on for other VMs.
     metrics_port : int
     store : str
         ``ip:port`` of the store.
-    shortest_lease : float
+    min_store_lease_seconds : float
         Shortest TTL of a lease in the store, in seconds.
     bounds : Bounds
     cores : float
         Processor cores that the VM may use, in cores of the usual speed.
-    link : float
+    link_mbps : float
         Bandwidth of the VM's network link in Mbit/s.
     """
 
     __slots__ = (
         "bounds",
         "callers",
-        "control",
+        "control_address",
         "cores",
         "data_centre",
-        "link",
+        "link_mbps",
         "metrics_port",
         "ready",
-        "shortest_lease",
+        "min_store_lease_seconds",
         "store",
         "vm",
     )
@@ -100,27 +100,27 @@
         data_centre: str,
         callers: str,
         ready: str,
-        control: str,
+        control_address: str,
         metrics_port: int,
         store: str,
-        shortest_lease: float,
+        min_store_lease_seconds: float,
         bounds: Bounds,
         cores: float,
-        link: float,
+        link_mbps: float,
     ):
         self.vm = vm
         self.data_centre = data_centre
         self.callers = callers
         self.ready = ready
-        self.control = control
+        self.control_address = control_address
         self.metrics_port = metrics_port
         self.store = store
-        self.shortest_lease = shortest_lease
+        self.min_store_lease_seconds = min_store_lease_seconds
         self.bounds = bounds
         self.cores = cores
-        self.link = link
+        self.link_mbps = link_mbps
 
     @property
-    def power(self) -> float:
+    def relative_capacity(self) -> float:
         """Share of the coordinator's resource needs that the VM has, up to 1."""
-        return power_of(self.cores, self.link)
+        return compute_relative_capacity(self.cores, self.link_mbps)
--- a/packages/entry/src/berylstage_entry/sockets.py
+++ b/packages/entry/src/berylstage_entry/sockets.py
@@ -40,10 +40,10 @@
     ReceiveState
         ``END`` if the peer has closed or reset the connection.
     """
-    return unread_in(transport.get_extra_info("socket"))
+    return peek_socket(transport.get_extra_info("socket"))
 
 
-def unread_in(sock: TransportSocket | socket | None) -> ReceiveState:
+def peek_socket(sock: TransportSocket | socket | None) -> ReceiveState:
     """Peek at the receive queue of a socket, as :func:`peek_transport` does.
 
     Parameters
--- a/packages/entry/src/berylstage_entry/store.py
+++ b/packages/entry/src/berylstage_entry/store.py
@@ -130,11 +130,11 @@
         """
 
     @abstractmethod
-    async def take_lease(self, seconds: float) -> int:
+    async def create_lease(self, seconds: float) -> int:
         """Create a lease and return its identifier."""
 
     @abstractmethod
-    async def keep_lease(self, lease: int) -> None:
+    async def renew_lease(self, lease: int) -> None:
         """Renew a lease for its full term, from the arrival of the call.
 
         Raises
@@ -144,7 +144,7 @@
         """
 
     @abstractmethod
-    async def end_lease(self, lease: int) -> None:
+    async def revoke_lease(self, lease: int) -> None:
         """Revoke a lease and remove its keys."""
 
     def close(self) -> None:
--- a/packages/entry/src/berylstage_entry/store_delta.py
+++ b/packages/entry/src/berylstage_entry/store_delta.py
@@ -23,7 +23,7 @@
 # packets are pushed before the delta; each VM reads larger ones from the store.
 MAX_INLINE_VALUE_BYTES = 500
 # First byte of a datagram that contains a delta.
-FORMAT = 16
+MESSAGE_TYPE = 16
 
 
 class StoreDelta:
@@ -55,7 +55,7 @@
         "age",
         "contact",
         "items",
-        "large",
+        "large_items",
         "large_revisions",
         "revision",
     )
@@ -75,7 +75,7 @@
         self.large_revisions = large_revisions or {}
         self.age = age
         self.contact = contact
-        self.large: list[Item] = []
+        self.large_items: list[Item] = []
 
     def add(self, item: Item, is_sent_separately: bool = False) -> None:
         """Add a change.
@@ -91,7 +91,7 @@
             self.large_revisions[item.key] = item.revision
         elif item.value is not None and len(item.value) > MAX_INLINE_VALUE_BYTES:
             self.large_revisions[item.key] = item.revision
-            self.large.append(item)
+            self.large_items.append(item)
         else:
             self.items.append(item)
 
@@ -128,10 +128,10 @@
         delta = StoreDelta(
             after, self.revision, items, large_revisions, self.age, self.contact
         )
-        delta.large = self.large
+        delta.large_items = self.large_items
         return delta
 
-    def parts(self) -> list[StoreDelta]:
+    def split(self) -> list[StoreDelta]:
         """Return equivalent consecutive deltas that fit into one datagram each.
 
         Without the split, a delta too large for a datagram, such as after the start of
@@ -158,7 +158,7 @@
             self.after, until, items[:split_at], large_revisions, self.age, self.contact
         )
         second = self._with_changes(until, items[split_at:], later)
-        return [*first.parts(), *second.parts()]
+        return [*first.split(), *second.split()]
 
     def encode(self) -> bytes | None:
         """Return the datagram, or None if the delta is too large for one."""
@@ -166,7 +166,7 @@
         times = [round(self.age, 3), round(self.contact, 1)]
         doc = [self.after, self.revision, rows, self.large_revisions, *times]
         text = json.dumps(doc, separators=(",", ":")).encode()
-        data = bytes([FORMAT]) + zlib.compress(text)
+        data = bytes([MESSAGE_TYPE]) + zlib.compress(text)
         return data if len(data) <= MAX_DATAGRAM_BYTES else None
 
     @classmethod
--- a/packages/entry/src/berylstage_entry/store_watcher.py
+++ b/packages/entry/src/berylstage_entry/store_watcher.py
@@ -17,7 +17,11 @@
 from berylstage_entry.store import Item
 from berylstage_entry.store_connectivity import StoreConnectivity
 from berylstage_entry.store_delta import MAX_INLINE_VALUE_BYTES, StoreDelta
-from berylstage_entry.store_keys import DUTY_KEY, KEYS_PREFIX, OWN_PREFIX
+from berylstage_entry.store_keys import (
+    ASSIGNMENT_PREFIX,
+    COORDINATOR_KEY,
+    INTERNAL_PREFIX,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -73,13 +77,13 @@
     ----------
     store : Store
     reader : RecordReader
-    directory : ClusterView
+    cluster_view : ClusterView
     """
 
-    def __init__(self, store: Store, reader: RecordReader, directory: ClusterView):
+    def __init__(self, store: Store, reader: RecordReader, cluster_view: ClusterView):
         self._store = store
         self._reader = reader
-        self._directory = directory
+        self._cluster_view = cluster_view
         self._tasks: list[asyncio.Task] = []
         self._revision = 0
         self._connectivity = StoreConnectivity(now())
@@ -99,23 +103,23 @@
         # Recently published updates and their times, newest first.
         self._published: deque[tuple[float, StoreDelta]] = deque()
         # Whether this VM publishes what it reads to all others, and how.
-        self.is_teller: Callable[[], bool] = lambda: False
-        self.tell: Callable[[StoreDelta], None] = lambda delta: None
+        self.is_publisher: Callable[[], bool] = lambda: False
+        self.publish: Callable[[StoreDelta], None] = lambda delta: None
         # Number of VMs that watch the store, as far as is known.
-        self.vms = 1
+        self.vm_count = 1
         # Whether this VM must learn at once that there is no coordinator.
         self.is_standby: Callable[[], bool] = lambda: True
         # Whether this VM publishes within its data centre while nobody serves all.
-        self.is_deputy: Callable[[], bool] = lambda: False
+        self.is_local_publisher: Callable[[], bool] = lambda: False
         # Whether another VM is a better coordinator, should there be none.
-        self.leaves_duty: Callable[[], bool] = lambda: False
+        self.yields_coordination: Callable[[], bool] = lambda: False
         # Assignment of each service, and the revision of its key.
         self.assignments: dict[str, Assignment] = {}
-        self.revisions: dict[str, int] = {}
+        self.assignment_revisions: dict[str, int] = {}
         # Items that the VMs keep for themselves, by key.
-        self.own: dict[str, Item] = {}
+        self.internal_items: dict[str, Item] = {}
         self.listeners: list[Callable[[str], None]] = []
-        self.complete = False
+        self.has_synced = False
 
     def start(self) -> None:
         """Start watching the store."""
@@ -131,7 +135,7 @@
             task.cancel()
         self._large_values.stop()
 
-    def steady(self) -> float:
+    def contact_seconds(self) -> float:
         """Return the seconds of unbroken contact with the store up to now."""
         return self._connectivity.unbroken_seconds(now())
 
@@ -140,19 +144,19 @@
         """Store revision up to which this VM knows every change."""
         return self._revision
 
-    def retry_pause(self) -> float:
+    def retry_delay(self) -> float:
         """Return the seconds to wait before a failed call to the store is retried.
 
         The coordinator and its standbys must know at once when the store recovers. The
         other VMs learn it from the first of them. A single failed call is retried soon,
         since the cause may be a saturated link of this VM.
         """
-        if self.is_teller() or self.is_standby():
+        if self.is_publisher() or self.is_standby():
             return RETRY_SECONDS
         seconds = self._connectivity.outage_seconds(now())
-        return max(RETRY_SECONDS, min(seconds, self.vms / OUTAGE_CALLS_PER_SECOND))
+        return max(RETRY_SECONDS, min(seconds, self.vm_count / OUTAGE_CALLS_PER_SECOND))
 
-    async def contact(self) -> float:
+    async def probe_store(self) -> float:
         """Call the store and return the seconds of unbroken contact; 0 on failure."""
         if (
             self._connectivity.is_disconnected()
@@ -162,28 +166,28 @@
             return 0.0
         try:
             async with asyncio.timeout(PROBE_TIMEOUT_SECONDS):
-                await self._store.read(DUTY_KEY)
+                await self._store.read(COORDINATOR_KEY)
         except (StoreError, TimeoutError) as exc:
-            self.note_failure(exc)
+            self.record_failure(exc)
             return 0.0
-        return max(0.001, self.steady())
+        return max(0.001, self.contact_seconds())
 
     def in_outage(self) -> bool:
         """Return whether the store is, or has just been, unavailable."""
         return self._connectivity.in_outage(now())
 
-    def is_in_touch(self) -> bool:
+    def is_up_to_date(self) -> bool:
         """Return whether the store answers this VM and its view has no known gap.
 
         A coordinator with an outdated view would renew grants that have moved since.
         """
         return not self._needs_full_read and not self._connectivity.is_disconnected()
 
-    def hurry(self) -> None:
+    def request_refresh(self) -> None:
         """Request an early read, because this VM's view has proved outdated."""
         self._read_requested.set()
 
-    def take_news(self, delta: StoreDelta) -> bool:
+    def apply_delta(self, delta: StoreDelta) -> bool:
         """Apply a delta that another VM has published.
 
         Parameters
@@ -199,18 +203,18 @@
             # A delayed delta says nothing about the present state.
             return False
         self._connectivity.mark_peer_contact(now(), delta.contact)
-        if not self.complete:
+        if not self.has_synced:
             if self._connectivity.is_failing():
-                self.hurry()
+                self.request_refresh()
             return False
         if delta.after > self._revision:
-            self.hurry()
+            self.request_refresh()
             # A value that is read by itself arrives sooner than one among all records.
             self._large_values.fetch_newer(
                 {
                     k: at
                     for k, at in delta.large_revisions.items()
-                    if not k.startswith(OWN_PREFIX)
+                    if not k.startswith(INTERNAL_PREFIX)
                 }
             )
             return False
@@ -232,22 +236,22 @@
         try:
             changes = await self._store.read(key)
         except StoreError as exc:
-            self.note_failure(exc)
-            await asyncio.sleep(self.retry_pause())
+            self.record_failure(exc)
+            await asyncio.sleep(self.retry_delay())
             return False
         for item in changes.items:
             self._apply_item(item)
-        self.note_answer()
+        self.record_success()
         return True
 
     def _read_interval(self) -> float:
-        if self._directory.has_expired_records():
+        if self._cluster_view.has_expired_records():
             return EXPIRED_READ_INTERVAL_SECONDS
-        if self.is_teller():
+        if self.is_publisher():
             return PUBLISHER_READ_INTERVAL_SECONDS
         return (
             LOCAL_PUBLISHER_READ_INTERVAL_SECONDS
-            if self.is_deputy()
+            if self.is_local_publisher()
             else READ_INTERVAL_SECONDS
         )
 
@@ -280,12 +284,12 @@
                     await self._watch_all()
                 self._last_read_at = self._up_to_date_at = now()
                 self._min_retry_delay = RETRY_SECONDS
-                self.note_answer()
+                self.record_success()
                 await self._wait_for_next_read()
             except RevisionCompacted:
                 self._needs_full_read = True
             except StoreError as exc:
-                self.note_failure(exc)
+                self.record_failure(exc)
                 await self._wait_after_failure()
 
     async def _wait_after_failure(self) -> None:
@@ -295,7 +299,7 @@
         VM that is cut off from the store alone sees such deltas all the time, so its
         retry delay grows.
         """
-        max_delay = self.retry_pause()
+        max_delay = self.retry_delay()
         min_delay = min(max_delay, self._min_retry_delay)
         await asyncio.sleep(min_delay)
         try:
@@ -316,12 +320,13 @@
         timeout of the call, and each retry has more of them to read.
         """
         return (
-            not self.is_teller() and now() - self._up_to_date_at > FULL_READ_AGE_SECONDS
+            not self.is_publisher()
+            and now() - self._up_to_date_at > FULL_READ_AGE_SECONDS
         )
 
     def _remove_expired_targets(self) -> None:
         no_more_renewals = self._connectivity.has_peer_contact(now())
-        for name in self._directory.drop_expired(now(), no_more_renewals):
+        for name in self._cluster_view.drop_expired(now(), no_more_renewals):
             log.info(
                 "target removed: its expired record was not renewed",
                 extra={"target": name},
@@ -342,20 +347,22 @@
         self._known_keys = keys
         for item in changes.items:
             if item.revision > delta.after and self._is_relevant(item):
-                delta.add(item, item.key.startswith(KEYS_PREFIX))
+                delta.add(item, item.key.startswith(ASSIGNMENT_PREFIX))
             record = self._apply_item(item)
-            if item.key.startswith(OWN_PREFIX):
+            if item.key.startswith(INTERNAL_PREFIX):
                 own.add(item.key)
             if record is not None and record.target is not None:
                 names.add(record.target.name)
-            if record is not None and record.closed:
-                closed.add(record.closed)
-        missing = self._directory.drop_missing(names, closed, now(), self.in_outage())
-        for key in [key for key in self.own if key not in own]:
-            del self.own[key]
+            if record is not None and record.closed_data_centre:
+                closed.add(record.closed_data_centre)
+        missing = self._cluster_view.drop_missing(
+            names, closed, now(), self.in_outage()
+        )
+        for key in [key for key in self.internal_items if key not in own]:
+            del self.internal_items[key]
             self._notify_listeners(key)
         delta.revision = self._revision = changes.revision
-        self.complete = True
+        self.has_synced = True
         self._needs_full_read = False
         if not was_updated:
             self._publish(delta, started_at)
@@ -381,7 +388,7 @@
         for item in changes.items:
             # Older changes must not overwrite a delta that arrived during the watch.
             if item.revision > self._revision and self._is_relevant(item):
-                delta.add(item, item.key.startswith(KEYS_PREFIX))
+                delta.add(item, item.key.startswith(ASSIGNMENT_PREFIX))
             if item.revision > self._revision:
                 self._apply_item(item)
         delta.revision = self._revision = max(self._revision, changes.revision)
@@ -390,7 +397,7 @@
 
     def _is_publishing(self) -> bool:
         """Return whether this VM publishes what it reads."""
-        return self.is_teller() or self.is_deputy()
+        return self.is_publisher() or self.is_local_publisher()
 
     def _publish(self, delta: StoreDelta, started_at: float) -> None:
         """Publish what was read, together with what was published just before.
@@ -409,13 +416,13 @@
         if self._published and self._published[0][1].revision != delta.after:
             self._published.clear()
         delta.age = moment - started_at
-        delta.contact = self.steady()
-        self.tell(delta.with_earlier(earlier for _, earlier in self._published))
+        delta.contact = self.contact_seconds()
+        self.publish(delta.with_earlier(earlier for _, earlier in self._published))
         self._published.appendleft((moment, delta))
 
     def _is_relevant(self, item: Item) -> bool:
         """Return whether a change matters to VMs that know every earlier one."""
-        if item.value is None or item.key.startswith(OWN_PREFIX):
+        if item.value is None or item.key.startswith(INTERNAL_PREFIX):
             return True
         try:
             record = self._reader.read(item)
@@ -424,7 +431,7 @@
             return False
         if record is None or record.target is None:
             return record is not None
-        known = self._directory.known.get(record.target.name)
+        known = self._cluster_view.known.get(record.target.name)
         return known is None or known.differs(record.target, now())
 
     def _apply_item(self, item: Item):
@@ -434,8 +441,8 @@
             self._known_keys.add(item.key)
         if item.value is not None and len(item.value) > MAX_INLINE_VALUE_BYTES:
             self._large_values.note_revision(item.key, item.revision)
-        if item.key.startswith(OWN_PREFIX):
-            self.take_own(item)
+        if item.key.startswith(INTERNAL_PREFIX):
+            self.apply_internal_item(item)
             return None
         try:
             record = self._reader.read(item)
@@ -450,8 +457,12 @@
         if record is None:
             return None
         in_outage = self.in_outage()
-        what = self._directory.apply(record, now(), in_outage)
-        if record.gone and in_outage and record.gone in self._directory.known:
+        what = self._cluster_view.apply(record, now(), in_outage)
+        if (
+            record.removed_target
+            and in_outage
+            and record.removed_target in self._cluster_view.known
+        ):
             log.info(
                 "record removed during a store outage; target kept until it expires",
                 extra={"key": item.key},
@@ -467,25 +478,25 @@
         self._change_log.changed(what, item, self._configuration_version(), now())
 
     def _configuration_version(self) -> int | None:
-        cfg = self._directory.configuration
+        cfg = self._cluster_view.configuration
         return cfg.version if cfg else None
 
-    def take_own(self, item: Item) -> None:
+    def apply_internal_item(self, item: Item) -> None:
         """Apply an item that the VMs keep for themselves, unless it is outdated."""
         if not self._is_newer(item.key, item.revision):
             return
-        self.own[item.key] = item
-        if item.key.startswith(KEYS_PREFIX) and item.value is not None:
-            service = item.key.removeprefix(KEYS_PREFIX)
+        self.internal_items[item.key] = item
+        if item.key.startswith(ASSIGNMENT_PREFIX) and item.value is not None:
+            service = item.key.removeprefix(ASSIGNMENT_PREFIX)
             self.assignments[service] = Assignment.decode(item.value)
-            self.revisions[service] = item.revision
+            self.assignment_revisions[service] = item.revision
         self._notify_listeners(item.key)
 
     def _is_newer(self, key: str, revision: int) -> bool:
-        known = self.own.get(key)
+        known = self.internal_items.get(key)
         return known is None or known.revision < revision
 
-    def take_assignment(
+    def apply_assignment(
         self, service: str, assignment: Assignment, revision: int
     ) -> None:
         """Apply an assignment that this VM has written, or computed from a delta.
@@ -497,23 +508,23 @@
         revision : int
             Revision of the assignment's key in the store.
         """
-        key = KEYS_PREFIX + service
+        key = ASSIGNMENT_PREFIX + service
         if not self._is_newer(key, revision):
             return
         self._known_keys.add(key)
         # Deltas list it by revision only. It need not be read, whatever its size.
         self._large_values.note_revision(key, revision)
         # The encoded value is not kept, since the decoded assignment is.
-        self.own[key] = Item(key, b"", revision)
+        self.internal_items[key] = Item(key, b"", revision)
         self.assignments[service] = assignment
-        self.revisions[service] = revision
+        self.assignment_revisions[service] = revision
         self._notify_listeners(key)
 
-    def take_written(self, item: Item) -> None:
+    def apply_written_item(self, item: Item) -> None:
         """Apply an item that this VM has just written."""
         self._apply_item(item)
 
-    def take_told(self, item: Item) -> bool:
+    def apply_pushed_item(self, item: Item) -> bool:
         """Apply a value that another VM pushes ahead of its delta.
 
         Parameters
@@ -527,13 +538,15 @@
         bool
             False if the item is neither, and was ignored.
         """
-        if not item.key.startswith(KEYS_PREFIX) and not self._is_configuration(item):
+        if not item.key.startswith(ASSIGNMENT_PREFIX) and not self._is_configuration(
+            item
+        ):
             return False
         self._apply_item(item)
         return True
 
     def _is_configuration(self, item: Item) -> bool:
-        if item.key.startswith(OWN_PREFIX):
+        if item.key.startswith(INTERNAL_PREFIX):
             return False
         try:
             record = self._reader.read(item)
@@ -546,7 +559,7 @@
         for listener in self.listeners:
             listener(what)
 
-    def note_answer(self) -> None:
+    def record_success(self) -> None:
         """Record that the store has answered a call of this VM."""
         moment = now()
         if self._connectivity.is_failing():
@@ -555,7 +568,7 @@
             self._restart_expiry_grace(moment)
         self._connectivity.mark_success(moment)
 
-    def note_failure(self, exc: Exception) -> None:
+    def record_failure(self, exc: Exception) -> None:
         """Record that the store has not answered a call of this VM."""
         moment = now()
         if not self._connectivity.is_disconnected():
@@ -566,4 +579,4 @@
     def _restart_expiry_grace(self, moment: float) -> None:
         """Restart the grace period of expired records during an outage."""
         if self._connectivity.in_outage(moment):
-            self._directory.restart_expiry_grace(moment)
+            self._cluster_view.restart_expiry_grace(moment)
--- a/packages/entry/src/berylstage_entry/target_clients.py
+++ b/packages/entry/src/berylstage_entry/target_clients.py
@@ -31,20 +31,20 @@
     Parameters
     ----------
     target : Target
-    wire : TargetProtocol
+    protocol : TargetProtocol
     connections : int
         Maximum number of connections of this VM to the target.
     rest : Rest
         Learned idle limit of the connections to all targets of the service.
     """
 
-    __slots__ = ("_client", "_is_retired", "_in_flight", "_wire", "target")
+    __slots__ = ("_client", "_is_retired", "_in_flight", "_protocol", "target")
 
     def __init__(
-        self, target: Target, wire: TargetProtocol, connections: int, rest: Rest
+        self, target: Target, protocol: TargetProtocol, connections: int, rest: Rest
     ):
         self.target = target
-        self._wire = wire
+        self._protocol = protocol
         self._client = CallClient(connections, max_idle=MAX_IDLE_SECONDS, rest=rest)
         self._in_flight = 0
         self._is_retired = False
@@ -66,7 +66,7 @@
         ------
         NeverSent, AnswerLost
         """
-        headers = self._wire.request_headers(req, self.target, seconds)
+        headers = self._protocol.request_headers(req, self.target, seconds)
         body = req.body if req.body or req.method not in ("GET", "HEAD") else None
         call = Call(
             req.method,
@@ -76,16 +76,16 @@
             seconds,
             echo=req.request_id,
             fresh=fresh,
-            echo_name=self._wire.echo_header,
+            echo_name=self._protocol.request_id_header,
             unframed=True,
         )
         self._in_flight += 1
         try:
-            answer = self._wire.answer(await self._client.call(call))
+            answer = self._protocol.parse_answer(await self._client.call(call))
         finally:
             self._in_flight -= 1
             self._close_if_done()
-        if not answer.genuine and not answer.not_run and not answer.misdirected:
+        if not answer.is_from_target and not answer.not_run and not answer.misdirected:
             raise AnswerLost(
                 f"{self.target.name} sent status {answer.status} without the headers "
                 "of a target; check the target's log"
@@ -122,19 +122,19 @@
 
     Parameters
     ----------
-    wire : TargetProtocol
+    protocol : TargetProtocol
     """
 
-    __slots__ = ("_idle_limits", "_retired", "_clients", "_wire", "vms")
+    __slots__ = ("_idle_limits", "_retired", "_clients", "_protocol", "vm_count")
 
-    def __init__(self, wire: TargetProtocol):
-        self._wire = wire
+    def __init__(self, protocol: TargetProtocol):
+        self._protocol = protocol
         self._clients: dict[str, TargetClient] = {}
         self._idle_limits: dict[str, Rest] = {}
         # Clients of removed targets with requests in flight.
         self._retired: list[TargetClient] = []
         # Number of VMs that share a target's connections.
-        self.vms = 10
+        self.vm_count = 10
 
     def get(self, target: Target, connections: int) -> TargetClient:
         """Return the client of a target.
@@ -148,12 +148,15 @@
         client = self._clients.get(target.name)
         if client is not None:
             known = client.target
-            if known.life == target.life and known.address == target.address:
+            if (
+                known.incarnation == target.incarnation
+                and known.address == target.address
+            ):
                 return client
             self._retire(client)
         rest = self._idle_limits.setdefault(target.service, Rest())
         client = TargetClient(
-            target, self._wire, self.connection_share(connections), rest
+            target, self._protocol, self.connection_share(connections), rest
         )
         self._clients[target.name] = client
         return client
@@ -166,7 +169,7 @@
         connections : int
             Number of connections that the target accepts from all VMs.
         """
-        connection_share = int(connections * CONNECTION_SHARE / self.vms)
+        connection_share = int(connections * CONNECTION_SHARE / self.vm_count)
         return max(MIN_CONNECTIONS, connection_share)
 
     def retain(self, names: set[str]) -> None:
--- a/packages/entry/src/berylstage_entry/target_loads.py
+++ b/packages/entry/src/berylstage_entry/target_loads.py
@@ -27,12 +27,12 @@
 
     Parameters
     ----------
-    directory : ClusterView
+    cluster_view : ClusterView
     rng : Random
     """
 
-    def __init__(self, directory: ClusterView, rng: Random):
-        self._directory = directory
+    def __init__(self, cluster_view: ClusterView, rng: Random):
+        self._cluster_view = cluster_view
         self._rng = rng
         self._by_service: dict[str, ServiceLoads] = {}
         self._seen_revision = -1
@@ -43,9 +43,9 @@
 
     def for_service(self, service: str) -> ServiceLoads:
         """Return the loads of a service's targets."""
-        if self._seen_revision != self._directory.revision:
-            self._seen_revision = self._directory.revision
-            names = set(self._directory.known)
+        if self._seen_revision != self._cluster_view.revision:
+            self._seen_revision = self._cluster_view.revision
+            names = set(self._cluster_view.known)
             for loads in self._by_service.values():
                 loads.retain(names)
         found = self._by_service.get(service)
@@ -91,16 +91,16 @@
         """
         loads = self.for_service(target.service)
         load = loads.load(target.name, target.slots)
-        load.told(active, report.slots, report.pace, now())
-        loads.told(load)
+        load.record_report(active, report.slots, report.machine_slowdown, now())
+        loads.record_report(load)
 
     def record_probe_failure(self, target: Target) -> None:
         """Record that a target did not answer a load probe."""
         loads = self.for_service(target.service)
-        loads.load(target.name, target.slots).failed(now())
+        loads.load(target.name, target.slots).record_failure(now())
 
     def apply_remote_report(
-        self, name: str, active: int, pace: float, at: float
+        self, name: str, active: int, machine_slowdown: float, at: float
     ) -> None:
         """Apply a target's load that another VM received.
 
@@ -109,19 +109,19 @@
         name : str
         active : int
             Requests running or queued at the target.
-        pace : float
+        machine_slowdown : float
         at : float
             Monotonic time of the report; ignored if older than the known report.
         """
-        known = self._directory.known.get(name)
+        known = self._cluster_view.known.get(name)
         loads = self._by_service.get(known.target.service) if known else None
         if known is None or loads is None:
             return
         load = loads.load(name, known.target.slots)
         if at <= load.reported:
             return
-        load.told(active, known.target.slots, pace, at)
-        loads.told(load)
+        load.record_report(active, known.target.slots, machine_slowdown, at)
+        loads.record_report(load)
 
     def answer_size(self, kind: str) -> float:
         """Return the mean size in bytes of the answers to a request kind.
@@ -141,7 +141,7 @@
         name : str
         failed : bool
         """
-        known = self._directory.known.get(name)
+        known = self._cluster_view.known.get(name)
         if known is None:
             return
         loads = self.for_service(known.target.service)
@@ -160,14 +160,14 @@
         names : list of str
             Targets of the service.
         """
-        loads, known = self.for_service(service), self._directory.known
+        loads, known = self.for_service(service), self._cluster_view.known
         return [
             name
             for name in names
             if loads.load(name, known[name].target.slots).ejected_until <= now()
         ]
 
-    def seen(self, service: str) -> ServiceLoads | None:
+    def find(self, service: str) -> ServiceLoads | None:
         """Return the loads of a service, or None before its first request."""
         return self._by_service.get(service)
 
@@ -206,18 +206,18 @@
         loads = self.for_service(service)
         load = loads.load(target, 1)
         moment = now()
-        known = self._directory.known.get(target)
+        known = self._cluster_view.known.get(target)
         report = build_load_report(answer)
         if answer.load is not None and report is not None and known is not None:
             self.apply_report(known.target, report.running, answer.load)
         if is_failure(answer):
-            load.failed(moment)
+            load.record_failure(moment)
             return
-        load.worked(moment)
+        load.record_success(moment)
         size = self._answer_sizes.get(kind, float(len(answer.body)))
         self._answer_sizes[kind] = size + ANSWER_SIZE_GAIN * (len(answer.body) - size)
         if answer.load is None or not answer.load.waiting:
-            loads.answered(target, kind, seconds / load.pace)
+            loads.record_service_time(target, kind, seconds / load.machine_slowdown)
 
 
 def is_failure(answer: TargetAnswer) -> bool:
@@ -232,4 +232,4 @@
         return None
     # The target counts the answered request as still running.
     active = max(0, report.running + report.waiting - 1)
-    return LoadReport(active, 0, report.slots, report.pace)
+    return LoadReport(active, 0, report.slots, report.machine_slowdown)
--- a/packages/entry/src/berylstage_entry/targets.py
+++ b/packages/entry/src/berylstage_entry/targets.py
@@ -10,7 +10,7 @@
     ----------
     name : str
         Identity by which requests address it. A restarted target may keep its name.
-    life : int
+    incarnation : int
         Start time, which distinguishes the incarnations of one name.
     service : str
     address : str
@@ -19,18 +19,18 @@
     data_centre : str
     slots : int
         Number of requests that it processes concurrently.
-    leaving : bool
+    is_draining : bool
         Whether it has reported that it will shut down.
-    cold_left : float
+    cold_seconds_left : float
         Seconds for which it will stay cold, as of its last report.
     """
 
     __slots__ = (
         "address",
-        "cold_left",
+        "cold_seconds_left",
         "data_centre",
-        "leaving",
-        "life",
+        "is_draining",
+        "incarnation",
         "name",
         "service",
         "slots",
@@ -39,27 +39,27 @@
     def __init__(
         self,
         name: str,
-        life: int,
+        incarnation: int,
         service: str,
         address: str,
         data_centre: str,
         slots: int,
-        leaving: bool,
-        cold_left: float,
+        is_draining: bool,
+        cold_seconds_left: float,
     ):
         self.name = name
-        self.life = life
+        self.incarnation = incarnation
         self.service = service
         self.address = address
         self.data_centre = data_centre
         self.slots = slots
-        self.leaving = leaving
-        self.cold_left = cold_left
+        self.is_draining = is_draining
+        self.cold_seconds_left = cold_seconds_left
 
     @property
     def identity(self) -> tuple[str, int]:
         """Name and incarnation."""
-        return self.name, self.life
+        return self.name, self.incarnation
 
 
 class LoadReport:
@@ -69,14 +69,14 @@
     ----------
     running, waiting, slots : int
         Numbers of running requests, waiting requests and concurrent slots.
-    pace : float
+    machine_slowdown : float
         Present duration of work on its machine over the usual duration.
     """
 
-    __slots__ = ("pace", "running", "slots", "waiting")
+    __slots__ = ("machine_slowdown", "running", "slots", "waiting")
 
-    def __init__(self, running: int, waiting: int, slots: int, pace: float):
+    def __init__(self, running: int, waiting: int, slots: int, machine_slowdown: float):
         self.running = running
         self.waiting = waiting
         self.slots = slots
-        self.pace = pace
+        self.machine_slowdown = machine_slowdown
--- a/packages/entry/tests/cluster_simulation.py
+++ b/packages/entry/tests/cluster_simulation.py
@@ -8,11 +8,14 @@
 
 from berylstage_entry.clock import now
 from berylstage_entry.cluster_view import ClusterView
-from berylstage_entry.coordinator_election import CONTACT_PATH, CoordinatorElection
+from berylstage_entry.coordinator_election import (
+    STORE_CONTACT_PATH,
+    CoordinatorElection,
+)
 from berylstage_entry.grant_controller import GrantController
 from berylstage_entry.store_watcher import StoreWatcher
 from berylstage_policy.candidates import Candidate
-from berylstage_policy.standby import stands_by
+from berylstage_policy.standby import is_standby
 from fakes import (
     FencedTargets,
     JsonRecords,
@@ -45,11 +48,15 @@
         vm = self._cluster.vms.get(address)
         if vm is None:
             return None
-        if path == CONTACT_PATH:
-            return str(await vm.feed.contact()).encode()
-        return vm.granting.handed_on() if vm.office.may_hand_on(body) else None
+        if path == STORE_CONTACT_PATH:
+            return str(await vm.store_watcher.probe_store()).encode()
+        return (
+            vm.grant_controller.export_state()
+            if vm.election.may_export_state(body)
+            else None
+        )
 
-    async def ask_all(self, path):
+    async def call_all(self, path):
         return [await self.ask(address, path) for address in self.others()]
 
 
@@ -58,36 +65,36 @@
 
     def __init__(self, name, cluster):
         self.view = StoreView(cluster.store)
-        directory = ClusterView()
-        self.feed = StoreWatcher(
-            self.view, JsonRecords({1: configuration()}), directory
+        cluster_view = ClusterView()
+        self.store_watcher = StoreWatcher(
+            self.view, JsonRecords({1: configuration()}), cluster_view
         )
         cfg = settings(name, 1)
         # The address at which other VMs call it.
-        cfg.control = name
+        cfg.control_address = name
         peers = _FakePeers(cluster, name)
-        self.office = CoordinatorElection(
-            cfg, self.view, self.feed, peers, Random(name)
+        self.election = CoordinatorElection(
+            cfg, self.view, self.store_watcher, peers, Random(name)
         )
-        self.granting = GrantController(
-            self.view, self.feed, directory, self.office, cluster.wire
+        self.grant_controller = GrantController(
+            self.view, self.store_watcher, cluster_view, self.election, cluster.protocol
         )
-        self.office.inherit = self.granting.inherit
-        self.feed.is_teller = self.office.holds
-        self.feed.is_standby = lambda: self._stands_by(cluster, name)
-        self.feed.start()
-        self.office.start()
-        self.granting.start()
+        self.election.import_state = self.grant_controller.import_state
+        self.store_watcher.is_publisher = self.election.is_coordinator
+        self.store_watcher.is_standby = lambda: self._stands_by(cluster, name)
+        self.store_watcher.start()
+        self.election.start()
+        self.grant_controller.start()
 
     def _stands_by(self, cluster, name):
-        holder = self.office.holder_address()
+        holder = self.election.coordinator_address()
         others = [Candidate(vm, 1.0) for vm in cluster.vms if vm != holder]
-        return stands_by(name, others)
+        return is_standby(name, others)
 
     def kill(self):
-        self.feed.stop()
-        self.granting.stop()
-        self.office._task.cancel()
+        self.store_watcher.stop()
+        self.grant_controller.stop()
+        self.election._task.cancel()
 
 
 class ClusterSimulation:
@@ -101,8 +108,8 @@
     def __init__(self, loop):
         self._loop = loop
         self.store = MemoryStore()
-        self.wire = FencedTargets()
-        self.wire.delay = 0.02
+        self.protocol = FencedTargets()
+        self.protocol.delay = 0.02
         self.incarnations = dict.fromkeys(TARGETS, 1)
         self.records: dict[str, dict] = {}
         self.vms: dict[str, SimulatedVm] = {}
@@ -124,7 +131,7 @@
             end = now() + seconds
             while now() < end:
                 await asyncio.sleep(min(0.5, end - now()))
-                if not self.store.away:
+                if not self.store.is_unreachable:
                     for name, fields in self.records.items():
                         self._write(name, fields)
 
@@ -145,25 +152,25 @@
 
     def is_served(self, key):
         """Tell whether a live target holds a key and VMs send its requests there."""
-        holders = [n for n in self.wire.holder(key) if n not in self.failed_targets]
+        holders = [n for n in self.protocol.holder(key) if n not in self.failed_targets]
         ranges = [
-            vm.feed.assignments["s"].find(key)
+            vm.store_watcher.assignments["s"].find(key)
             for vm in self.vms.values()
-            if "s" in vm.feed.assignments
+            if "s" in vm.store_watcher.assignments
         ]
         if not ranges:
             return bool(holders)
         newest = max(ranges, key=lambda r: r.fence)
-        return newest.owner in holders and not newest.former
+        return newest.owner in holders and not newest.previous_owner
 
     def fail_target(self, name):
         """Have a target fail silently; its record is removed three reports later."""
         self.failed_targets.add(name)
-        self.wire.silent.add(name)
+        self.protocol.silent.add(name)
 
     def write_record(self, name, **fields):
         """Set fields of a target's record."""
-        self.records[name] = fields | {"life": self.incarnations[name]}
+        self.records[name] = fields | {"incarnation": self.incarnations[name]}
         self._write(name, self.records[name])
 
     def _write(self, name, fields):
@@ -192,17 +199,17 @@
         """Stop a running VM gracefully."""
         vm = self.vms.get(name)
         if vm is not None:
-            self._loop.run_until_complete(vm.office.resign())
+            self._loop.run_until_complete(vm.election.resign())
             self.kill(name)
 
     def stop_process(self, name):
         """End a target's process: it holds no keys, and its port is closed."""
-        self.wire.process_ends(name)
+        self.protocol.end_process(name)
 
     def restart_target(self, name):
         """Restart a target under its name, without any state."""
         self.stop_process(name)
-        self.wire.down.discard(name)
+        self.protocol.down.discard(name)
         self.incarnations[name] += 1
         if name in self.records:
             self.write_record(name)
@@ -211,28 +218,28 @@
         """Report requests for adjacent hot keys to all VMs."""
         for vm in self.vms.values():
             counts = dict.fromkeys(range(first, first + 20 * count, 20), 30)
-            vm.granting.counted("s", counts)
+            vm.grant_controller.add_key_counts("s", counts)
 
     def clear_faults(self):
         """Remove all injected faults."""
-        self.store.away = False
+        self.store.is_unreachable = False
         self.store.late_writes = 0.0
-        self.wire.silent.clear()
-        self.wire.unreachable.clear()
-        self.wire.down.clear()
-        self.wire.late.clear()
-        self.wire.release_delay = 0.0
+        self.protocol.silent.clear()
+        self.protocol.unreachable.clear()
+        self.protocol.down.clear()
+        self.protocol.late.clear()
+        self.protocol.release_delay = 0.0
         for name in VMS:
             self.start(name)
-            self.vms[name].view.away = False
-        if not any(not r.get("leaving") for r in self.records.values()):
+            self.vms[name].view.is_unreachable = False
+        if not any(not r.get("is_draining") for r in self.records.values()):
             self.write_record("a")
         self.run(RECOVERY_SECONDS)
 
     def violations(self):
         """Return violations: keys with two holders, and fences that do not increase."""
-        return [*self.wire.doubly_held(), *self.wire.low_fences]
+        return [*self.protocol.overlapping_grants(), *self.protocol.stale_grants]
 
     def keys_without_holder(self):
         """Return the checked keys that do not have exactly one holder."""
-        return [key for key in SAMPLED_KEYS if len(self.wire.holder(key)) != 1]
+        return [key for key in SAMPLED_KEYS if len(self.protocol.holder(key)) != 1]
--- a/packages/entry/tests/fakes.py
+++ b/packages/entry/tests/fakes.py
@@ -42,16 +42,16 @@
     )
 
 
-def target(name: str, life: int = 1, **changes) -> Target:
+def target(name: str, incarnation: int = 1, **changes) -> Target:
     fields = {
         "service": "s",
         "address": f"127.0.0.1:{1 + sum(name.encode())}",
         "data_centre": "dc-1",
         "slots": 2,
-        "leaving": False,
-        "cold_left": 0.0,
+        "is_draining": False,
+        "cold_seconds_left": 0.0,
     } | changes
-    return Target(name, life, **fields)
+    return Target(name, incarnation, **fields)
 
 
 class MemoryStore(Store):
@@ -61,7 +61,7 @@
         self.items: dict[str, Item] = {}
         self.log: list[Item] = []
         self.revision = 1
-        self.away = False
+        self.is_unreachable = False
         # Revision up to which the history is compacted.
         self.compacted = 0
         # Delay in seconds of writes that are applied although their answers are lost; 0
@@ -75,7 +75,7 @@
         self._changed = asyncio.Condition()
 
     def _check_available(self):
-        if self.away:
+        if self.is_unreachable:
             raise StoreUnavailable("store unavailable")
         for lease, end in list(self.leases.items()):
             if now() > end:
@@ -154,20 +154,20 @@
             item.revision = self.revision
         return self.revision
 
-    async def take_lease(self, seconds):
+    async def create_lease(self, seconds):
         self._check_available()
         lease = self.revision * 1000 + len(self.leases) + 1
         self.leases[lease] = now() + seconds
         self.lease_seconds[lease] = seconds
         return lease
 
-    async def keep_lease(self, lease):
+    async def renew_lease(self, lease):
         self._check_available()
         if lease not in self.leases:
             raise LeaseExpired(str(lease))
         self.leases[lease] = now() + self.lease_seconds[lease]
 
-    async def end_lease(self, lease):
+    async def revoke_lease(self, lease):
         self._check_available()
         self._drop_lease(lease)
 
@@ -177,10 +177,10 @@
 
     def __init__(self, store):
         self._store = store
-        self.away = False
+        self.is_unreachable = False
 
     def _check_connection(self):
-        if self.away:
+        if self.is_unreachable:
             raise StoreUnavailable("store unavailable")
 
     async def read(self, prefix):
@@ -195,17 +195,17 @@
         self._check_connection()
         return await self._store.write(conditions, writes, removals)
 
-    async def take_lease(self, seconds):
+    async def create_lease(self, seconds):
         self._check_connection()
-        return await self._store.take_lease(seconds)
+        return await self._store.create_lease(seconds)
 
-    async def keep_lease(self, lease):
+    async def renew_lease(self, lease):
         self._check_connection()
-        await self._store.keep_lease(lease)
+        await self._store.renew_lease(lease)
 
-    async def end_lease(self, lease):
+    async def revoke_lease(self, lease):
         self._check_connection()
-        await self._store.end_lease(lease)
+        await self._store.revoke_lease(lease)
 
 
 class LateAnswers(StoreView):
@@ -229,7 +229,7 @@
         if not item.key.startswith("t/"):
             return None
         if item.value is None:
-            return Record(gone=item.key[2:])
+            return Record(removed_target=item.key[2:])
         return Record(target=target(item.key[2:], **json.loads(item.value)))
 
 
@@ -271,7 +271,7 @@
         self.ended: set[str] = set()
         self.late: dict[str, float] = {}
         # Grants whose fence is not above all fences that other targets have seen.
-        self.low_fences: list[tuple] = []
+        self.stale_grants: list[tuple] = []
         # Requested grants, in order: target, first key and fence.
         self.ordered: list[tuple[str, int, int]] = []
         # Probed targets, in order, and the load that each target reports.
@@ -281,10 +281,10 @@
     def request_headers(self, req, target, seconds):
         return {}
 
-    def answer(self, answer):
+    def parse_answer(self, answer):
         raise NotImplementedError
 
-    def process_ends(self, name):
+    def end_process(self, name):
         """End a target's process, with its grants and the calls in flight to it."""
         self._take(name, 0, LAST_KEY)
         self.fences.pop(name, None)
@@ -337,7 +337,7 @@
         overlapping = [f for a, b, f in seen if a <= order.last and b >= order.first]
         if overlapping and max(overlapping) > order.fence:
             return False
-        self.low_fences += [
+        self.stale_grants += [
             (name, order.fence, other, fence)
             for other, fences in self.fences.items()
             for first, last, fence in fences
@@ -349,7 +349,7 @@
         seen.append((order.first, order.last, order.fence))
         self._take(name, order.first, order.last)
         active = Grant(
-            order.first, order.last, order.fence, now(), arrived + order.hold
+            order.first, order.last, order.fence, now(), arrived + order.seconds
         )
         self.holds.setdefault(name, []).append(active)
         return True
@@ -399,7 +399,7 @@
             raise AnswerLost("target does not answer")
         return self.reports.get(target.name)
 
-    def doubly_held(self):
+    def overlapping_grants(self):
         """Return pairs of grants of the same keys to two targets at the same time."""
         grants = self.past + [(n, h) for n, hs in self.holds.items() for h in hs]
         return [
--- a/packages/entry/tests/fleet.py
+++ b/packages/entry/tests/fleet.py
@@ -8,7 +8,7 @@
 from berylstage_entry.clock import now
 from berylstage_entry.cluster_view import ClusterView
 from berylstage_entry.store_delta import StoreDelta
-from berylstage_entry.store_keys import DUTY_KEY
+from berylstage_entry.store_keys import COORDINATOR_KEY
 from berylstage_entry.store_watcher import StoreWatcher
 from fakes import JsonRecords, MemoryStore, StoreView, configuration
 
@@ -40,7 +40,7 @@
         self.store = MemoryStore()
         self.calls = []
         self.store.put("cfg", b"1")
-        self.store.put(DUTY_KEY, b'{"control": "vm-0:1"}')
+        self.store.put(COORDINATOR_KEY, b'{"control": "vm-0:1"}')
         # VMs that neither reach the store nor receive updates.
         self.partitioned = set()
         self.reports = {}
@@ -48,36 +48,36 @@
         records = JsonRecords({1: configuration(1), 2: configuration(2)})
         for n in range(vms):
             view = CountingView(self.store, self.calls)
-            feed = StoreWatcher(view, records, ClusterView())
-            feed.vms = vms
-            feed.is_teller = lambda n=n: n == 0
-            feed.is_standby = lambda n=n: n < 3
-            feed.tell = self.tell
+            store_watcher = StoreWatcher(view, records, ClusterView())
+            store_watcher.vm_count = vms
+            store_watcher.is_publisher = lambda n=n: n == 0
+            store_watcher.is_standby = lambda n=n: n < 3
+            store_watcher.publish = self.tell
             self.views.append(view)
-            self.feeds.append(feed)
+            self.feeds.append(store_watcher)
 
     def tell(self, delta):
-        for n, feed in enumerate(self.feeds):
+        for n, store_watcher in enumerate(self.feeds):
             if n and n not in self.partitioned:
-                for part in delta.parts():
-                    feed.take_news(StoreDelta.decode(part.encode()))
+                for part in delta.split():
+                    store_watcher.apply_delta(StoreDelta.decode(part.encode()))
 
     def cut_off(self, indexes, gets_updates=False):
         """Cut VMs off from the store, and by default from the publisher as well."""
         for n in indexes:
-            self.views[n].away = True
+            self.views[n].is_unreachable = True
         if not gets_updates:
             self.partitioned |= set(indexes)
 
     def heal(self):
         self.partitioned.clear()
         for view in self.views:
-            view.away = False
+            view.is_unreachable = False
 
     def start(self):
         async def start():
-            for feed in self.feeds:
-                feed.start()
+            for store_watcher in self.feeds:
+                store_watcher.start()
             await asyncio.sleep(5.0)
 
         self.loop.run_until_complete(start())
@@ -98,9 +98,9 @@
             while now() < end:
                 await asyncio.sleep(min(0.2, end - now()))
                 # Other parts of a VM call the store too, for example for its lease.
-                for view, feed in zip(self.views, self.feeds, strict=True):
-                    if view.away:
-                        await feed.contact()
+                for view, store_watcher in zip(self.views, self.feeds, strict=True):
+                    if view.is_unreachable:
+                        await store_watcher.probe_store()
                 for name, fields in self.reports.items():
                     self.put(name, **fields)
 
--- a/packages/entry/tests/test_application.py
+++ b/packages/entry/tests/test_application.py
@@ -35,7 +35,9 @@
     store = ClosableStore()
     store.put("cfg", b"1")
     cfg = settings()
-    cfg.callers, cfg.ready, cfg.control = [f"127.0.0.1:{free_port()}" for _ in range(3)]
+    cfg.callers, cfg.ready, cfg.control_address = [
+        f"127.0.0.1:{free_port()}" for _ in range(3)
+    ]
     cfg.metrics_port = free_port()
     records = JsonRecords({1: configuration()})
     return EntryApplication(cfg, store, PlainCallerProtocol(), FencedTargets(), records)
@@ -46,7 +48,7 @@
     try:
         await asyncio.sleep(60)
     finally:
-        app.permit_client.done(Permit(PERMIT_NUMBER, "s", "127.0.0.2"))
+        app.permit_client.release(Permit(PERMIT_NUMBER, "s", "127.0.0.2"))
 
 
 class TestStop:
@@ -61,7 +63,7 @@
             await asyncio.sleep(0.1)
             ports = {
                 "ready": int(app.cfg.ready.rpartition(":")[2]),
-                "control": int(app.cfg.control.rpartition(":")[2]),
+                "control": int(app.cfg.control_address.rpartition(":")[2]),
                 "metrics": app.cfg.metrics_port,
             }
             with socket.create_connection(("127.0.0.1", ports[page])) as client:
--- a/packages/entry/tests/test_assignment.py
+++ b/packages/entry/tests/test_assignment.py
@@ -7,7 +7,7 @@
 
 import pytest
 from berylstage_entry import assignment as module
-from berylstage_entry.assignment import LAST_KEY, Assignment, KeyRange, nobody
+from berylstage_entry.assignment import LAST_KEY, Assignment, KeyRange, unassigned
 from berylstage_entry.assignment_delta import AssignmentDelta
 from berylstage_entry.cluster_view import ClusterView
 from berylstage_entry.peer_updates import PeerUpdates
@@ -37,7 +37,7 @@
         over = [r.owner for r in ranges if r.first <= key <= r.last]
         return over[-1] if over else ""
 
-    return nobody().replace(ranges, 9), find_owner
+    return unassigned().replace(ranges, 9), find_owner
 
 
 def split_randomly(count):
@@ -88,12 +88,12 @@
         # Hot keys move ten times a second, and each of 195 VMs verifies each change.
         # When that encoded and compressed all ranges, a small VM did little else, and
         # answers were late while keys moved.
-        feed = StoreWatcher(None, JsonRecords(), ClusterView())
-        peer_updates = PeerUpdates(feed, None, "127.0.0.1:1")
+        store_watcher = StoreWatcher(None, JsonRecords(), ClusterView())
+        peer_updates = PeerUpdates(store_watcher, None, "127.0.0.1:1")
         old = split_randomly(count)
-        feed.take_told(Item("berylstage/keys/s", old.encode(), 5))
+        store_watcher.apply_pushed_item(Item("berylstage/keys/s", old.encode(), 5))
         old.digest()
-        feed.assignments["s"].digest()
+        store_watcher.assignments["s"].digest()
         moved = [
             KeyRange(r.first, r.last, "new", 1, 6000 + n)
             for n, r in enumerate(old.ranges[: 12 * 3 : 3])
@@ -106,6 +106,6 @@
             module.zlib, "crc32", lambda data: checksummed.append(data) or crc32(data)
         )
         monkeypatch.setattr(module.zlib, "compress", None)
-        peer_updates.take_change(datagram)
-        assert feed.revisions["s"] == 6
+        peer_updates.receive_change(datagram)
+        assert store_watcher.assignment_revisions["s"] == 6
         assert len(checksummed) <= 2 * len(moved)
--- a/packages/entry/tests/test_availability.py
+++ b/packages/entry/tests/test_availability.py
@@ -8,7 +8,7 @@
 
 
 def get_coordinator(cluster):
-    return next(n for n, vm in cluster.vms.items() if vm.office.holds())
+    return next(n for n, vm in cluster.vms.items() if vm.election.is_coordinator())
 
 
 def failed_coordinator(cluster):
@@ -25,7 +25,7 @@
     # No connection can be established. The record is removed three reports later, and
     # the keys have to move. Each grant that could not be sent used to delay the move.
     cluster.failed_targets.add("a")
-    cluster.wire.unreachable.add("a")
+    cluster.protocol.unreachable.add("a")
     lost = cluster.measure_unavailability(2.6)
     cluster.remove_record("a")
     return lost + cluster.measure_unavailability(10.0)
@@ -40,7 +40,7 @@
 
 def replaced_target(cluster):
     cluster.failed_targets.add("a")
-    cluster.wire.ended.add("a")
+    cluster.protocol.ended.add("a")
     return cluster.measure_unavailability(8.0)
 
 
@@ -53,39 +53,39 @@
 def failed_coordinator_with_moving_keys(cluster):
     # Requests in progress delay the release when the coordinator fails, and it is
     # unknown whether the new owner has been granted the keys.
-    cluster.wire.release_delay = 1.0
+    cluster.protocol.release_delay = 1.0
     cluster.report_hot_keys(0, 4)
     for _ in range(100):
         moving = [
             r
             for vm in cluster.vms.values()
-            for r in vm.feed.assignments["s"].ranges
-            if r.former and r.first <= 77
+            for r in vm.store_watcher.assignments["s"].ranges
+            if r.previous_owner and r.first <= 77
         ]
         if moving:
             break
         cluster.run(0.02)
     assert moving
     cluster.kill(get_coordinator(cluster))
-    cluster.wire.release_delay = 0.0
+    cluster.protocol.release_delay = 0.0
     return cluster.measure_unavailability(14.0)
 
 
 def draining_target(cluster):
-    cluster.write_record("a", leaving=True)
+    cluster.write_record("a", is_draining=True)
     return cluster.measure_unavailability(6.0)
 
 
 def store_lost_by_the_coordinator_only(cluster):
-    cluster.vms[get_coordinator(cluster)].view.away = True
+    cluster.vms[get_coordinator(cluster)].view.is_unreachable = True
     return cluster.measure_unavailability(10.0)
 
 
 def store_outage(seconds):
     def lost(cluster):
-        cluster.store.away = True
+        cluster.store.is_unreachable = True
         during = cluster.measure_unavailability(seconds)
-        cluster.store.away = False
+        cluster.store.is_unreachable = False
         return max(during, cluster.measure_unavailability(12.0))
 
     return lost
@@ -132,7 +132,7 @@
                 record_property("seconds", round(worst, 2))
                 print(f"{measure.__name__}: {worst:.2f} s")
                 assert worst <= bound
-                assert not cluster.wire.low_fences
+                assert not cluster.protocol.stale_grants
             finally:
                 for name in VMS:
                     cluster.kill(name)
--- a/packages/entry/tests/test_budget.py
+++ b/packages/entry/tests/test_budget.py
@@ -5,7 +5,7 @@
 from random import Random
 
 import pytest
-from berylstage_entry.router import BUDGET_USE
+from berylstage_entry.router import RETRY_BUDGET_SHARE
 from berylstage_policy.retries import RetryBudget
 
 RATIO = 0.2
@@ -18,7 +18,9 @@
     rng = Random(seed)
 
     def new_budget():
-        return RetryBudget(RATIO * BUDGET_USE, max(1.0, ALLOWANCE / (2 * (vms + 2))))
+        return RetryBudget(
+            RATIO * RETRY_BUDGET_SHARE, max(1.0, ALLOWANCE / (2 * (vms + 2)))
+        )
 
     budgets = [new_budget() for _ in range(vms)]
     requests, retries = [], []
@@ -29,9 +31,9 @@
             pending_restarts.pop(0)
             budgets = [new_budget() for _ in budgets]
         budget = rng.choice(budgets)
-        budget.earn()
+        budget.deposit()
         requests.append(now)
-        while budget.spend():
+        while budget.try_withdraw():
             retries.append(now)
     return requests, retries
 
--- a/packages/entry/tests/test_connection.py
+++ b/packages/entry/tests/test_connection.py
@@ -23,10 +23,10 @@
 
 
 class PlainCallerProtocol(CallerProtocol):
-    def request(self, method, uri, headers):
+    def parse_request(self, method, uri, headers):
         return CallerRequest(uri, method, "h", uri, {}, 5.0, None)
 
-    def refusal_headers(self, retry_after):
+    def retry_after_headers(self, retry_after):
         return [("Retry-After", str(retry_after))]
 
 
--- a/packages/entry/tests/test_coordinator_election.py
+++ b/packages/entry/tests/test_coordinator_election.py
@@ -8,7 +8,7 @@
 import pytest
 from berylstage_entry.clock import now
 from berylstage_entry.coordinator_election import LEASE_SECONDS, MIN_TERM_SECONDS
-from berylstage_entry.store_keys import DUTY_KEY
+from berylstage_entry.store_keys import COORDINATOR_KEY
 from cluster_simulation import VMS, ClusterSimulation
 from fakes import LateAnswers, StoreView
 from virtual_time import virtual_loop
@@ -24,7 +24,7 @@
 
 
 def coordinators(cluster):
-    return [name for name, vm in cluster.vms.items() if vm.office.holds()]
+    return [name for name, vm in cluster.vms.items() if vm.election.is_coordinator()]
 
 
 class TestYielding:
@@ -33,7 +33,7 @@
         # it grants keys late; when it steps down, no key loses its owner.
         (small,) = coordinators(cluster)
         large = next(name for name in VMS if name != small)
-        cluster.vms[small].office.better = lambda: large
+        cluster.vms[small].election.preferred_coordinator = lambda: large
         assert (
             cluster.measure_unavailability(MIN_TERM_SECONDS + LEASE_SECONDS + 1.0) == 0
         )
@@ -45,7 +45,7 @@
         # stepped down for a VM that has failed would do so again and again.
         (small,) = coordinators(cluster)
         large = next(name for name in VMS if name != small)
-        cluster.vms[small].office.better = lambda: large
+        cluster.vms[small].election.preferred_coordinator = lambda: large
         cluster.kill(large)
         cluster.run(2 * MIN_TERM_SECONDS)
         assert coordinators(cluster) == [small]
@@ -53,8 +53,8 @@
     def test_coordinator_stays_while_the_larger_vm_has_lost_the_store(self, cluster):
         (small,) = coordinators(cluster)
         large = next(name for name in VMS if name != small)
-        cluster.vms[small].office.better = lambda: large
-        cluster.vms[large].view.away = True
+        cluster.vms[small].election.preferred_coordinator = lambda: large
+        cluster.vms[large].view.is_unreachable = True
         cluster.run(2 * MIN_TERM_SECONDS)
         assert coordinators(cluster) == [small]
 
@@ -67,13 +67,13 @@
         idle = cluster.vms[next(name for name in VMS if name != coordinator)]
         checks = []
         for part, name in (
-            (idle.office, "_lacks_coordinator"),
-            (idle.granting, "_reconcile"),
+            (idle.election, "_lacks_coordinator"),
+            (idle.grant_controller, "_reconcile"),
         ):
             real = getattr(part, name)
             setattr(part, name, lambda real=real: checks.append(1) or real())
-        real_holds = idle.office.holds
-        idle.office.holds = lambda: checks.append(1) or real_holds()
+        real_holds = idle.election.is_coordinator
+        idle.election.is_coordinator = lambda: checks.append(1) or real_holds()
         seconds = 20.0
         cluster.run(seconds)
         # The remaining checks come with the reads of the store.
@@ -101,7 +101,7 @@
 
 def is_stored_coordinator(cluster, name):
     """Tell whether the store names a VM as the coordinator."""
-    item = cluster.store.items.get(DUTY_KEY)
+    item = cluster.store.items.get(COORDINATOR_KEY)
     return item is not None and json.loads(item.value)["vm"] == name
 
 
@@ -117,7 +117,7 @@
 def stop(cluster, name):
     """Stop a VM gracefully; return the seconds until another is coordinator."""
     start_time = now()
-    cluster._loop.run_until_complete(cluster.vms[name].office.resign())
+    cluster._loop.run_until_complete(cluster.vms[name].election.resign())
     cluster.kill(name)
     run_until(cluster, lambda: coordinators(cluster))
     return now() - start_time
@@ -132,14 +132,14 @@
         (predecessor,) = coordinators(cluster)
         name, other = [candidate for candidate in VMS if candidate != predecessor]
         vm = cluster.vms[name]
-        vm.office._store = LateAnswers(cluster.store)
+        vm.election._store = LateAnswers(cluster.store)
         # This VM becomes coordinator; the other follows later.
-        cluster.vms[other].view.away = True
-        cluster._loop.run_until_complete(cluster.vms[predecessor].office.resign())
+        cluster.vms[other].view.is_unreachable = True
+        cluster._loop.run_until_complete(cluster.vms[predecessor].election.resign())
         cluster.kill(predecessor)
         run_until(cluster, lambda: is_stored_coordinator(cluster, name))
-        assert not vm.office.holds()
-        cluster.vms[other].view.away = False
+        assert not vm.election.is_coordinator()
+        cluster.vms[other].view.is_unreachable = False
         assert stop(cluster, name) < LEASE_SECONDS / 2
 
     def test_lease_being_given_up_is_revoked_on_stop(self, cluster):
@@ -147,9 +147,9 @@
         # coordinator stopped while it was stepping down for another VM.
         (name,) = coordinators(cluster)
         vm = cluster.vms[name]
-        vm.office._store = SlowWrites(cluster.store)
-        vm.office.better = lambda: next(
+        vm.election._store = SlowWrites(cluster.store)
+        vm.election.preferred_coordinator = lambda: next(
             candidate for candidate in VMS if candidate != name
         )
-        run_until(cluster, lambda: not vm.office.holds())
+        run_until(cluster, lambda: not vm.election.is_coordinator())
         assert stop(cluster, name) < LEASE_SECONDS / 2
--- a/packages/entry/tests/test_grant_controller.py
+++ b/packages/entry/tests/test_grant_controller.py
@@ -9,7 +9,10 @@
 import pytest
 from berylstage_entry.clock import now
 from berylstage_entry.cluster_view import ClusterView
-from berylstage_entry.coordinator_election import CONTACT_PATH, CoordinatorElection
+from berylstage_entry.coordinator_election import (
+    STORE_CONTACT_PATH,
+    CoordinatorElection,
+)
 from berylstage_entry.grant_controller import MAX_RANGES_PER_TARGET, GrantController
 from berylstage_entry.store_watcher import StoreWatcher
 from cluster_simulation import VMS, ClusterSimulation
@@ -38,46 +41,52 @@
         vm = self.vms.get(address)
         if vm is None or vm.is_dead:
             return None
-        if path == CONTACT_PATH:
-            return str(await vm.feed.contact()).encode()
-        return vm.granting.handed_on() if vm.office.may_hand_on(body) else None
+        if path == STORE_CONTACT_PATH:
+            return str(await vm.store_watcher.probe_store()).encode()
+        return (
+            vm.grant_controller.export_state()
+            if vm.election.may_export_state(body)
+            else None
+        )
 
-    async def ask_all(self, path):
+    async def call_all(self, path):
         return [await self.ask(address, path) for address in self.others()]
 
 
 def connect_peers(*vms):
     for vm in vms:
-        others = {v.cfg.control: v for v in vms if v is not vm}
+        others = {v.cfg.control_address: v for v in vms if v is not vm}
         vm.peers.vms.update(others)
 
 
 class Vm:
     """The parts of a VM that grant keys."""
 
-    def __init__(self, name, store, wire):
+    def __init__(self, name, store, protocol):
         records = JsonRecords({1: configuration()})
-        self.directory = ClusterView()
-        self.feed = StoreWatcher(store, records, self.directory)
+        self.cluster_view = ClusterView()
+        self.store_watcher = StoreWatcher(store, records, self.cluster_view)
         self.cfg = cfg = settings(name, int(name[-1]))
         self.is_dead = False
         self.peers = FakePeers()
-        self.office = CoordinatorElection(cfg, store, self.feed, self.peers, Random(1))
-        self.granting = GrantController(
-            store, self.feed, self.directory, self.office, wire
+        self.election = CoordinatorElection(
+            cfg, store, self.store_watcher, self.peers, Random(1)
         )
-        self.office.inherit = self.granting.inherit
+        self.grant_controller = GrantController(
+            store, self.store_watcher, self.cluster_view, self.election, protocol
+        )
+        self.election.import_state = self.grant_controller.import_state
 
     def start(self):
-        self.feed.start()
-        self.office.start()
-        self.granting.start()
+        self.store_watcher.start()
+        self.election.start()
+        self.grant_controller.start()
 
     def kill(self):
         self.is_dead = True
-        self.feed.stop()
-        self.granting.stop()
-        self.office._task.cancel()
+        self.store_watcher.stop()
+        self.grant_controller.stop()
+        self.election._task.cancel()
 
 
 def write_target(store, name, **changes):
@@ -92,11 +101,11 @@
 
 
 def assigned_owners(vm):
-    return {r.owner for r in vm.feed.assignments["s"].ranges}
+    return {r.owner for r in vm.store_watcher.assignments["s"].ranges}
 
 
-def have_all_holders(wire, keys=(0, 9000, 20000, 40000, 65535)):
-    return all(len(wire.holder(key)) == 1 for key in keys)
+def have_all_holders(protocol, keys=(0, 9000, 20000, 40000, 65535)):
+    return all(len(protocol.holder(key)) == 1 for key in keys)
 
 
 @pytest.fixture
@@ -111,15 +120,15 @@
 class TestGranting:
     def test_all_keys_get_one_owner(self, store):
         async def scenario():
-            wire = FencedTargets()
-            vm = Vm("vm-1", store, wire)
+            protocol = FencedTargets()
+            vm = Vm("vm-1", store, protocol)
             vm.start()
-            await wait_until(lambda: have_all_holders(wire))
-            holders = {wire.holder(key)[0] for key in range(0, 65536, 4096)}
+            await wait_until(lambda: have_all_holders(protocol))
+            holders = {protocol.holder(key)[0] for key in range(0, 65536, 4096)}
             vm.kill()
             assert holders == {"a", "b", "c"}
-            assert not wire.doubly_held()
-            assert not wire.low_fences
+            assert not protocol.overlapping_grants()
+            assert not protocol.stale_grants
 
         asyncio.run(scenario())
 
@@ -129,19 +138,19 @@
         # it, two targets would serve the same keys, and two callers would book one
         # seat.
         async def scenario():
-            wire = FencedTargets()
-            vm = Vm("vm-1", store, wire)
+            protocol = FencedTargets()
+            vm = Vm("vm-1", store, protocol)
             vm.start()
-            await wait_until(lambda: have_all_holders(wire))
-            wire.grant_delay = 0.3
+            await wait_until(lambda: have_all_holders(protocol))
+            protocol.grant_delay = 0.3
             for round_number in range(24):
-                vm.granting.counted(
+                vm.grant_controller.add_key_counts(
                     "s", {100 + round_number: 40, 140 + round_number: 40, 180: 40}
                 )
                 await asyncio.sleep(0.15)
-                assert not wire.doubly_held(), round_number
+                assert not protocol.overlapping_grants(), round_number
             vm.kill()
-            assert len(vm.feed.assignments["s"].ranges) > 3
+            assert len(vm.store_watcher.assignments["s"].ranges) > 3
 
         asyncio.run(scenario())
 
@@ -150,24 +159,30 @@
         # starts to drain, so the keys go to a third target. If the first move still
         # ended with a grant, two targets would hold the keys.
         async def scenario():
-            wire = FencedTargets()
-            vm = Vm("vm-1", store, wire)
+            protocol = FencedTargets()
+            vm = Vm("vm-1", store, protocol)
             vm.start()
-            await wait_until(lambda: have_all_holders(wire))
-            wire.release_delay = 0.4
-            vm.granting.counted("s", {k: 60 for k in range(100, 400, 50)})
+            await wait_until(lambda: have_all_holders(protocol))
+            protocol.release_delay = 0.4
+            vm.grant_controller.add_key_counts(
+                "s", {k: 60 for k in range(100, 400, 50)}
+            )
 
             def moving():
-                return [r for r in vm.feed.assignments["s"].ranges if r.former]
+                return [
+                    r
+                    for r in vm.store_watcher.assignments["s"].ranges
+                    if r.previous_owner
+                ]
 
             await wait_until(moving)
-            write_target(store, moving()[0].owner, leaving=True)
+            write_target(store, moving()[0].owner, is_draining=True)
             await wait_until(
-                lambda: not moving() and have_all_holders(wire, (100, 300))
+                lambda: not moving() and have_all_holders(protocol, (100, 300))
             )
             vm.kill()
-            assert not wire.doubly_held()
-            assert not wire.low_fences
+            assert not protocol.overlapping_grants()
+            assert not protocol.stale_grants
 
         asyncio.run(scenario())
 
@@ -179,21 +194,21 @@
         with virtual_loop() as loop:
             cluster = ClusterSimulation(loop)
             cluster.run(offset)
-            cluster.wire.probe_delay = 0.35
-            cluster.wire.silent.add("a")
+            cluster.protocol.probe_delay = 0.35
+            cluster.protocol.silent.add("a")
 
             def moved():
                 return any(
-                    r.former == "a"
+                    r.previous_owner == "a"
                     for vm in cluster.vms.values()
-                    for r in vm.feed.assignments["s"].ranges
+                    for r in vm.store_watcher.assignments["s"].ranges
                 )
 
             end = now() + 8.0
             while not moved():
                 assert now() < end
                 cluster.run(0.01)
-            cluster.wire.silent.clear()
+            cluster.protocol.silent.clear()
             cluster.run(2.0)
             for name in VMS:
                 cluster.kill(name)
@@ -205,21 +220,21 @@
         # unresponsive. Its keys must wait for the last of these renewals, not only for
         # those known when the move was decided.
         async def scenario():
-            wire = FencedTargets()
-            vm = Vm("vm-1", store, wire)
+            protocol = FencedTargets()
+            vm = Vm("vm-1", store, protocol)
             vm.start()
-            await wait_until(lambda: have_all_holders(wire))
+            await wait_until(lambda: have_all_holders(protocol))
             store.late_writes = 6.0
-            write_target(store, "a", leaving=True)
+            write_target(store, "a", is_draining=True)
             await asyncio.sleep(3.4)
-            wire.silent.add("a")
+            protocol.silent.add("a")
             await asyncio.sleep(1.6)
             store.late_writes = 0.0
             await wait_until(lambda: "a" not in assigned_owners(vm), 12.0)
             await asyncio.sleep(2.0)
-            await wait_until(lambda: have_all_holders(wire), 12.0)
+            await wait_until(lambda: have_all_holders(protocol), 12.0)
             vm.kill()
-            assert not wire.doubly_held()
+            assert not protocol.overlapping_grants()
 
         asyncio.run(scenario())
 
@@ -228,23 +243,28 @@
         # were started again, it would cost more grants, and with many moves the
         # coordinator would have no time for anything else.
         async def scenario():
-            wire = FencedTargets()
-            vm = Vm("vm-1", store, wire)
+            protocol = FencedTargets()
+            vm = Vm("vm-1", store, protocol)
             vm.start()
-            await wait_until(lambda: have_all_holders(wire))
-            before = len(wire.ordered)
+            await wait_until(lambda: have_all_holders(protocol))
+            before = len(protocol.ordered)
             store.write_delay = 0.25
-            write_target(store, "a", leaving=True)
+            write_target(store, "a", is_draining=True)
             await wait_until(lambda: "a" not in assigned_owners(vm))
             moved = {
                 (r.owner, r.first, r.fence)
-                for r in vm.feed.assignments["s"].ranges
-                if r.former
+                for r in vm.store_watcher.assignments["s"].ranges
+                if r.previous_owner
             }
             await wait_until(
-                lambda: not any(r.former for r in vm.feed.assignments["s"].ranges)
+                lambda: (
+                    not any(
+                        r.previous_owner
+                        for r in vm.store_watcher.assignments["s"].ranges
+                    )
+                )
             )
-            ordered = wire.ordered[before:]
+            ordered = protocol.ordered[before:]
             vm.kill()
             assert moved
             assert [ordered.count(order) for order in moved] == [1] * len(moved)
@@ -257,37 +277,39 @@
         # second later. A VM that went on from the previous assignment would grant by
         # one assignment while the store has another.
         async def scenario():
-            wire = FencedTargets()
-            vm = Vm("vm-1", store, wire)
+            protocol = FencedTargets()
+            vm = Vm("vm-1", store, protocol)
             vm.start()
-            await wait_until(lambda: have_all_holders(wire))
+            await wait_until(lambda: have_all_holders(protocol))
             store.late_writes = 1.0
-            write_target(store, "a", leaving=True)
+            write_target(store, "a", is_draining=True)
             await asyncio.sleep(2.5)
             store.late_writes = 0.0
-            await wait_until(lambda: not wire.holds.get("a") and have_all_holders(wire))
+            await wait_until(
+                lambda: not protocol.holds.get("a") and have_all_holders(protocol)
+            )
             stored = store.items["berylstage/keys/s"].value
             vm.kill()
-            assert stored == vm.feed.assignments["s"].encode()
-            assert not wire.doubly_held()
-            assert not wire.low_fences
+            assert stored == vm.store_watcher.assignments["s"].encode()
+            assert not protocol.overlapping_grants()
+            assert not protocol.stale_grants
 
         asyncio.run(scenario())
 
     def test_keys_of_a_draining_target_move(self, store):
         async def scenario():
-            wire = FencedTargets()
-            vm = Vm("vm-1", store, wire)
+            protocol = FencedTargets()
+            vm = Vm("vm-1", store, protocol)
             vm.start()
-            await wait_until(lambda: have_all_holders(wire))
-            write_target(store, "a", leaving=True)
+            await wait_until(lambda: have_all_holders(protocol))
+            write_target(store, "a", is_draining=True)
             start_time = now()
-            await wait_until(lambda: not wire.holds.get("a"))
-            await wait_until(lambda: have_all_holders(wire))
+            await wait_until(lambda: not protocol.holds.get("a"))
+            await wait_until(lambda: have_all_holders(protocol))
             vm.kill()
             assert now() - start_time < 2.0
-            assert not wire.doubly_held()
-            assert not wire.low_fences
+            assert not protocol.overlapping_grants()
+            assert not protocol.stale_grants
 
         asyncio.run(scenario())
 
@@ -296,18 +318,18 @@
         # grant may be valid, and must move soon after that, because callers of these
         # keys get no answer until then.
         async def scenario():
-            wire = FencedTargets()
-            vm = Vm("vm-1", store, wire)
+            protocol = FencedTargets()
+            vm = Vm("vm-1", store, protocol)
             vm.start()
-            await wait_until(lambda: have_all_holders(wire))
-            wire.silent.add("a")
+            await wait_until(lambda: have_all_holders(protocol))
+            protocol.silent.add("a")
             start_time = now()
             await wait_until(lambda: "a" not in assigned_owners(vm))
-            await wait_until(lambda: have_all_holders(wire))
+            await wait_until(lambda: have_all_holders(protocol))
             vm.kill()
             assert now() - start_time < 5.0
-            assert not wire.doubly_held()
-            assert not wire.low_fences
+            assert not protocol.overlapping_grants()
+            assert not protocol.stale_grants
 
         asyncio.run(scenario())
 
@@ -316,19 +338,19 @@
         # same addresses before their records were removed. The old targets hold no keys
         # any more, so their keys need not wait for grants to expire.
         async def scenario():
-            wire = FencedTargets()
-            vm = Vm("vm-1", store, wire)
+            protocol = FencedTargets()
+            vm = Vm("vm-1", store, protocol)
             vm.start()
-            await wait_until(lambda: have_all_holders(wire))
-            wire.ended.add("a")
-            wire._take("a", 0, 65535)
+            await wait_until(lambda: have_all_holders(protocol))
+            protocol.ended.add("a")
+            protocol._take("a", 0, 65535)
             start_time = now()
             await wait_until(lambda: "a" not in assigned_owners(vm))
-            await wait_until(lambda: have_all_holders(wire))
+            await wait_until(lambda: have_all_holders(protocol))
             vm.kill()
             assert now() - start_time < 1.5
-            assert not wire.doubly_held()
-            assert not wire.low_fences
+            assert not protocol.overlapping_grants()
+            assert not protocol.stale_grants
 
         asyncio.run(scenario())
 
@@ -336,20 +358,20 @@
         # A target does not answer grants and applies them seconds later. A grant that
         # takes effect after the keys have moved would give them two owners.
         async def scenario():
-            wire = FencedTargets()
-            vm = Vm("vm-1", store, wire)
+            protocol = FencedTargets()
+            vm = Vm("vm-1", store, protocol)
             vm.start()
-            await wait_until(lambda: have_all_holders(wire))
-            wire.late["a"] = 1.5
+            await wait_until(lambda: have_all_holders(protocol))
+            protocol.late["a"] = 1.5
             await asyncio.sleep(1.0)
-            write_target(store, "a", leaving=True)
+            write_target(store, "a", is_draining=True)
             await asyncio.sleep(1.0)
-            wire.late.clear()
-            await wait_until(lambda: have_all_holders(wire))
+            protocol.late.clear()
+            await wait_until(lambda: have_all_holders(protocol))
             await asyncio.sleep(1.5)
             vm.kill()
-            assert not wire.doubly_held()
-            assert not wire.low_fences
+            assert not protocol.overlapping_grants()
+            assert not protocol.stale_grants
 
         asyncio.run(scenario())
 
@@ -357,22 +379,22 @@
         # The coordinator fails. Another VM becomes coordinator within the store lease
         # and renews the grants before they expire, so no key loses its owner.
         async def scenario():
-            wire = FencedTargets()
-            first, second = Vm("vm-1", store, wire), Vm("vm-2", store, wire)
+            protocol = FencedTargets()
+            first, second = Vm("vm-1", store, protocol), Vm("vm-2", store, protocol)
             connect_peers(first, second)
             first.start()
-            await wait_until(lambda: have_all_holders(wire))
+            await wait_until(lambda: have_all_holders(protocol))
             second.start()
             await asyncio.sleep(0.5)
             first.kill()
             end = now() + 4.0
             while now() < end:
-                assert have_all_holders(wire)
+                assert have_all_holders(protocol)
                 await asyncio.sleep(0.02)
-            assert second.office.holds()
+            assert second.election.is_coordinator()
             second.kill()
-            assert not wire.doubly_held()
-            assert not wire.low_fences
+            assert not protocol.overlapping_grants()
+            assert not protocol.stale_grants
 
         asyncio.run(scenario())
 
@@ -383,33 +405,46 @@
         # their previous owner by a grant, that target would get the keys while the new
         # owner serves them.
         async def scenario():
-            wire = FencedTargets()
+            protocol = FencedTargets()
             store_view = StoreView(store)
-            first, second = Vm("vm-1", store_view, wire), Vm("vm-2", store, wire)
+            first, second = (
+                Vm("vm-1", store_view, protocol),
+                Vm("vm-2", store, protocol),
+            )
             connect_peers(first, second)
             first.start()
-            await wait_until(lambda: have_all_holders(wire))
+            await wait_until(lambda: have_all_holders(protocol))
             second.start()
             await asyncio.sleep(0.4)
-            wire.release_delay = 0.3
-            first.granting.counted("s", {k: 60 for k in range(100, 400, 50)})
+            protocol.release_delay = 0.3
+            first.grant_controller.add_key_counts(
+                "s", {k: 60 for k in range(100, 400, 50)}
+            )
             await wait_until(
-                lambda: any(r.former for r in first.feed.assignments["s"].ranges)
+                lambda: any(
+                    r.previous_owner
+                    for r in first.store_watcher.assignments["s"].ranges
+                )
             )
             store_view.away = True
             if not answers:
                 await asyncio.sleep(1.0)
                 first.kill()
             await wait_until(
-                lambda: not any(r.former for r in second.feed.assignments["s"].ranges),
+                lambda: (
+                    not any(
+                        r.previous_owner
+                        for r in second.store_watcher.assignments["s"].ranges
+                    )
+                ),
                 30.0,
             )
             await asyncio.sleep(0.5)
-            assert have_all_holders(wire, (100, 150, 300))
+            assert have_all_holders(protocol, (100, 150, 300))
             first.kill()
             second.kill()
-            assert not wire.doubly_held()
-            assert not wire.low_fences
+            assert not protocol.overlapping_grants()
+            assert not protocol.stale_grants
 
         asyncio.run(scenario())
 
@@ -417,16 +452,18 @@
         # A few keys move every tenth of a second. If each move renewed all ranges of
         # the owner, the coordinator would do little else (590 grants per second).
         async def scenario():
-            wire = FencedTargets()
-            vm = Vm("vm-1", store, wire)
+            protocol = FencedTargets()
+            vm = Vm("vm-1", store, protocol)
             vm.start()
-            await wait_until(lambda: have_all_holders(wire))
-            vm.granting.counted("s", dict.fromkeys(range(100, 400, 50), 60))
-            await wait_until(lambda: len(vm.feed.assignments["s"].ranges) > 3)
-            before = len(wire.ordered)
+            await wait_until(lambda: have_all_holders(protocol))
+            vm.grant_controller.add_key_counts(
+                "s", dict.fromkeys(range(100, 400, 50), 60)
+            )
+            await wait_until(lambda: len(vm.store_watcher.assignments["s"].ranges) > 3)
+            before = len(protocol.ordered)
             await asyncio.sleep(2.0)
-            grants = len(wire.ordered) - before
-            ranges = len(vm.feed.assignments["s"].ranges)
+            grants = len(protocol.ordered) - before
+            ranges = len(vm.store_watcher.assignments["s"].ranges)
             vm.kill()
             # Three rounds of renewals, and the grants of the moves themselves.
             assert grants < 3.5 * ranges + 20
@@ -446,7 +483,7 @@
                     cluster.report_hot_keys((group * 5711) % 60000, 9)
                     cluster.run(0.3)
                 vm = next(iter(cluster.vms.values()))
-                counts.append(len(vm.feed.assignments["s"].ranges))
+                counts.append(len(vm.store_watcher.assignments["s"].ranges))
             for name in VMS:
                 cluster.kill(name)
             assert not cluster.violations()
@@ -461,45 +498,51 @@
         # keys must reach their new owner nevertheless, or they have no owner until the
         # store is back (for 1.5 s, until another VM became coordinator).
         async def scenario():
-            wire = FencedTargets()
-            vm = Vm("vm-1", store, wire)
+            protocol = FencedTargets()
+            vm = Vm("vm-1", store, protocol)
             vm.start()
-            await wait_until(lambda: have_all_holders(wire))
-            wire.release_delay = 0.3
+            await wait_until(lambda: have_all_holders(protocol))
+            protocol.release_delay = 0.3
             keys = range(100, 400, 50)
-            vm.granting.counted("s", dict.fromkeys(keys, 60))
+            vm.grant_controller.add_key_counts("s", dict.fromkeys(keys, 60))
 
             def moving():
-                return [r for r in vm.feed.assignments["s"].ranges if r.former]
+                return [
+                    r
+                    for r in vm.store_watcher.assignments["s"].ranges
+                    if r.previous_owner
+                ]
 
             await wait_until(moving)
             moved, owner = moving()[0].first, moving()[0].owner
-            store.away = True
-            vm.granting.counted("s", dict.fromkeys(range(40000, 40400, 50), 90))
-            await wait_until(lambda: wire.holder(moved) == [owner], 1.0)
-            assert vm.office.holds()
+            store.is_unreachable = True
+            vm.grant_controller.add_key_counts(
+                "s", dict.fromkeys(range(40000, 40400, 50), 90)
+            )
+            await wait_until(lambda: protocol.holder(moved) == [owner], 1.0)
+            assert vm.election.is_coordinator()
             vm.kill()
-            assert not wire.doubly_held()
+            assert not protocol.overlapping_grants()
 
         asyncio.run(scenario())
 
     def test_no_key_loses_its_owner_in_a_store_outage(self, store):
         async def scenario():
-            wire = FencedTargets()
-            vm = Vm("vm-1", store, wire)
+            protocol = FencedTargets()
+            vm = Vm("vm-1", store, protocol)
             vm.start()
-            await wait_until(lambda: have_all_holders(wire))
-            store.away = True
+            await wait_until(lambda: have_all_holders(protocol))
+            store.is_unreachable = True
             end = now() + 9.0
             while now() < end:
-                assert have_all_holders(wire)
+                assert have_all_holders(protocol)
                 await asyncio.sleep(0.05)
-            store.away = False
+            store.is_unreachable = False
             await asyncio.sleep(3.0)
-            assert have_all_holders(wire)
+            assert have_all_holders(protocol)
             vm.kill()
-            assert not wire.doubly_held()
-            assert not wire.low_fences
+            assert not protocol.overlapping_grants()
+            assert not protocol.stale_grants
 
         asyncio.run(scenario())
 
@@ -509,20 +552,20 @@
         # expired too. If there is no coordinator by then, no key has an owner, and
         # requests to the whole service are rejected.
         async def scenario():
-            wire = FencedTargets()
-            vm = Vm("vm-1", store, wire)
+            protocol = FencedTargets()
+            vm = Vm("vm-1", store, protocol)
             vm.start()
-            await wait_until(lambda: have_all_holders(wire))
-            store.away = True
+            await wait_until(lambda: have_all_holders(protocol))
+            store.is_unreachable = True
             await asyncio.sleep(9.0)
-            store.away = False
+            store.is_unreachable = False
             end = now() + 4.0
             while now() < end:
-                assert have_all_holders(wire)
+                assert have_all_holders(protocol)
                 await asyncio.sleep(0.05)
             vm.kill()
-            assert not wire.doubly_held()
-            assert not wire.low_fences
+            assert not protocol.overlapping_grants()
+            assert not protocol.stale_grants
 
         asyncio.run(scenario())
 
@@ -531,23 +574,23 @@
         # with the store all the time, so no grants were extended, and the target's
         # keys move as soon as its short grant has expired.
         async def scenario():
-            wire = FencedTargets()
-            first, second = Vm("vm-1", store, wire), Vm("vm-2", store, wire)
+            protocol = FencedTargets()
+            first, second = Vm("vm-1", store, protocol), Vm("vm-2", store, protocol)
             connect_peers(first, second)
             first.start()
-            await wait_until(lambda: have_all_holders(wire))
+            await wait_until(lambda: have_all_holders(protocol))
             second.start()
             await asyncio.sleep(4.0)
             first.kill()
-            wire.silent.add("a")
+            protocol.silent.add("a")
             start_time = now()
-            await wait_until(lambda: second.office.holds(), 4.0)
+            await wait_until(lambda: second.election.is_coordinator(), 4.0)
             await wait_until(lambda: "a" not in assigned_owners(second), 8.0)
-            await wait_until(lambda: have_all_holders(wire))
+            await wait_until(lambda: have_all_holders(protocol))
             second.kill()
             assert now() - start_time < 8.0
-            assert not wire.doubly_held()
-            assert not wire.low_fences
+            assert not protocol.overlapping_grants()
+            assert not protocol.stale_grants
 
         asyncio.run(scenario())
 
@@ -556,25 +599,25 @@
         # address before another VM takes over. It knows nothing of its earlier grants,
         # by which the target may still hold keys.
         async def scenario():
-            wire = FencedTargets()
-            first, second = Vm("vm-1", store, wire), Vm("vm-2", store, wire)
+            protocol = FencedTargets()
+            first, second = Vm("vm-1", store, protocol), Vm("vm-2", store, protocol)
             connect_peers(first, second)
             first.start()
-            await wait_until(lambda: have_all_holders(wire))
+            await wait_until(lambda: have_all_holders(protocol))
             first.kill()
-            wire.silent.add("a")
-            restarted = Vm("vm-1", store, wire)
-            second.peers.vms[first.cfg.control] = restarted
+            protocol.silent.add("a")
+            restarted = Vm("vm-1", store, protocol)
+            second.peers.vms[first.cfg.control_address] = restarted
             second.start()
-            await wait_until(second.office.holds)
+            await wait_until(second.election.is_coordinator)
             # Nobody renews the target's grant; until it has expired, its keys must not
             # move.
-            wire.holds["a"][0].end = now() + 2.0
-            while now() < wire.holds["a"][0].end:
+            protocol.holds["a"][0].end = now() + 2.0
+            while now() < protocol.holds["a"][0].end:
                 assert "a" in assigned_owners(second)
                 await asyncio.sleep(0.02)
             second.kill()
-            assert not wire.doubly_held()
+            assert not protocol.overlapping_grants()
 
         asyncio.run(scenario())
 
@@ -582,25 +625,28 @@
         # Only the coordinator loses the store. If it extended grants, the next
         # coordinator could not move the keys of a failed target for ten seconds.
         async def scenario():
-            wire = FencedTargets()
+            protocol = FencedTargets()
             store_view = StoreView(store)
-            first, second = Vm("vm-1", store_view, wire), Vm("vm-2", store, wire)
+            first, second = (
+                Vm("vm-1", store_view, protocol),
+                Vm("vm-2", store, protocol),
+            )
             connect_peers(first, second)
             first.start()
-            await wait_until(lambda: have_all_holders(wire))
+            await wait_until(lambda: have_all_holders(protocol))
             second.start()
             await asyncio.sleep(0.5)
             store_view.away = True
             end = now() + 4.0
             while now() < end:
-                assert not first.office.extends_grants
-                assert have_all_holders(wire)
+                assert not first.election.extends_grants
+                assert have_all_holders(protocol)
                 await asyncio.sleep(0.02)
-            assert second.office.holds()
+            assert second.election.is_coordinator()
             first.kill()
             second.kill()
-            assert not wire.doubly_held()
-            assert not wire.low_fences
+            assert not protocol.overlapping_grants()
+            assert not protocol.stale_grants
 
         asyncio.run(scenario())
 
@@ -615,14 +661,14 @@
         with virtual_loop() as loop:
             cluster = ClusterSimulation(loop)
             cluster.run(offset)
-            (vm,) = [vm for vm in cluster.vms.values() if vm.office.holds()]
-            vm.granting.writer._store = LateAnswers(cluster.store)
+            (vm,) = [vm for vm in cluster.vms.values() if vm.election.is_coordinator()]
+            vm.grant_controller.writer._store = LateAnswers(cluster.store)
             before = cluster.store.items["berylstage/keys/s"].revision
-            cluster.write_record("a", leaving=True)
+            cluster.write_record("a", is_draining=True)
             while cluster.store.items["berylstage/keys/s"].revision == before:
                 cluster.run(0.01)
-            loop.run_until_complete(vm.office.resign())
-            vm.granting.stop()
+            loop.run_until_complete(vm.election.resign())
+            vm.grant_controller.stop()
             assert cluster.measure_unavailability(6.0) < 1.0
             assert not cluster.violations()
             for name in VMS:
--- a/packages/entry/tests/test_load_reporter.py
+++ b/packages/entry/tests/test_load_reporter.py
@@ -10,8 +10,8 @@
 from berylstage_entry import load_reporter
 from berylstage_entry.cluster_view import ClusterView
 from berylstage_entry.load_reporter import (
+    COUNT_INTERVAL_SECONDS,
     MAX_KEYS_PER_DATAGRAM,
-    PERIOD,
     LoadReporter,
     encode_key_counts,
 )
@@ -26,7 +26,7 @@
     def holds(self):
         return not self._address
 
-    def holder_address(self):
+    def coordinator_address(self):
         return self._address
 
 
@@ -38,8 +38,8 @@
     def counted(self, service, counts):
         self.counts.append((service, counts))
 
-    def told_speeds(self, service, mean, slowness):
-        self.speeds.append((service, mean, slowness))
+    def add_service_times(self, service, mean, service_time_ratio):
+        self.speeds.append((service, mean, service_time_ratio))
 
 
 class FakeRouter:
@@ -47,8 +47,8 @@
 
     def __init__(self):
         self.counts = {}
-        self.has_counted = asyncio.Event()
-        self.has_counted.set()
+        self.has_key_counts = asyncio.Event()
+        self.has_key_counts.set()
         # Stands in for the target loads as well.
         self.loads = self
 
@@ -69,13 +69,18 @@
 
 
 def make_reporter(address=""):
-    directory = ClusterView()
-    directory.apply(Record(configuration=configuration()), 0.0, False)
-    datagrams, granting, router = FakeDatagrams(), FakeGranting(), FakeRouter()
+    cluster_view = ClusterView()
+    cluster_view.apply(Record(configuration=configuration()), 0.0, False)
+    datagrams, grant_controller, router = FakeDatagrams(), FakeGranting(), FakeRouter()
     reporter = LoadReporter(
-        router, granting, FakeOffice(address), directory, datagrams, Random(1)
+        router,
+        grant_controller,
+        FakeOffice(address),
+        cluster_view,
+        datagrams,
+        Random(1),
     )
-    return reporter, router, granting, datagrams
+    return reporter, router, grant_controller, datagrams
 
 
 def run_for(reporter, seconds):
@@ -93,18 +98,18 @@
         # owner grows by seventy requests a second.
         sender, router, _, datagrams = make_reporter("10.0.0.9:1")
         router.counts = {"s": {7: 3, 65535: 300}}
-        run_for(sender, 2 * PERIOD)
+        run_for(sender, 2 * COUNT_INTERVAL_SECONDS)
         ((host, data),) = datagrams.sent
         assert host == "10.0.0.9"
-        receiver, _, granting, _ = make_reporter()
-        receiver.take_counts(data)
-        assert granting.counts == [("s", {7: 3, 65535: 255})]
+        receiver, _, grant_controller, _ = make_reporter()
+        receiver.receive_key_counts(data)
+        assert grant_controller.counts == [("s", {7: 3, 65535: 255})]
 
     def test_coordinator_adds_its_own_counts(self):
-        holder, router, granting, datagrams = make_reporter()
+        holder, router, grant_controller, datagrams = make_reporter()
         router.counts = {"s": {7: 3}}
-        run_for(holder, 2 * PERIOD)
-        assert granting.counts == [("s", {7: 3})]
+        run_for(holder, 2 * COUNT_INTERVAL_SECONDS)
+        assert grant_controller.counts == [("s", {7: 3})]
         assert not datagrams.sent
 
     def test_many_keys_are_split_into_several_datagrams(self):
@@ -112,11 +117,11 @@
             "s", dict.fromkeys(range(MAX_KEYS_PER_DATAGRAM + 1), 1)
         )
         assert [len(part) <= 1400 for part in parts] == [True, True]
-        receiver, _, granting, _ = make_reporter()
+        receiver, _, grant_controller, _ = make_reporter()
         for part in parts:
-            receiver.take_counts(part)
+            receiver.receive_key_counts(part)
         assert (
-            sum(len(counts) for _, counts in granting.counts)
+            sum(len(counts) for _, counts in grant_controller.counts)
             == MAX_KEYS_PER_DATAGRAM + 1
         )
 
@@ -124,27 +129,29 @@
         "data", [b"", b"\x11", encode_key_counts("s", {7: 3})[0][:-1]]
     )
     def test_damaged_datagram_is_ignored(self, data):
-        receiver, _, granting, _ = make_reporter()
-        receiver.take_counts(data)
-        assert granting.counts == []
+        receiver, _, grant_controller, _ = make_reporter()
+        receiver.receive_key_counts(data)
+        assert grant_controller.counts == []
 
     def test_unknown_service_is_ignored(self):
-        receiver, _, granting, _ = make_reporter()
-        receiver.take_counts(encode_key_counts("other", {7: 3})[0])
-        assert granting.counts == []
+        receiver, _, grant_controller, _ = make_reporter()
+        receiver.receive_key_counts(encode_key_counts("other", {7: 3})[0])
+        assert grant_controller.counts == []
 
 
 class TestSpeeds:
     def test_service_times_are_applied(self):
-        receiver, _, granting, _ = make_reporter()
-        assert receiver.take_speeds(json.dumps([["s", 0.1, {"a": 2}]]).encode())
-        assert granting.speeds == [("s", 0.1, {"a": 2.0})]
+        receiver, _, grant_controller, _ = make_reporter()
+        assert receiver.receive_service_times(
+            json.dumps([["s", 0.1, {"a": 2}]]).encode()
+        )
+        assert grant_controller.speeds == [("s", 0.1, {"a": 2.0})]
 
     @pytest.mark.parametrize("body", [b"", b"[1]", b'[["s"]]', b'[["s", 1, 2]]'])
     def test_invalid_service_times_are_ignored(self, body):
-        receiver, _, granting, _ = make_reporter()
-        assert not receiver.take_speeds(body)
-        assert granting.speeds == []
+        receiver, _, grant_controller, _ = make_reporter()
+        assert not receiver.receive_service_times(body)
+        assert grant_controller.speeds == []
 
     def test_with_more_vms_each_reports_less_often(self):
         # Otherwise 76 VMs would send 76 reports a second about all targets to the
--- a/packages/entry/tests/test_membership.py
+++ b/packages/entry/tests/test_membership.py
@@ -18,12 +18,12 @@
 
 def make_membership(vm):
     """Return the membership as one of four VMs of a data centre sees it."""
-    feed = StoreWatcher(None, JsonRecords(), ClusterView())
-    membership = Membership(settings(vm), None, feed)
+    store_watcher = StoreWatcher(None, JsonRecords(), ClusterView())
+    membership = Membership(settings(vm), None, store_watcher)
     for revision, name in enumerate(VMS, 1):
         doc = {"control": f"{name}:1", "data_centre": "dc-1", "power": 1.0}
         value = json.dumps(doc).encode()
-        feed.take_written(Item(VMS_PREFIX + name, value, revision))
+        store_watcher.apply_written_item(Item(VMS_PREFIX + name, value, revision))
     return membership
 
 
@@ -35,9 +35,9 @@
         # All VMs are in one data centre, and the standby has become coordinator. Unless
         # another VM becomes the standby, the loss of the coordinator is noticed 0.9 s
         # later, by a read, and keys have no owner meanwhile.
-        first = next(vm for vm in VMS if make_membership(vm).stands_by(""))
+        first = next(vm for vm in VMS if make_membership(vm).is_standby(""))
         others = [vm for vm in VMS if vm != first]
-        assert sum(make_membership(vm).stands_by(f"{first}:1") for vm in others) == 1
+        assert sum(make_membership(vm).is_standby(f"{first}:1") for vm in others) == 1
 
     def test_each_record_is_decoded_once_however_many_vms_start(self, monkeypatch):
         # Hundreds of VMs start together, or return after an outage. Guards against VMs
@@ -48,27 +48,27 @@
         monkeypatch.setattr(
             module.json, "loads", lambda value: decoded.append(value) or loads(value)
         )
-        feed = StoreWatcher(None, JsonRecords(), ClusterView())
-        membership = Membership(settings("vm-0"), None, feed)
+        store_watcher = StoreWatcher(None, JsonRecords(), ClusterView())
+        membership = Membership(settings("vm-0"), None, store_watcher)
         for n in range(200):
             doc = {"control": f"10.0.0.{n}:1", "data_centre": "dc-1", "power": 1.0}
             value = json.dumps(doc).encode()
-            feed.take_written(Item(f"{VMS_PREFIX}vm-{n}", value, n + 1))
-        feed._notify_listeners("read")
+            store_watcher.apply_written_item(Item(f"{VMS_PREFIX}vm-{n}", value, n + 1))
+        store_watcher._notify_listeners("read")
         assert len(membership.members()) == 200
         assert len(decoded) == 200
 
     def test_full_read_without_changes_changes_nothing(self):
         # Each change causes everything derived from the members to be recomputed.
-        feed = StoreWatcher(None, JsonRecords(), ClusterView())
-        membership = Membership(settings("vm-0"), None, feed)
+        store_watcher = StoreWatcher(None, JsonRecords(), ClusterView())
+        membership = Membership(settings("vm-0"), None, store_watcher)
         doc = {"control": "10.0.0.1:1", "data_centre": "dc-1", "power": 1.0}
         item = Item(VMS_PREFIX + "vm-1", json.dumps(doc).encode(), 1)
-        feed.take_written(item)
+        store_watcher.apply_written_item(item)
         before = membership.revision
-        feed._notify_listeners("read")
+        store_watcher._notify_listeners("read")
         assert membership.revision == before
-        feed.take_written(Item(item.key, None, 2))
+        store_watcher.apply_written_item(Item(item.key, None, 2))
         assert membership.members() == []
         assert membership.revision > before
 
@@ -79,8 +79,8 @@
         # permit requests, because it stopped before the answer to its write arrived.
         async def scenario():
             store = MemoryStore()
-            feed = StoreWatcher(store, JsonRecords(), ClusterView())
-            membership = Membership(settings("vm-1"), LateAnswers(store), feed)
+            store_watcher = StoreWatcher(store, JsonRecords(), ClusterView())
+            membership = Membership(settings("vm-1"), LateAnswers(store), store_watcher)
             membership.start()
             await asyncio.sleep(0.1)
             assert VMS_PREFIX + "vm-1" in store.items
--- a/packages/entry/tests/test_metrics.py
+++ b/packages/entry/tests/test_metrics.py
@@ -39,8 +39,8 @@
 
     def test_output_is_in_prometheus_text_format(self):
         metrics = Metrics()
-        metrics.count("malformed")
-        metrics.request("h", "answered", 0.03)
+        metrics.increment("malformed")
+        metrics.record_request("h", "answered", 0.03)
         page = metrics.text() + format_shutdown_metrics(ShutdownCounts(), NO_SHUTDOWN)
         assert page.endswith("\n")
         assert all(SAMPLE.fullmatch(line) for line in page.splitlines())
--- a/packages/entry/tests/test_ownership_machine.py
+++ b/packages/entry/tests/test_ownership_machine.py
@@ -39,7 +39,7 @@
 
     @rule(away=st.booleans(), seconds_to_run=seconds)
     def store_goes_or_returns(self, away, seconds_to_run):
-        self.cluster.store.away = away
+        self.cluster.store.is_unreachable = away
         self.advance(seconds_to_run)
 
     @rule(late=st.sampled_from([0.0, 1.0, 3.0]), seconds_to_run=seconds)
@@ -50,7 +50,7 @@
     @rule(vm=vms, away=st.booleans(), seconds_to_run=seconds)
     def vm_is_cut_off_from_the_store(self, vm, away, seconds_to_run):
         if vm in self.cluster.vms:
-            self.cluster.vms[vm].view.away = away
+            self.cluster.vms[vm].view.is_unreachable = away
         self.advance(seconds_to_run)
 
     @rule(vm=vms, seconds_to_run=seconds)
@@ -70,23 +70,23 @@
 
     @rule(name=targets, silent=st.booleans(), seconds_to_run=seconds)
     def target_is_silent(self, name, silent, seconds_to_run):
-        self.cluster.wire.silent.discard(name)
+        self.cluster.protocol.silent.discard(name)
         if silent:
-            self.cluster.wire.silent.add(name)
+            self.cluster.protocol.silent.add(name)
         self.advance(seconds_to_run)
 
     @rule(name=targets, cut=st.booleans(), seconds_to_run=seconds)
     def target_is_cut_off(self, name, cut, seconds_to_run):
-        self.cluster.wire.unreachable.discard(name)
+        self.cluster.protocol.unreachable.discard(name)
         if cut:
-            self.cluster.wire.unreachable.add(name)
+            self.cluster.protocol.unreachable.add(name)
         self.advance(seconds_to_run)
 
     @rule(name=targets, late=st.sampled_from([0.0, 0.6, 2.5]), seconds_to_run=seconds)
     def orders_are_carried_out_late(self, name, late, seconds_to_run):
-        self.cluster.wire.late.pop(name, None)
+        self.cluster.protocol.late.pop(name, None)
         if late:
-            self.cluster.wire.late[name] = late
+            self.cluster.protocol.late[name] = late
         self.advance(seconds_to_run)
 
     @rule(name=targets, seconds_to_run=seconds)
@@ -96,7 +96,7 @@
 
     @rule(name=targets, seconds_to_run=seconds)
     def target_leaves(self, name, seconds_to_run):
-        self.cluster.write_record(name, leaving=True)
+        self.cluster.write_record(name, is_draining=True)
         self.advance(seconds_to_run)
 
     @rule(name=targets, seconds_to_run=seconds)
@@ -125,7 +125,7 @@
 
     @rule(delay=st.sampled_from([0.0, 0.5, 1.5]), seconds_to_run=seconds)
     def work_on_released_keys_goes_on(self, delay, seconds_to_run):
-        self.cluster.wire.release_delay = delay
+        self.cluster.protocol.release_delay = delay
         self.advance(seconds_to_run)
 
     def teardown(self):
--- a/packages/entry/tests/test_ownership_mutations.py
+++ b/packages/entry/tests/test_ownership_mutations.py
@@ -19,31 +19,31 @@
 
 
 def get_coordinator(cluster):
-    return next(n for n, vm in cluster.vms.items() if vm.office.holds())
+    return next(n for n, vm in cluster.vms.items() if vm.election.is_coordinator())
 
 
 def draining_target_becomes_unresponsive(cluster):
     # Its keys should move to other targets, but it still serves them and does not
     # answer.
-    cluster.wire.silent.add("a")
-    cluster.write_record("a", leaving=True)
+    cluster.protocol.silent.add("a")
+    cluster.write_record("a", is_draining=True)
     cluster.run(8.0)
 
 
 def target_becomes_unresponsive(cluster):
-    cluster.wire.silent.add("a")
+    cluster.protocol.silent.add("a")
     cluster.run(8.0)
 
 
 def coordinator_fails_in_an_outage_with_an_unresponsive_target(cluster):
     # The store is unavailable, so the coordinator has extended all grants. It
     # fails, a target becomes unresponsive, and the store returns.
-    cluster.store.away = True
+    cluster.store.is_unreachable = True
     cluster.run(1.5)
     cluster.kill(get_coordinator(cluster))
-    cluster.wire.silent.add("a")
+    cluster.protocol.silent.add("a")
     cluster.run(0.5)
-    cluster.store.away = False
+    cluster.store.is_unreachable = False
     cluster.run(14.0)
 
 
@@ -51,19 +51,19 @@
     # The process that extended all grants is killed and restarts at once at its
     # address. It knows nothing of its earlier grants, and a target becomes
     # unresponsive.
-    cluster.store.away = True
+    cluster.store.is_unreachable = True
     cluster.run(1.5)
     name = get_coordinator(cluster)
-    cluster.wire.silent.add("a")
+    cluster.protocol.silent.add("a")
     cluster.kill(name)
     cluster.start(name)
     cluster.run(0.5)
-    cluster.store.away = False
+    cluster.store.is_unreachable = False
     cluster.run(14.0)
 
 
 def hot_keys_move_while_renewals_are_in_transit(cluster):
-    cluster.wire.grant_delay = 0.3
+    cluster.protocol.grant_delay = 0.3
     for round_number in range(24):
         cluster.report_hot_keys(100 + round_number, 8)
         cluster.run(0.15)
@@ -71,23 +71,27 @@
 
 def unresponsive_target_answers_as_its_keys_move(cluster):
     # The target answers a probe while its keys move to another one.
-    cluster.wire.probe_delay = 0.35
-    cluster.wire.silent.add("a")
+    cluster.protocol.probe_delay = 0.35
+    cluster.protocol.silent.add("a")
     end = now() + 8.0
-    while now() < end and not any(r.former == "a" for r in ranges(cluster)):
+    while now() < end and not any(r.previous_owner == "a" for r in ranges(cluster)):
         cluster.run(0.01)
-    cluster.wire.silent.clear()
+    cluster.protocol.silent.clear()
     cluster.run(2.0)
 
 
 def ranges(cluster):
-    return [r for vm in cluster.vms.values() for r in vm.feed.assignments["s"].ranges]
+    return [
+        r
+        for vm in cluster.vms.values()
+        for r in vm.store_watcher.assignments["s"].ranges
+    ]
 
 
 async def renew_outdated_ranges(self, target):
     """Renew what a target owned before it was probed."""
     grants = self.get_grants(target.identity)
-    while self._office.holds() and not grants.is_terminated:
+    while self._election.is_coordinator() and not grants.is_terminated:
         due = self._stable_ranges(target)
         if grants.unresponsive_since and not await self._probe(target):
             await asyncio.sleep(2 * CHECK_INTERVAL_SECONDS)
@@ -99,9 +103,9 @@
 async def release_without_grant(self, target, grants, r):
     """Release keys without a fence that rejects renewals in transit."""
     fence = self._next_revocation_fence(r)
-    if not fence or not self._office.holds():
+    if not fence or not self._election.is_coordinator():
         return None
-    return await self._wire.release(
+    return await self._protocol.release(
         target, r.first, r.last, fence, GRANT_TIMEOUT_SECONDS
     )
 
@@ -146,7 +150,7 @@
     pytest.param(
         coordinator_restarts_in_an_outage,
         CoordinatorElection,
-        "may_hand_on",
+        "may_export_state",
         lambda self, body: True,
         id="a new process speaks for the former one",
     ),
--- a/packages/entry/tests/test_peer_datagrams.py
+++ b/packages/entry/tests/test_peer_datagrams.py
@@ -48,13 +48,13 @@
 
     def test_datagram_can_be_sent_within_the_data_centre_only(self):
         datagrams, sent = make_datagrams()
-        datagrams.send(b"x", near=True)
+        datagrams.send(b"x", same_data_centre=True)
         assert sent == [(b"x", (HOSTS[1], 7))]
 
     def test_handler_gets_the_address_of_the_sender(self):
         datagrams, _ = make_datagrams()
         calls = []
-        datagrams.takers[18] = lambda data, host: calls.append((data, host))
+        datagrams.handlers[18] = lambda data, host: calls.append((data, host))
         datagrams.datagram_received(b"\x12abc", ("10.0.0.2", 7))
         assert calls == [(b"\x12abc", "10.0.0.2")]
 
@@ -78,7 +78,7 @@
         async def scenario():
             sender, received = PeerDatagrams(FakeMembership(), "127.0.0.1", 0), []
             datagrams = PeerDatagrams(FakeMembership(), "127.0.0.1", 0)
-            datagrams.takers[1] = lambda data, host: received.append(data)
+            datagrams.handlers[1] = lambda data, host: received.append(data)
             sender.start()
             datagrams.start()
             await asyncio.sleep(0.05)
--- a/packages/entry/tests/test_peer_updates.py
+++ b/packages/entry/tests/test_peer_updates.py
@@ -5,7 +5,7 @@
 import json
 import zlib
 
-from berylstage_entry.assignment import Assignment, KeyRange, nobody
+from berylstage_entry.assignment import Assignment, KeyRange, unassigned
 from berylstage_entry.assignment_delta import AssignmentDelta
 from berylstage_entry.cluster_view import ClusterView
 from berylstage_entry.peer_updates import PeerUpdates
@@ -23,40 +23,42 @@
     def test_older_assignment_does_not_replace_a_newer_one(self):
         # Two pushes arrive out of order. Applying the older one last would send
         # requests to a target that has released the keys.
-        feed = StoreWatcher(None, JsonRecords(), ClusterView())
-        updates = PeerUpdates(feed, None, "127.0.0.1:1")
-        newer = nobody().replace([], 77)
-        assert updates.take(encode_push("berylstage/keys/s", 9, newer.encode()))
-        assert updates.take(encode_push("berylstage/keys/s", 8, nobody().encode()))
-        assert feed.assignments["s"].next_fence == 77
+        store_watcher = StoreWatcher(None, JsonRecords(), ClusterView())
+        updates = PeerUpdates(store_watcher, None, "127.0.0.1:1")
+        newer = unassigned().replace([], 77)
+        assert updates.receive_item(encode_push("berylstage/keys/s", 9, newer.encode()))
+        assert updates.receive_item(
+            encode_push("berylstage/keys/s", 8, unassigned().encode())
+        )
+        assert store_watcher.assignments["s"].next_fence == 77
 
     def test_older_configuration_does_not_replace_a_newer_one(self):
         # A configuration is pushed ahead of the delta that lists it. A VM that has a
         # newer one must keep it if the push is delayed.
-        directory = ClusterView()
+        cluster_view = ClusterView()
         records = JsonRecords({n: configuration(n) for n in (1, 2)})
         updates = PeerUpdates(
-            StoreWatcher(None, records, directory), None, "127.0.0.1:1"
+            StoreWatcher(None, records, cluster_view), None, "127.0.0.1:1"
         )
-        assert updates.take(encode_push("cfg", 9, b"2"))
-        assert updates.take(encode_push("cfg", 8, b"1"))
-        assert directory.configuration.version == 2
+        assert updates.receive_item(encode_push("cfg", 9, b"2"))
+        assert updates.receive_item(encode_push("cfg", 8, b"1"))
+        assert cluster_view.configuration.version == 2
 
     def test_pushed_target_record_is_ignored(self):
         # A delayed older report would make a draining target usable again.
-        directory = ClusterView()
-        feed = StoreWatcher(None, JsonRecords(), directory)
-        updates = PeerUpdates(feed, None, "127.0.0.1:1")
-        assert not updates.take(encode_push("t/a", 9, b"{}"))
-        assert directory.known == {}
+        cluster_view = ClusterView()
+        store_watcher = StoreWatcher(None, JsonRecords(), cluster_view)
+        updates = PeerUpdates(store_watcher, None, "127.0.0.1:1")
+        assert not updates.receive_item(encode_push("t/a", 9, b"{}"))
+        assert cluster_view.known == {}
 
     def test_anything_but_assignments_and_configurations_is_ignored(self):
-        feed = StoreWatcher(None, JsonRecords(), ClusterView())
-        updates = PeerUpdates(feed, None, "127.0.0.1:1")
-        assert not updates.take(encode_push("berylstage/duty", 9, b"{}"))
-        assert not updates.take(b"\x00not a telling")
-        assert not updates.take(zlib.compress(b"[]"))
-        assert feed.own == {}
+        store_watcher = StoreWatcher(None, JsonRecords(), ClusterView())
+        updates = PeerUpdates(store_watcher, None, "127.0.0.1:1")
+        assert not updates.receive_item(encode_push("berylstage/duty", 9, b"{}"))
+        assert not updates.receive_item(b"\x00not a telling")
+        assert not updates.receive_item(zlib.compress(b"[]"))
+        assert store_watcher.internal_items == {}
 
 
 class TestChanges:
@@ -64,9 +66,9 @@
         sent = []
         sender = PeerUpdates(None, None, "127.0.0.1:1")
         sender.send = sent.append
-        feed = StoreWatcher(None, JsonRecords(), ClusterView())
-        receiver = PeerUpdates(feed, None, "127.0.0.1:2")
-        return sender, sent, feed, receiver
+        store_watcher = StoreWatcher(None, JsonRecords(), ClusterView())
+        receiver = PeerUpdates(store_watcher, None, "127.0.0.1:2")
+        return sender, sent, store_watcher, receiver
 
     def item(self, assignment, revision):
         return Item("berylstage/keys/s", assignment.encode(), revision)
@@ -83,37 +85,37 @@
     def test_small_change_fits_one_small_datagram(self):
         # A rebalancing changes two of 256 ranges. Sending the whole assignment to 75
         # VMs keeps the coordinator from renewing grants for 25 ms each time.
-        sender, sent, feed, receiver = self.make_pair()
+        sender, sent, store_watcher, receiver = self.make_pair()
         one, two, three = self.make_assignments()
-        feed.take_told(self.item(one, 5))
+        store_watcher.apply_pushed_item(self.item(one, 5))
         sender.tell(self.change(one, 5, two, 6))
         sender.tell(self.change(two, 6, three, 7))
         assert [len(data) < 200 for data in sent] == [True, True]
         for data in sent:
-            receiver.take_change(data)
-        assert feed.assignments["s"].encode() == three.encode()
-        assert feed.revisions["s"] == 7
+            receiver.receive_change(data)
+        assert store_watcher.assignments["s"].encode() == three.encode()
+        assert store_watcher.assignment_revisions["s"] == 7
 
     def test_change_with_another_base_revision_causes_a_read(self):
         # A datagram is lost. Applied to an assignment that lacks a move, the next
         # change would name an owner that has released the keys.
-        sender, sent, feed, receiver = self.make_pair()
+        sender, sent, store_watcher, receiver = self.make_pair()
         one, two, three = self.make_assignments()
-        feed.take_told(self.item(one, 5))
+        store_watcher.apply_pushed_item(self.item(one, 5))
         sender.tell(self.change(one, 5, two, 6))
         sender.tell(self.change(two, 6, three, 7))
-        receiver.take_change(sent[1])
-        assert feed.revisions["s"] == 5
-        assert feed._read_requested.is_set()
+        receiver.receive_change(sent[1])
+        assert store_watcher.assignment_revisions["s"] == 5
+        assert store_watcher._read_requested.is_set()
 
     def test_delayed_change_is_ignored(self):
-        sender, sent, feed, receiver = self.make_pair()
+        sender, sent, store_watcher, receiver = self.make_pair()
         one, two, three = self.make_assignments()
         sender.tell(self.change(one, 5, two, 6))
-        feed.take_told(self.item(three, 7))
-        receiver.take_change(sent[0])
-        assert feed.revisions["s"] == 7
-        assert not feed._read_requested.is_set()
+        store_watcher.apply_pushed_item(self.item(three, 7))
+        receiver.receive_change(sent[0])
+        assert store_watcher.assignment_revisions["s"] == 7
+        assert not store_watcher._read_requested.is_set()
 
     def lost_data_centre(self):
         """Return an assignment, and the next one, in which a third of the keys move."""
@@ -129,38 +131,38 @@
         # A data centre is lost, and a third of 256 ranges move at once. Sending that by
         # a call to each of 62 VMs saturates the coordinator's link. Its renewals are
         # then overdue, and keys of healthy targets move as well.
-        sender, sent, feed, receiver = self.make_pair()
+        sender, sent, store_watcher, receiver = self.make_pair()
         one, two = self.lost_data_centre()
-        feed.take_told(self.item(one, 5))
+        store_watcher.apply_pushed_item(self.item(one, 5))
         sender.tell(self.change(one, 5, two, 6))
         assert len(sent) > 1
         assert all(len(data) <= 1400 for data in sent)
         for data in reversed(sent):
-            assert feed.revisions["s"] == 5
-            receiver.take_change(data)
-        assert feed.assignments["s"].encode() == two.encode()
+            assert store_watcher.assignment_revisions["s"] == 5
+            receiver.receive_change(data)
+        assert store_watcher.assignments["s"].encode() == two.encode()
 
     def test_duplicate_part_is_counted_once(self):
         # The network duplicates one datagram and loses another. Half a change would
         # name owners that no stored assignment has.
-        sender, sent, feed, receiver = self.make_pair()
+        sender, sent, store_watcher, receiver = self.make_pair()
         one, two = self.lost_data_centre()
-        feed.take_told(self.item(one, 5))
+        store_watcher.apply_pushed_item(self.item(one, 5))
         sender.tell(self.change(one, 5, two, 6))
         for data in [sent[0]] * len(sent):
-            receiver.take_change(data)
-        assert feed.revisions["s"] == 5
+            receiver.receive_change(data)
+        assert store_watcher.assignment_revisions["s"] == 5
 
     def test_first_assignment_is_sent_as_a_change(self):
-        sender, sent, feed, receiver = self.make_pair()
+        sender, sent, store_watcher, receiver = self.make_pair()
         one, _, _ = self.make_assignments()
-        sender.tell(self.change(nobody(), 0, one, 5))
+        sender.tell(self.change(unassigned(), 0, one, 5))
         for data in sent:
-            receiver.take_change(data)
-        assert feed.assignments["s"].encode() == one.encode()
+            receiver.receive_change(data)
+        assert store_watcher.assignments["s"].encode() == one.encode()
 
     def test_damaged_change_is_ignored(self):
-        _, _, feed, receiver = self.make_pair()
+        _, _, store_watcher, receiver = self.make_pair()
         for data in (b"\x12", b"\x12abc", b"\x12" + zlib.compress(b"[1,2]")):
-            receiver.take_change(data)
-        assert feed.assignments == {}
+            receiver.receive_change(data)
+        assert store_watcher.assignments == {}
--- a/packages/entry/tests/test_permit_client.py
+++ b/packages/entry/tests/test_permit_client.py
@@ -71,22 +71,22 @@
 
     def __init__(self, host, network):
         self.host = host
-        directory = ClusterView()
-        directory.apply(Record(configuration=configuration()), 0.0, False)
-        directory.apply(Record(target=target("a")), 0.0, False)
-        router = Router(directory, None, TargetClients(None), BOUNDS, Random(1))
-        self.server = PermitServer(router.loads, directory, Members())
-        self.turns = PermitClient(Members(), host)
-        self.turns.ask = self.turns.give_back = self.server.send = lambda to, message: (
-            network.deliver(host, to, message.encode())
-        )
+        cluster_view = ClusterView()
+        cluster_view.apply(Record(configuration=configuration()), 0.0, False)
+        cluster_view.apply(Record(target=target("a")), 0.0, False)
+        router = Router(cluster_view, None, TargetClients(None), BOUNDS, Random(1))
+        self.server = PermitServer(router.loads, cluster_view, Members())
+        self.permit_client = PermitClient(Members(), host)
+        self.permit_client.send_request = self.permit_client.send_release = (
+            self.server.send
+        ) = lambda to, message: network.deliver(host, to, message.encode())
         network.vms[host] = self
 
     def receive(self, host, data):
         handlers = {
-            20: self.server.take_ask,
-            21: self.turns.take_reply,
-            22: self.server.take_return,
+            20: self.server.receive_request,
+            21: self.permit_client.receive_reply,
+            22: self.server.receive_release,
         }
         handlers[data[0]](data, host)
 
@@ -98,7 +98,7 @@
         ctx = RequestContext(
             req, route, service, moment + time_left, moment + route.objective
         )
-        return await self.turns.take(ctx, "a", "dc-1")
+        return await self.permit_client.acquire(ctx, "a", "dc-1")
 
 
 @pytest.fixture
@@ -125,7 +125,7 @@
 
 
 def permit_servers(vms):
-    return vms[0].turns._servers_for("a", "dc-1")
+    return vms[0].permit_client._servers_for("a", "dc-1")
 
 
 class TestTurns:
@@ -148,7 +148,7 @@
             waiting = asyncio.create_task(vms[1].take())
             await asyncio.sleep(0.05)
             assert not waiting.done()
-            vms[0].turns.done(first, False, LoadReport(1, 0, 2, 1.0))
+            vms[0].permit_client.release(first, False, LoadReport(1, 0, 2, 1.0))
             await asyncio.sleep(0.005)
             assert waiting.result().server == second.server
 
@@ -167,7 +167,7 @@
             assert caught.value.retry_after > 0
             # The text identifies the decision in the permit server's log.
             server = permit_servers(vms)[0]
-            assert caught.value.turn.startswith(f"queue a keeper {server} number ")
+            assert caught.value.permit.startswith(f"queue a keeper {server} number ")
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
@@ -230,7 +230,7 @@
             await asyncio.sleep(0.01)
             cancelled.cancel()
             await asyncio.sleep(0.01)
-            vms[0].turns.done(turns[0])
+            vms[0].permit_client.release(turns[0])
             await asyncio.sleep(0.01)
             assert remaining.done()
 
@@ -270,8 +270,8 @@
             await asyncio.sleep(0.05)
             serving.server.stop()
             await asyncio.sleep(0.01)
-            for turn in turns:
-                client.turns.done(turn)
+            for permit in turns:
+                client.turns.release(permit)
             await asyncio.sleep(0.01)
             assert waiting.result().server == second
 
@@ -288,13 +288,13 @@
             first = permit_servers(vms)[0]
             client = next(vm for vm in vms if vm.host not in permit_servers(vms))
             for _ in range(3):
-                turn = await client.take()
-                if turn is not None:
-                    client.turns.done(turn)
+                permit = await client.take()
+                if permit is not None:
+                    client.turns.release(permit)
                 await asyncio.sleep(2 * SERVER_BACKOFF_SECONDS)
-            turn = await client.take()
-            assert turn is not None
-            assert turn.server == first
+            permit = await client.take()
+            assert permit is not None
+            assert permit.server == first
 
         run_vms(scenario)
 
@@ -305,8 +305,8 @@
             assert await client.take(3.0) is None
             await asyncio.sleep(0.6)
             network.delay = 0.0005
-            turn = await client.take()
-            assert turn.server == permit_servers(vms)[0]
+            permit = await client.take()
+            assert permit.server == permit_servers(vms)[0]
 
         run_vms(scenario)
 
@@ -338,7 +338,7 @@
     def test_messages_survive_encoding(self):
         ask = PermitRequest.decode(PermitRequest(7, 1, 2, -0.25, 0.3, 0.8, 1).encode())
         assert (ask.number, ask.queue, ask.kind, ask.priority) == (7, 1, 2, 1)
-        assert (ask.wanted, ask.objective, ask.deadline) == (-0.25, 0.3, 0.8)
+        assert (ask.soft_deadline, ask.objective, ask.deadline) == (-0.25, 0.3, 0.8)
         reply = PermitReply.decode(PermitReply(7, 3, 0.125, 9).encode())
         assert (reply.number, reply.status) == (7, 3)
         assert (reply.retry_after, reply.target) == (0.125, 9)
@@ -346,14 +346,14 @@
             PermitRelease(7, 1, checksum("a"), True, LoadReport(3, 0, 2, 1.6)).encode()
         )
         assert (back.target, back.failed) == (checksum("a"), True)
-        assert (back.load.running, back.load.pace) == (3, 1.6)
+        assert (back.load.running, back.load.machine_slowdown) == (3, 1.6)
         assert PermitRelease.decode(PermitRelease(7, 1).encode()).load is None
 
     def test_times_out_of_range_are_clamped(self):
         ask = PermitRequest.decode(
             PermitRequest(1, 1, 2, 900.0, 900.0, 900.0, 999).encode()
         )
-        assert 30 < ask.wanted < 40
+        assert 30 < ask.soft_deadline < 40
         assert ask.deadline == 65.535
 
     @pytest.mark.parametrize("message", [PermitRequest, PermitReply, PermitRelease])
@@ -382,9 +382,12 @@
     def members(self):
         return self.known
 
-    def add(self, name, power):
+    def add(self, name, relative_capacity):
         self.revision += 1
-        self.known = [*self.known, Member(name, "10.0.1.1:1", "dc-1", power)]
+        self.known = [
+            *self.known,
+            Member(name, "10.0.1.1:1", "dc-1", relative_capacity),
+        ]
 
     def remove(self, name):
         self.revision += 1
--- a/packages/entry/tests/test_probes.py
+++ b/packages/entry/tests/test_probes.py
@@ -29,15 +29,15 @@
         return self._members
 
 
-def new_probes(vm, members, records, wire, owns_keys=False):
-    directory = ClusterView()
+def new_probes(vm, members, records, protocol, owns_keys=False):
+    cluster_view = ClusterView()
     cfg = configuration(owns_keys=owns_keys)
-    directory.apply(Record(configuration=cfg), 0.0, False)
+    cluster_view.apply(Record(configuration=cfg), 0.0, False)
     for record in records:
-        directory.apply(Record(target=record), 0.0, False)
-    router = Router(directory, None, TargetClients(None), BOUNDS, Random(1))
-    turns = PermitClient(members, vm)
-    return router, LoadProbes(router.loads, directory, turns, wire)
+        cluster_view.apply(Record(target=record), 0.0, False)
+    router = Router(cluster_view, None, TargetClients(None), BOUNDS, Random(1))
+    permit_client = PermitClient(members, vm)
+    return router, LoadProbes(router.loads, cluster_view, permit_client, protocol)
 
 
 def run_probes(probes, seconds=0.2):
@@ -49,7 +49,7 @@
     asyncio.run(run())
 
 
-def wire(**reports):
+def protocol(**reports):
     targets = FencedTargets()
     targets.reports = reports or {n: LoadReport(1, 0, 2, 1.5) for n in NAMES}
     return targets
@@ -59,12 +59,14 @@
     def test_new_targets_are_probed_once_before_any_request(self):
         # Keys are distributed before the first request. Without any load report the
         # slowest machine would get as many as the fastest.
-        targets = wire()
+        targets = protocol()
         records = [target(n) for n in NAMES]
         router, probes = new_probes("10.0.0.1", Members(), records, targets)
         run_probes(probes)
         assert sorted(targets.probed) == list(NAMES)
-        assert router.loads.for_service("s").slowness() == dict.fromkeys(NAMES, 1.5)
+        assert router.loads.for_service("s").service_time_ratio() == dict.fromkeys(
+            NAMES, 1.5
+        )
 
     def members(self):
         return Members(
@@ -76,7 +78,7 @@
     def probed_by_vm(self, owns_keys):
         probed = {}
         for vm in ("10.0.0.1", "10.0.0.2", "10.0.0.3"):
-            targets = wire()
+            targets = protocol()
             records = [
                 target(n, data_centre="dc-1" if n < "d" else "dc-2") for n in NAMES
             ]
@@ -97,8 +99,12 @@
 
     def test_cold_and_draining_targets_are_not_probed(self):
         # A probe counts as a request, and a cold target handles only a few per second.
-        targets = wire()
-        records = [target("a", cold_left=1e9), target("b", leaving=True), target("c")]
+        targets = protocol()
+        records = [
+            target("a", cold_seconds_left=1e9),
+            target("b", is_draining=True),
+            target("c"),
+        ]
         _, probes = new_probes("10.0.0.1", Members(), records, targets)
         run_probes(probes)
         assert targets.probed == ["c"]
@@ -106,14 +112,14 @@
     def test_unresponsive_target_is_probed_rarely(self):
         # A target hangs. Probed every few milliseconds, it would get a connection each
         # time until none is left for requests.
-        targets = wire()
+        targets = protocol()
         targets.silent.add("a")
         _, probes = new_probes("10.0.0.1", Members(), [target("a")], targets)
         run_probes(probes, 0.8)
         assert targets.probed == ["a"]
 
     def test_target_without_load_reports_is_probed_rarely(self):
-        targets = wire(a=None)
+        targets = protocol(a=None)
         _, probes = new_probes("10.0.0.1", Members(), [target("a")], targets)
         run_probes(probes, 0.5)
         assert targets.probed == ["a"]
--- a/packages/entry/tests/test_queue_service_times.py
+++ b/packages/entry/tests/test_queue_service_times.py
@@ -14,12 +14,12 @@
 
 
 def times(**sizes):
-    directory = ClusterView()
-    directory.apply(Record(configuration=configuration()), 0.0, False)
-    directory.apply(Record(target=target("a", data_centre="dc-1")), 0.0, False)
-    router = Router(directory, None, TargetClients(None), BOUNDS, Random(1))
+    cluster_view = ClusterView()
+    cluster_view.apply(Record(configuration=configuration()), 0.0, False)
+    cluster_view.apply(Record(target=target("a", data_centre="dc-1")), 0.0, False)
+    router = Router(cluster_view, None, TargetClients(None), BOUNDS, Random(1))
     router.loads._answer_sizes = sizes
-    return QueueServiceTimes(router.loads, directory, "s")
+    return QueueServiceTimes(router.loads, cluster_view, "s")
 
 
 class TestDistance:
--- a/packages/entry/tests/test_range_placement.py
+++ b/packages/entry/tests/test_range_placement.py
@@ -5,7 +5,7 @@
 from itertools import pairwise
 
 from berylstage_entry.assignment import KeyRange
-from berylstage_entry.range_placement import deal, merge_ranges
+from berylstage_entry.range_placement import merge_ranges, place_ranges
 from test_rebalancing import TARGET_NAMES, divide_evenly, skewed_rates
 
 
@@ -14,7 +14,7 @@
         capacities = dict.fromkeys(TARGET_NAMES[1:], 20.0)
         rates = skewed_rates(60)
         assignment = divide_evenly(TARGET_NAMES)
-        moves = deal([assignment.ranges[0]], assignment, rates, capacities, 12)
+        moves = place_ranges([assignment.ranges[0]], assignment, rates, capacities, 12)
         assert moves[0].first == 0
         assert moves[-1].last == assignment.ranges[0].last
         for one, other in pairwise(moves):
--- a/packages/entry/tests/test_rebalancing.py
+++ b/packages/entry/tests/test_rebalancing.py
@@ -6,8 +6,8 @@
 
 from berylstage_entry.assignment import LAST_KEY, Assignment, KeyRange
 from berylstage_entry.rebalancing import (
-    CALM_PERIOD,
     MIN_MOVES_PER_ROUND,
+    MIN_ROUND_INTERVAL_SECONDS,
     Rebalancer,
     max_moves_per_round,
     rebalance,
@@ -99,10 +99,10 @@
         # requests would wait for one target until the next regular one.
         capacities = dict.fromkeys(TARGET_NAMES, 20.0)
         rebalancer = Rebalancer(100.0)
-        assert rebalancer.moves(
+        assert rebalancer.due_moves(
             100.0, divide_evenly(TARGET_NAMES), skewed_rates(100), capacities
         )
-        assert rebalancer.moves(
+        assert rebalancer.due_moves(
             100.1, divide_evenly(TARGET_NAMES), skewed_rates(100), capacities
         )
 
@@ -116,12 +116,20 @@
         )
         assert 0.6 < max(utilizations.values()) < 0.8
         rebalancer = Rebalancer(100.0)
-        assert rebalancer.moves(100.0, divide_evenly(TARGET_NAMES), rates, capacities)
-        assert not rebalancer.moves(
-            100.0 + 0.9 * CALM_PERIOD, divide_evenly(TARGET_NAMES), rates, capacities
+        assert rebalancer.due_moves(
+            100.0, divide_evenly(TARGET_NAMES), rates, capacities
         )
-        assert rebalancer.moves(
-            100.0 + CALM_PERIOD, divide_evenly(TARGET_NAMES), rates, capacities
+        assert not rebalancer.due_moves(
+            100.0 + 0.9 * MIN_ROUND_INTERVAL_SECONDS,
+            divide_evenly(TARGET_NAMES),
+            rates,
+            capacities,
+        )
+        assert rebalancer.due_moves(
+            100.0 + MIN_ROUND_INTERVAL_SECONDS,
+            divide_evenly(TARGET_NAMES),
+            rates,
+            capacities,
         )
 
     def test_overloaded_targets_wait_for_the_next_round(self):
@@ -134,8 +142,10 @@
         )
         assert 1.2 < min(utilizations.values()) < max(utilizations.values()) < 2.0
         rebalancer = Rebalancer(100.0)
-        assert rebalancer.moves(100.0, divide_evenly(TARGET_NAMES), rates, capacities)
-        assert not rebalancer.moves(
+        assert rebalancer.due_moves(
+            100.0, divide_evenly(TARGET_NAMES), rates, capacities
+        )
+        assert not rebalancer.due_moves(
             100.5, divide_evenly(TARGET_NAMES), rates, capacities
         )
 
@@ -152,8 +162,8 @@
         )
         assert max(utilizations, key=utilizations.get) == "t10"
         moved_at = 100.0
-        rebalancer = Rebalancer(moved_at + CALM_PERIOD)
-        moves = rebalancer.moves(
+        rebalancer = Rebalancer(moved_at + MIN_ROUND_INTERVAL_SECONDS)
+        moves = rebalancer.due_moves(
             moved_at + 0.1, divide_evenly(TARGET_NAMES), rates, capacities
         )
         utilizations = compute_utilizations(
--- a/packages/entry/tests/test_router.py
+++ b/packages/entry/tests/test_router.py
@@ -25,18 +25,18 @@
 class StoreWatcher:
     """Provides the assignments that a store watcher would have read."""
 
-    def __init__(self, owner="a", former=""):
-        self.revisions = {"s": 4}
+    def __init__(self, owner="a", previous_owner=""):
+        self.assignment_revisions = {"s": 4}
         self.refresh_count = 0
         self.assignments = {
-            "s": Assignment([KeyRange(0, 65535, owner, 1, 5, former)], 9)
+            "s": Assignment([KeyRange(0, 65535, owner, 1, 5, previous_owner)], 9)
         }
 
-    def hurry(self):
+    def request_refresh(self):
         self.refresh_count += 1
 
     def move_to(self, owner):
-        self.revisions = {"s": 5}
+        self.assignment_revisions = {"s": 5}
         self.assignments = {"s": Assignment([KeyRange(0, 65535, owner, 1, 6)], 9)}
 
 
@@ -88,11 +88,11 @@
     idempotent=True,
     owns_keys=False,
     names=("a", "b", "c"),
-    feed=None,
-    turns=None,
+    store_watcher=None,
+    permit_client=None,
     time_left=1.0,
     concurrently=None,
-    directory=None,
+    cluster_view=None,
     **assignment,
 ):
     """Serve one request; return its result and the targets it was sent to."""
@@ -100,15 +100,15 @@
         "r", "h", "/a/", [WeightedService("s", 1.0)], idempotent, 3, 1.0, 0.3, 1
     )
     service = Service("s", "/", 50, 3.0, 5.0, owns_keys)
-    directory = directory or ClusterView()
+    cluster_view = cluster_view or ClusterView()
     cfg = Configuration(1, [route], [service], LIMITS)
-    directory.apply(Record(configuration=cfg), now(), False)
+    cluster_view.apply(Record(configuration=cfg), now(), False)
     for name in names:
-        directory.apply(Record(target=target(name)), now(), False)
+        cluster_view.apply(Record(target=target(name)), now(), False)
     clients = TargetClients(script)
-    feed = feed or StoreWatcher(**assignment)
-    router = Router(directory, feed, clients, BOUNDS, Random(1))
-    router.turns = turns
+    store_watcher = store_watcher or StoreWatcher(**assignment)
+    router = Router(cluster_view, store_watcher, clients, BOUNDS, Random(1))
+    router.permit_client = permit_client
     key = 7 if owns_keys else None
     req = CallerRequest("id", "GET", "h", "/a/x?y", {}, time_left, key)
 
@@ -171,7 +171,7 @@
 
     def test_request_for_a_moving_key_is_refused_before_its_deadline(self):
         started_at = now()
-        error, sent = serve_request([], owns_keys=True, owner="b", former="a")
+        error, sent = serve_request([], owns_keys=True, owner="b", previous_owner="a")
         assert isinstance(error, Refused)
         # The log shows which move the request waited for.
         assert "owner b former a assignment 4" in error.detail
@@ -205,15 +205,17 @@
     def test_new_owner_is_asked_without_a_delay(self):
         # The owner rejects a request because the key has moved. The VM reads the new
         # assignment a moment later, and the request need not wait any longer.
-        feed = StoreWatcher("b")
+        store_watcher = StoreWatcher("b")
 
         def move(result):
-            feed.move_to("c")
+            store_watcher.move_to("c")
             return result
 
         started_at = now()
         script = [lambda: move("elsewhere"), "ok"]
-        status, sent = serve_request(script, owns_keys=True, feed=feed)
+        status, sent = serve_request(
+            script, owns_keys=True, store_watcher=store_watcher
+        )
         assert (status, sent) == (200, ["b", "c"])
         assert now() - started_at < 0.04
 
@@ -221,30 +223,36 @@
         # A lookup was refused because its key was moving. Its caller retries with less
         # than half of the usual time, and the move ends a moment later. A second
         # immediate refusal would fail it.
-        feed = StoreWatcher("a", former="b")
+        store_watcher = StoreWatcher("a", previous_owner="b")
 
         async def end_of_move():
             await asyncio.sleep(0.1)
-            feed.move_to("a")
+            store_watcher.move_to("a")
 
         status, sent = serve_request(
-            ["ok"], owns_keys=True, feed=feed, time_left=0.45, concurrently=end_of_move
+            ["ok"],
+            owns_keys=True,
+            store_watcher=store_watcher,
+            time_left=0.45,
+            concurrently=end_of_move,
         )
         assert (status, sent) == (200, ["a"])
 
     def test_unknown_owner_causes_a_refresh_from_the_store(self):
-        feed = StoreWatcher("")
-        serve_request([], owns_keys=True, feed=feed)
-        assert feed.refresh_count
+        store_watcher = StoreWatcher("")
+        serve_request([], owns_keys=True, store_watcher=store_watcher)
+        assert store_watcher.refresh_count
 
     def test_unknown_route_and_missing_configuration_are_different_errors(self):
-        directory = ClusterView()
-        router = Router(directory, StoreWatcher(), TargetClients([]), BOUNDS, Random(1))
+        cluster_view = ClusterView()
+        router = Router(
+            cluster_view, StoreWatcher(), TargetClients([]), BOUNDS, Random(1)
+        )
         req = CallerRequest("id", "GET", "h", "/none/", {}, 1.0, None)
         with pytest.raises(Refused):
             asyncio.run(router.serve(req))
         cfg = Configuration(1, [], [], LIMITS)
-        directory.apply(Record(configuration=cfg), now(), False)
+        cluster_view.apply(Record(configuration=cfg), now(), False)
         with pytest.raises(BadRequest):
             asyncio.run(router.serve(req))
 
@@ -253,12 +261,12 @@
         route = Route(
             "r", "h", "/a/", [WeightedService("s", 1.0)], True, 3, 1.0, objective, 1
         )
-        directory = ClusterView()
+        cluster_view = ClusterView()
         cfg = Configuration(1, [route], [Service("s", "/", 50, 3.0, 5.0, True)], LIMITS)
-        directory.apply(Record(configuration=cfg), now(), False)
-        directory.apply(Record(target=target("a")), now(), False)
+        cluster_view.apply(Record(configuration=cfg), now(), False)
+        cluster_view.apply(Record(target=target("a")), now(), False)
         clients = TargetClients(["ok"] * 9)
-        return Router(directory, StoreWatcher(), clients, BOUNDS, Random(1)), clients
+        return Router(cluster_view, StoreWatcher(), clients, BOUNDS, Random(1)), clients
 
     def test_overloaded_owner_receives_no_request_that_would_be_late(self):
         # Many VMs send to the owner of one key that needs more than its capacity. Its
@@ -278,7 +286,7 @@
         asyncio.run(router.serve(CallerRequest("1", "GET", "h", "/a/", {}, 1.0, 7)))
         loads = router.loads.for_service("s")
         router.loads.apply_remote_report("a", 4, 1.0, now())
-        expected = loads.expected("a", "r", now())
+        expected = loads.expected_seconds("a", "r", now())
         assert 0.05 < expected < 0.8
         with pytest.raises(Refused):
             short = CallerRequest("2", "GET", "h", "/a/", {}, 0.8 * expected, 7)
@@ -301,101 +309,110 @@
         self.released = []
         self.targets = []
 
-    async def take(self, ctx, queue, data_centre=""):
+    async def acquire(self, ctx, queue, data_centre=""):
         self.queues.append(queue)
         result = self._script.pop(0)
         if isinstance(result, Exception):
             raise result
         if result is None:
             return None
-        turn = Permit(len(self.queues), queue, "10.0.0.1")
-        turn.target = checksum(result)
-        return turn
+        permit = Permit(len(self.queues), queue, "10.0.0.1")
+        permit.target = checksum(result)
+        return permit
 
-    def done(self, turn, failed=False, load=None):
-        self.released.append((turn.number, failed, load))
-        self.targets.append(turn.target)
+    def done(self, permit, failed=False, load=None):
+        self.released.append((permit.number, failed, load))
+        self.targets.append(permit.target)
 
 
 class TestTurns:
     def test_request_without_a_key_is_sent_to_the_permitted_target(self):
         for name in ("a", "b", "c"):
-            turns = ScriptedPermits(name)
-            status, sent = serve_request(["ok"], turns=turns)
+            permit_client = ScriptedPermits(name)
+            status, sent = serve_request(["ok"], permit_client=permit_client)
             assert (status, sent) == (200, [name])
-            assert turns.queues == ["s"]
-            assert turns.released == [(1, False, None)]
+            assert permit_client.queues == ["s"]
+            assert permit_client.released == [(1, False, None)]
 
     def test_request_without_a_permit_is_routed_by_local_data(self):
         # No VM serves the queue: its permit server is lost, or VMs are just starting.
-        assert serve_request(["ok"], turns=ScriptedPermits(None))[0] == 200
+        assert serve_request(["ok"], permit_client=ScriptedPermits(None))[0] == 200
         assert (
-            serve_request(["ok"], owns_keys=True, turns=ScriptedPermits(None))[0] == 200
+            serve_request(["ok"], owns_keys=True, permit_client=ScriptedPermits(None))[
+                0
+            ]
+            == 200
         )
 
     def test_permit_for_a_removed_target_is_released(self):
-        turns = ScriptedPermits("z")
-        assert serve_request(["ok"], turns=turns)[0] == 200
-        assert turns.released == [(1, False, None)]
+        permit_client = ScriptedPermits("z")
+        assert serve_request(["ok"], permit_client=permit_client)[0] == 200
+        assert permit_client.released == [(1, False, None)]
 
     @pytest.mark.parametrize("granted", ["a", None])
     def test_target_that_starts_draining_during_the_wait_is_avoided(self, granted):
         # Guards against requests to a target that left while they waited for their
         # permit, which takes as long as their objective.
-        directory = ClusterView()
+        cluster_view = ClusterView()
 
         class Leaving(ScriptedPermits):
-            async def take(self, ctx, queue, data_centre=""):
+            async def acquire(self, ctx, queue, data_centre=""):
                 for name in ("a", "b"):
-                    record = Record(target=target(name, leaving=True))
-                    directory.apply(record, now(), False)
-                return await super().take(ctx, queue, data_centre)
+                    record = Record(target=target(name, is_draining=True))
+                    cluster_view.apply(record, now(), False)
+                return await super().acquire(ctx, queue, data_centre)
 
-        _, sent = serve_request([], turns=Leaving(granted), directory=directory)
+        _, sent = serve_request(
+            [], permit_client=Leaving(granted), cluster_view=cluster_view
+        )
         assert sent == ["c"]
 
     def test_retry_avoids_the_target_that_failed(self):
         # The permit server does not know which target lost this request.
-        turns = ScriptedPermits("a")
-        status, sent = serve_request([LOST, "ok"], turns=turns)
+        permit_client = ScriptedPermits("a")
+        status, sent = serve_request([LOST, "ok"], permit_client=permit_client)
         assert status == 200
         assert sent[0] == "a" != sent[1]
-        assert turns.released == [(1, True, None)]
+        assert permit_client.released == [(1, True, None)]
 
     def test_target_that_rejects_permitted_requests_is_retried_immediately(self):
         # Targets reject half of the requests although they have free slots. A delay
         # before each retry, and before the caller's retry, makes the answer late.
-        turns = ScriptedPermits("a", "a")
+        permit_client = ScriptedPermits("a", "a")
         started_at = now()
-        status, sent = serve_request(["full", "ok"], owns_keys=True, turns=turns)
+        status, sent = serve_request(
+            ["full", "ok"], owns_keys=True, permit_client=permit_client
+        )
         assert (status, sent) == (200, ["a", "a"])
         assert now() - started_at < 0.04
 
     def test_caller_may_retry_immediately_if_the_target_had_free_slots(self):
-        turns = ScriptedPermits("a", "a", PermitRefused(0.0))
-        error, _ = serve_request(["full", "full"], owns_keys=True, turns=turns)
+        permit_client = ScriptedPermits("a", "a", PermitRefused(0.0))
+        error, _ = serve_request(
+            ["full", "full"], owns_keys=True, permit_client=permit_client
+        )
         assert isinstance(error, Refused)
         assert error.retry_after < 0.05
 
     def test_disconnected_caller_is_no_failure_of_the_target(self):
         # Callers disconnect while they wait. Reported as failures of the target, these
         # caused its ejection for all requests.
-        turns = ScriptedPermits("a")
+        permit_client = ScriptedPermits("a")
 
         def leave():
             raise asyncio.CancelledError
 
         with pytest.raises(asyncio.CancelledError):
-            serve_request([leave], turns=turns)
-        ((_, _, load),) = turns.released
+            serve_request([leave], permit_client=permit_client)
+        ((_, _, load),) = permit_client.released
         assert load is None
-        assert turns.targets == [0]
+        assert permit_client.targets == [0]
 
     def test_refused_permit_determines_the_retry_delay(self):
         # The owner is overloaded. Its callers are refused immediately with the expected
         # wait, spread so that those refused together do not retry at the same moment.
-        turns = ScriptedPermits(PermitRefused(0.2))
-        error, sent = serve_request(["ok"], owns_keys=True, turns=turns)
+        permit_client = ScriptedPermits(PermitRefused(0.2))
+        error, sent = serve_request(["ok"], owns_keys=True, permit_client=permit_client)
         assert sent == []
         assert error.reason == "owner-busy"
         assert 0.2 <= error.retry_after <= 0.25
@@ -404,36 +421,45 @@
         # Guards against a request to a target that has left, or an error because it is
         # no longer known: the permit server of the queue is lost, and detecting this
         # takes time.
-        feed, directory = StoreWatcher(), ClusterView()
+        store_watcher, cluster_view = StoreWatcher(), ClusterView()
 
         class Lost(ScriptedPermits):
-            async def take(self, ctx, queue, data_centre=""):
+            async def acquire(self, ctx, queue, data_centre=""):
                 if queue == "a":
-                    directory.apply(Record(gone="a"), now(), False)
-                    feed.move_to("b")
-                return await super().take(ctx, queue, data_centre)
+                    cluster_view.apply(Record(removed_target="a"), now(), False)
+                    store_watcher.move_to("b")
+                return await super().acquire(ctx, queue, data_centre)
 
-        turns = Lost(None, None)
+        permit_client = Lost(None, None)
         status, sent = serve_request(
-            [], owns_keys=True, feed=feed, turns=turns, directory=directory
+            [],
+            owns_keys=True,
+            store_watcher=store_watcher,
+            permit_client=permit_client,
+            cluster_view=cluster_view,
         )
         assert (status, sent) == (200, ["b"])
 
     def test_key_that_moves_during_the_wait_for_a_permit(self):
         # The key of a request moves to another target while it waits for a permit at
         # the previous owner, which would reject it.
-        feed = StoreWatcher("a")
+        store_watcher = StoreWatcher("a")
 
         class Moving(ScriptedPermits):
-            async def take(self, ctx, queue, data_centre=""):
-                feed.move_to("b")
-                return await super().take(ctx, queue, data_centre)
+            async def acquire(self, ctx, queue, data_centre=""):
+                store_watcher.move_to("b")
+                return await super().acquire(ctx, queue, data_centre)
 
-        turns = Moving("a", "b")
-        status, sent = serve_request(["ok"], owns_keys=True, feed=feed, turns=turns)
+        permit_client = Moving("a", "b")
+        status, sent = serve_request(
+            ["ok"],
+            owns_keys=True,
+            store_watcher=store_watcher,
+            permit_client=permit_client,
+        )
         assert (status, sent) == (200, ["b"])
-        assert turns.queues == ["a", "b"]
-        assert [number for number, *_ in turns.released] == [1, 2]
+        assert permit_client.queues == ["a", "b"]
+        assert [number for number, *_ in permit_client.released] == [1, 2]
 
 
 class TestColdTargets:
@@ -449,22 +475,32 @@
             lambda name, *rest: queues.append(name) or real(name, *rest),
         )
         service = Service("s", "/", 50, 3.0, 5.0, False)
-        directory = ClusterView()
+        cluster_view = ClusterView()
         for name in ("a", "b", "c"):
-            cold = target(name, cold_left=9.0)
-            directory.apply(Record(target=cold), now(), False)
+            cold = target(name, cold_seconds_left=9.0)
+            cluster_view.apply(Record(target=cold), now(), False)
         router = Router(
-            directory, StoreWatcher(), TargetClients([]), BOUNDS, Random(1), "", "vm-1"
+            cluster_view,
+            StoreWatcher(),
+            TargetClients([]),
+            BOUNDS,
+            Random(1),
+            "",
+            "vm-1",
         )
-        router.cold.vm_names = [f"vm-{n}" for n in range(200)]
+        router.cold_targets.vm_names = [f"vm-{n}" for n in range(200)]
         first = [
-            router.cold.may_send(name, service) for name in "abc" for _ in range(50)
+            router.cold_targets.may_send(name, service)
+            for name in "abc"
+            for _ in range(50)
         ]
         assert queues == ["a", "b", "c"]
         # A change of the known VMs causes a new computation.
-        router.cold.vm_names = [*router.cold.vm_names, "vm-200"]
+        router.cold_targets.vm_names = [*router.cold_targets.vm_names, "vm-200"]
         second = [
-            router.cold.may_send(name, service) for name in "abc" for _ in range(50)
+            router.cold_targets.may_send(name, service)
+            for name in "abc"
+            for _ in range(50)
         ]
         assert queues == ["a", "b", "c"] * 2
         assert len(first) == len(second)
--- a/packages/entry/tests/test_server.py
+++ b/packages/entry/tests/test_server.py
@@ -18,10 +18,10 @@
 
 
 class PlainCallerProtocol(CallerProtocol):
-    def request(self, method, uri, headers):
+    def parse_request(self, method, uri, headers):
         return CallerRequest("id", method, "h", uri, {}, 5.0, None)
 
-    def refusal_headers(self, retry_after):
+    def retry_after_headers(self, retry_after):
         return []
 
 
