--- a/packages/entry/src/berylstage_entry/assignment.py
+++ b/packages/entry/src/berylstage_entry/assignment.py
@@ -201,7 +201,7 @@
 
         Raises
         ------
-        UnreadableRecord
+        InvalidRecord
             The value is not a valid assignment.
         """
         try:
--- a/packages/entry/src/berylstage_entry/assignment_delta.py
+++ b/packages/entry/src/berylstage_entry/assignment_delta.py
@@ -138,7 +138,7 @@
 
         Raises
         ------
-        UnreadableRecord
+        InvalidRecord
             If the datagram is not a valid change.
         """
         try:
--- a/packages/entry/src/berylstage_entry/assignment_writer.py
+++ b/packages/entry/src/berylstage_entry/assignment_writer.py
@@ -35,8 +35,8 @@
     Parameters
     ----------
     store : Store
-    store_watcher : Feed
-    election : Office
+    store_watcher : StoreWatcher
+    election : CoordinatorElection
     """
 
     def __init__(
--- a/packages/entry/src/berylstage_entry/coordinator_election.py
+++ b/packages/entry/src/berylstage_entry/coordinator_election.py
@@ -123,8 +123,8 @@
     ----------
     cfg : EntrySettings
     store : Store
-    store_watcher : Feed
-    peers : Peers
+    store_watcher : StoreWatcher
+    peers : PeerClient
     rng : Random
     """
 
--- a/packages/entry/src/berylstage_entry/coordinator_watch.py
+++ b/packages/entry/src/berylstage_entry/coordinator_watch.py
@@ -34,7 +34,7 @@
     Parameters
     ----------
     store : Store
-    store_watcher : Feed
+    store_watcher : StoreWatcher
     """
 
     def __init__(self, store: Store, store_watcher: StoreWatcher):
--- a/packages/entry/src/berylstage_entry/grant_controller.py
+++ b/packages/entry/src/berylstage_entry/grant_controller.py
@@ -88,10 +88,10 @@
     Parameters
     ----------
     store : Store
-    store_watcher : Feed
-    cluster_view : Directory
-    election : Office
-    protocol : TargetWire
+    store_watcher : StoreWatcher
+    cluster_view : ClusterView
+    election : CoordinatorElection
+    protocol : TargetProtocol
     """
 
     def __init__(
--- a/packages/entry/src/berylstage_entry/grant_renewer.py
+++ b/packages/entry/src/berylstage_entry/grant_renewer.py
@@ -53,10 +53,10 @@
 
     Parameters
     ----------
-    store_watcher : Feed
-    cluster_view : Directory
-    election : Office
-    protocol : TargetWire
+    store_watcher : StoreWatcher
+    cluster_view : ClusterView
+    election : CoordinatorElection
+    protocol : TargetProtocol
     """
 
     def __init__(
--- a/packages/entry/src/berylstage_entry/key_moves.py
+++ b/packages/entry/src/berylstage_entry/key_moves.py
@@ -41,10 +41,10 @@
 
     Parameters
     ----------
-    cluster_view : Directory
-    election : Office
-    protocol : TargetWire
-    grant_renewer : Renewals
+    cluster_view : ClusterView
+    election : CoordinatorElection
+    protocol : TargetProtocol
+    grant_renewer : GrantRenewer
     """
 
     def __init__(
--- a/packages/entry/src/berylstage_entry/permit_client.py
+++ b/packages/entry/src/berylstage_entry/permit_client.py
@@ -172,7 +172,7 @@
 
         Raises
         ------
-        TurnRefused
+        PermitRefused
             The request would be answered too late.
         """
         for server in self._servers_for(queue, data_centre):
--- a/packages/entry/src/berylstage_entry/permit_messages.py
+++ b/packages/entry/src/berylstage_entry/permit_messages.py
@@ -106,7 +106,7 @@
 
         Raises
         ------
-        UnreadableRecord
+        InvalidRecord
             The datagram is malformed.
         """
         _, number, queue, kind, soft_deadline, objective, deadline, priority = _unpack(
@@ -153,7 +153,7 @@
 
         Raises
         ------
-        UnreadableRecord
+        InvalidRecord
             The datagram is malformed.
         """
         _, number, status, ms, target = _unpack(_REPLY, data)
@@ -216,7 +216,7 @@
 
         Raises
         ------
-        UnreadableRecord
+        InvalidRecord
             The datagram is malformed.
         """
         _, number, queue, target, active, machine_slowdown, failed = _unpack(
--- a/packages/entry/src/berylstage_entry/store.py
+++ b/packages/entry/src/berylstage_entry/store.py
@@ -108,7 +108,7 @@
 
         Raises
         ------
-        HistoryLost
+        RevisionCompacted
             If the store has compacted these changes.
         """
 
@@ -125,7 +125,7 @@
         ------
         Conflict
             If a condition did not hold.
-        LeaseEnded
+        LeaseExpired
             If a lease has expired.
         """
 
@@ -139,7 +139,7 @@
 
         Raises
         ------
-        LeaseEnded
+        LeaseExpired
             If the lease has expired.
         """
 
--- a/packages/entry/src/berylstage_entry/store_delta.py
+++ b/packages/entry/src/berylstage_entry/store_delta.py
@@ -175,7 +175,7 @@
 
         Raises
         ------
-        UnreadableRecord
+        InvalidRecord
             If the datagram is not a valid delta.
         """
         try:
--- a/packages/entry/tests/cluster_simulation.py
+++ b/packages/entry/tests/cluster_simulation.py
@@ -41,10 +41,10 @@
         self._cluster = cluster
         self._own = own
 
-    def others(self):
+    def other_addresses(self):
         return sorted(str(n) for n in VMS if n != self._own)
 
-    async def ask(self, address, path, body=b""):
+    async def call(self, address, path, body=b""):
         vm = self._cluster.vms.get(address)
         if vm is None:
             return None
@@ -57,7 +57,7 @@
         )
 
     async def call_all(self, path):
-        return [await self.ask(address, path) for address in self.others()]
+        return [await self.call(address, path) for address in self.other_addresses()]
 
 
 class SimulatedVm:
--- a/packages/entry/tests/test_grant_controller.py
+++ b/packages/entry/tests/test_grant_controller.py
@@ -34,10 +34,10 @@
     def __init__(self):
         self.vms = {}
 
-    def others(self):
+    def other_addresses(self):
         return sorted(self.vms)
 
-    async def ask(self, address, path, body=b""):
+    async def call(self, address, path, body=b""):
         vm = self.vms.get(address)
         if vm is None or vm.is_dead:
             return None
@@ -50,7 +50,7 @@
         )
 
     async def call_all(self, path):
-        return [await self.ask(address, path) for address in self.others()]
+        return [await self.call(address, path) for address in self.other_addresses()]
 
 
 def connect_peers(*vms):
@@ -426,7 +426,7 @@
                     for r in first.store_watcher.assignments["s"].ranges
                 )
             )
-            store_view.away = True
+            store_view.is_unreachable = True
             if not answers:
                 await asyncio.sleep(1.0)
                 first.kill()
@@ -636,7 +636,7 @@
             await wait_until(lambda: have_all_holders(protocol))
             second.start()
             await asyncio.sleep(0.5)
-            store_view.away = True
+            store_view.is_unreachable = True
             end = now() + 4.0
             while now() < end:
                 assert not first.election.extends_grants
--- a/packages/ownership/src/berylstage_ownership/planner.py
+++ b/packages/ownership/src/berylstage_ownership/planner.py
@@ -32,8 +32,8 @@
         Parameters
         ----------
         service : str
-        holdings : list of Holding
-        places : list of Place
+        holdings : list of ShardPlacement
+        places : list of PlacementTarget
         budget : int
             Moves that only improve the balance; shards whose owner is not eligible
             move in any case.
@@ -42,7 +42,7 @@
 
         Returns
         -------
-        list of Move
+        list of ShardMove
         """
 
     def keys_apart(
--- a/packages/policy/src/berylstage_policy/placement.py
+++ b/packages/policy/src/berylstage_policy/placement.py
@@ -141,9 +141,9 @@
 
     Parameters
     ----------
-    placements : list of Holding
+    placements : list of ShardPlacement
         All shards of one service.
-    targets : list of Place
+    targets : list of PlacementTarget
         All targets of that service.
     budget : int
         Maximum number of balancing moves in this plan. Mandatory moves are not limited
@@ -152,7 +152,7 @@
 
     Returns
     -------
-    list of Move
+    list of ShardMove
         Mandatory moves first. Empty if no target is eligible.
     """
     bins = {
--- a/packages/policy/src/berylstage_policy/retries.py
+++ b/packages/policy/src/berylstage_policy/retries.py
@@ -117,7 +117,7 @@
         is_repeatable : bool
             Whether the request is idempotent. Any other request is retried only if it
             certainly did not run.
-        outcome : Outcome
+        outcome : AttemptOutcome
         time_left : float
             Seconds until the caller's deadline.
         attempt : int
--- a/packages/policy/src/berylstage_policy/target_queue.py
+++ b/packages/policy/src/berylstage_policy/target_queue.py
@@ -232,7 +232,7 @@
         now : float
         seconds : float
             Seconds since the request was started.
-        outcome : Outcome
+        outcome : AttemptOutcome
         incarnation : str, default=""
             Identifier of the target's process named in the reply; empty without a
             reply.
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -99,7 +99,7 @@
 
     def test_parses_cpu_and_link_limits(self):
         assert parse_settings(SETTINGS).cores == 0.86
-        assert parse_settings(SETTINGS).link == 1000.0
+        assert parse_settings(SETTINGS).link_mbps == 1000.0
 
     def test_reports_all_faults_together(self):
         text = SETTINGS.replace("10.200.1.7:8384", "store").replace("zone=a\n", "")
