--- a/packages/entry/src/berylstage_entry/permit_client.py
+++ b/packages/entry/src/berylstage_entry/permit_client.py
@@ -148,9 +148,7 @@
         self._reply_timeout = ReplyTimeout()
         # Send a message to the VM of a host, which may be this one.
         self.send_request: Callable[[str, PermitRequest], None] = lambda host, ask: None
-        self.send_release: Callable[[str, PermitRelease], None] = lambda host, release: (
-            None
-        )
+        self.send_release: Callable[[str, PermitRelease], None] = lambda host, _: None
 
     async def acquire(
         self, ctx: RequestContext, queue: str, data_centre: str = ""
