--- a/packages/entry/tests/test_permit_client.py
+++ b/packages/entry/tests/test_permit_client.py
@@ -271,7 +271,7 @@
             serving.server.stop()
             await asyncio.sleep(0.01)
             for permit in turns:
-                client.turns.release(permit)
+                client.permit_client.release(permit)
             await asyncio.sleep(0.01)
             assert waiting.result().server == second
 
@@ -290,7 +290,7 @@
             for _ in range(3):
                 permit = await client.take()
                 if permit is not None:
-                    client.turns.release(permit)
+                    client.permit_client.release(permit)
                 await asyncio.sleep(2 * SERVER_BACKOFF_SECONDS)
             permit = await client.take()
             assert permit is not None
--- a/packages/entry/tests/test_router.py
+++ b/packages/entry/tests/test_router.py
@@ -320,7 +320,7 @@
         permit.target = checksum(result)
         return permit
 
-    def done(self, permit, failed=False, load=None):
+    def release(self, permit, failed=False, load=None):
         self.released.append((permit.number, failed, load))
         self.targets.append(permit.target)
 
--- a/packages/entry/tests/test_target_clients.py
+++ b/packages/entry/tests/test_target_clients.py
@@ -19,7 +19,7 @@
         # A target resets connections beyond the number it accepts from all VMs, and
         # then it is unknown whether their requests have run.
         clients = TargetClients(None)
-        clients.vms = vms
+        clients.vm_count = vms
         assert 1 <= clients.connection_share(accepted) * vms <= 0.75 * accepted
 
 
@@ -115,7 +115,7 @@
             server = SlowTarget(0.2)
             known = target("i-1", address=f"127.0.0.1:{await server.start()}")
             clients = TargetClients(PlainTargets())
-            clients.vms = 50
+            clients.vm_count = 50
             sender = clients.get(known, 50)
             first = asyncio.create_task(sender.send(request("o-1"), 2.0))
             second = asyncio.create_task(sender.send(request("o-2"), 2.0))
