--- a/packages/entry/src/berylstage_entry/membership.py
+++ b/packages/entry/src/berylstage_entry/membership.py
@@ -25,8 +25,8 @@
 # be exact.
 LEASE_SECONDS = 20.0
 # Three renewals fit into the term of the lease. They need not detect the loss of the
-# store: `StoreWatcher.contact` checks it when asked, and so do the VM's own reads when
-# no delta arrives.
+# store: `StoreWatcher.probe_store` checks it when asked, and so do the VM's own reads
+# when no delta arrives.
 RENEWAL_INTERVAL_SECONDS = 5.0
 # Shortest delay before a failed call is retried.
 RETRY_SECONDS = 1.0
--- a/packages/entry/tests/fakes.py
+++ b/packages/entry/tests/fakes.py
@@ -55,7 +55,7 @@
 
 
 class MemoryStore(Store):
-    """The store in memory; `away` makes every call fail."""
+    """The store in memory; `is_unreachable` makes every call fail."""
 
     def __init__(self):
         self.items: dict[str, Item] = {}
@@ -173,7 +173,7 @@
 
 
 class StoreView(Store):
-    """The same store as one VM sees it; `away` partitions this VM alone."""
+    """The same store as one VM sees it; `is_unreachable` partitions it."""
 
     def __init__(self, store):
         self._store = store
--- a/packages/entry/tests/fleet.py
+++ b/packages/entry/tests/fleet.py
@@ -44,7 +44,7 @@
         # VMs that neither reach the store nor receive updates.
         self.partitioned = set()
         self.reports = {}
-        self.views, self.feeds = [], []
+        self.views, self.watchers = [], []
         records = JsonRecords({1: configuration(1), 2: configuration(2)})
         for n in range(vms):
             view = CountingView(self.store, self.calls)
@@ -54,10 +54,10 @@
             store_watcher.is_standby = lambda n=n: n < 3
             store_watcher.publish = self.tell
             self.views.append(view)
-            self.feeds.append(store_watcher)
+            self.watchers.append(store_watcher)
 
     def tell(self, delta):
-        for n, store_watcher in enumerate(self.feeds):
+        for n, store_watcher in enumerate(self.watchers):
             if n and n not in self.partitioned:
                 for part in delta.split():
                     store_watcher.apply_delta(StoreDelta.decode(part.encode()))
@@ -76,7 +76,7 @@
 
     def start(self):
         async def start():
-            for store_watcher in self.feeds:
+            for store_watcher in self.watchers:
                 store_watcher.start()
             await asyncio.sleep(5.0)
 
@@ -98,7 +98,7 @@
             while now() < end:
                 await asyncio.sleep(min(0.2, end - now()))
                 # Other parts of a VM call the store too, for example for its lease.
-                for view, store_watcher in zip(self.views, self.feeds, strict=True):
+                for view, store_watcher in zip(self.views, self.watchers, strict=True):
                     if view.is_unreachable:
                         await store_watcher.probe_store()
                 for name, fields in self.reports.items():
--- a/packages/entry/tests/test_load_reporter.py
+++ b/packages/entry/tests/test_load_reporter.py
@@ -19,27 +19,27 @@
 from fakes import configuration
 
 
-class FakeOffice:
+class FakeElection:
     def __init__(self, address):
         self._address = address
 
-    def holds(self):
+    def is_coordinator(self):
         return not self._address
 
     def coordinator_address(self):
         return self._address
 
 
-class FakeGranting:
+class FakeGrantController:
     def __init__(self):
         self.counts = []
-        self.speeds = []
+        self.service_times = []
 
-    def counted(self, service, counts):
+    def add_key_counts(self, service, counts):
         self.counts.append((service, counts))
 
     def add_service_times(self, service, mean, service_time_ratio):
-        self.speeds.append((service, mean, service_time_ratio))
+        self.service_times.append((service, mean, service_time_ratio))
 
 
 class FakeRouter:
@@ -71,11 +71,15 @@
 def make_reporter(address=""):
     cluster_view = ClusterView()
     cluster_view.apply(Record(configuration=configuration()), 0.0, False)
-    datagrams, grant_controller, router = FakeDatagrams(), FakeGranting(), FakeRouter()
+    datagrams, grant_controller, router = (
+        FakeDatagrams(),
+        FakeGrantController(),
+        FakeRouter(),
+    )
     reporter = LoadReporter(
         router,
         grant_controller,
-        FakeOffice(address),
+        FakeElection(address),
         cluster_view,
         datagrams,
         Random(1),
@@ -145,13 +149,13 @@
         assert receiver.receive_service_times(
             json.dumps([["s", 0.1, {"a": 2}]]).encode()
         )
-        assert grant_controller.speeds == [("s", 0.1, {"a": 2.0})]
+        assert grant_controller.service_times == [("s", 0.1, {"a": 2.0})]
 
     @pytest.mark.parametrize("body", [b"", b"[1]", b'[["s"]]', b'[["s", 1, 2]]'])
     def test_invalid_service_times_are_ignored(self, body):
         receiver, _, grant_controller, _ = make_reporter()
         assert not receiver.receive_service_times(body)
-        assert grant_controller.speeds == []
+        assert grant_controller.service_times == []
 
     def test_with_more_vms_each_reports_less_often(self):
         # Otherwise 76 VMs would send 76 reports a second about all targets to the
--- a/packages/entry/tests/test_peer_updates.py
+++ b/packages/entry/tests/test_peer_updates.py
@@ -88,8 +88,8 @@
         sender, sent, store_watcher, receiver = self.make_pair()
         one, two, three = self.make_assignments()
         store_watcher.apply_pushed_item(self.item(one, 5))
-        sender.tell(self.change(one, 5, two, 6))
-        sender.tell(self.change(two, 6, three, 7))
+        sender.broadcast_change(self.change(one, 5, two, 6))
+        sender.broadcast_change(self.change(two, 6, three, 7))
         assert [len(data) < 200 for data in sent] == [True, True]
         for data in sent:
             receiver.receive_change(data)
@@ -102,8 +102,8 @@
         sender, sent, store_watcher, receiver = self.make_pair()
         one, two, three = self.make_assignments()
         store_watcher.apply_pushed_item(self.item(one, 5))
-        sender.tell(self.change(one, 5, two, 6))
-        sender.tell(self.change(two, 6, three, 7))
+        sender.broadcast_change(self.change(one, 5, two, 6))
+        sender.broadcast_change(self.change(two, 6, three, 7))
         receiver.receive_change(sent[1])
         assert store_watcher.assignment_revisions["s"] == 5
         assert store_watcher._read_requested.is_set()
@@ -111,7 +111,7 @@
     def test_delayed_change_is_ignored(self):
         sender, sent, store_watcher, receiver = self.make_pair()
         one, two, three = self.make_assignments()
-        sender.tell(self.change(one, 5, two, 6))
+        sender.broadcast_change(self.change(one, 5, two, 6))
         store_watcher.apply_pushed_item(self.item(three, 7))
         receiver.receive_change(sent[0])
         assert store_watcher.assignment_revisions["s"] == 7
@@ -134,7 +134,7 @@
         sender, sent, store_watcher, receiver = self.make_pair()
         one, two = self.lost_data_centre()
         store_watcher.apply_pushed_item(self.item(one, 5))
-        sender.tell(self.change(one, 5, two, 6))
+        sender.broadcast_change(self.change(one, 5, two, 6))
         assert len(sent) > 1
         assert all(len(data) <= 1400 for data in sent)
         for data in reversed(sent):
@@ -148,7 +148,7 @@
         sender, sent, store_watcher, receiver = self.make_pair()
         one, two = self.lost_data_centre()
         store_watcher.apply_pushed_item(self.item(one, 5))
-        sender.tell(self.change(one, 5, two, 6))
+        sender.broadcast_change(self.change(one, 5, two, 6))
         for data in [sent[0]] * len(sent):
             receiver.receive_change(data)
         assert store_watcher.assignment_revisions["s"] == 5
@@ -156,7 +156,7 @@
     def test_first_assignment_is_sent_as_a_change(self):
         sender, sent, store_watcher, receiver = self.make_pair()
         one, _, _ = self.make_assignments()
-        sender.tell(self.change(unassigned(), 0, one, 5))
+        sender.broadcast_change(self.change(unassigned(), 0, one, 5))
         for data in sent:
             receiver.receive_change(data)
         assert store_watcher.assignments["s"].encode() == one.encode()
--- a/packages/entry/tests/test_store_watcher.py
+++ b/packages/entry/tests/test_store_watcher.py
@@ -25,37 +25,39 @@
 
 
 @pytest.fixture
-def feeds():
+def running_watchers():
     with virtual_loop() as loop:
         store, calls = MemoryStore(), []
         store.put("cfg", b"1")
         store.put(COORDINATOR_KEY, b'{"control": "vm-0:1"}')
         records = JsonRecords({1: configuration()})
-        found = []
+        watchers = []
         for n in range(VMS):
             store_watcher = StoreWatcher(
                 CountingView(store, calls), records, ClusterView()
             )
             store_watcher.vm_count = VMS
             store_watcher.is_standby = lambda n=n: n < 3
-            found.append(store_watcher)
+            watchers.append(store_watcher)
 
         async def start():
-            for store_watcher in found:
+            for store_watcher in watchers:
                 store_watcher.start()
             await asyncio.sleep(2.0)
 
         loop.run_until_complete(start())
-        yield loop, store, calls, found
-        for store_watcher in found:
+        yield loop, store, calls, watchers
+        for store_watcher in watchers:
             store_watcher.stop()
 
 
 class TestOutage:
-    def test_calls_to_an_unavailable_store_do_not_grow_with_the_vms(self, feeds):
+    def test_calls_to_an_unavailable_store_do_not_grow_with_the_vms(
+        self, running_watchers
+    ):
         # Guards against a load that grows with the number of VMs: 63 VMs that retry
         # three times a second make more calls in ten seconds than in the rest of a day.
-        loop, store, calls, _ = feeds
+        loop, store, calls, _ = running_watchers
         store.is_unreachable = True
         before = len(calls)
         loop.run_until_complete(asyncio.sleep(10.0))
@@ -64,21 +66,21 @@
             10 * OUTAGE_CALLS_PER_SECOND + VMS + standby_calls
         )
 
-    def test_standbys_notice_soon_that_the_store_has_recovered(self, feeds):
-        loop, store, _, found = feeds
+    def test_standbys_notice_soon_that_the_store_has_recovered(self, running_watchers):
+        loop, store, _, watchers = running_watchers
         store.is_unreachable = True
         loop.run_until_complete(asyncio.sleep(5.0))
         store.is_unreachable = False
         loop.run_until_complete(asyncio.sleep(RETRY_SECONDS + 0.05))
-        assert all(store_watcher.is_up_to_date() for store_watcher in found[:3])
+        assert all(store_watcher.is_up_to_date() for store_watcher in watchers[:3])
 
-    def test_all_vms_notice_that_the_store_has_recovered(self, feeds):
-        loop, store, _, found = feeds
+    def test_all_vms_notice_that_the_store_has_recovered(self, running_watchers):
+        loop, store, _, watchers = running_watchers
         store.is_unreachable = True
         loop.run_until_complete(asyncio.sleep(5.0))
         store.is_unreachable = False
         loop.run_until_complete(asyncio.sleep(1.5 * VMS / OUTAGE_CALLS_PER_SECOND))
-        assert all(store_watcher.is_up_to_date() for store_watcher in found)
+        assert all(store_watcher.is_up_to_date() for store_watcher in watchers)
 
 
 class TestContact:
@@ -104,21 +106,21 @@
         return n % self.DATA_CENTRES
 
     @pytest.fixture
-    def publishing_feeds(self, feeds):
+    def publishing_watchers(self, running_watchers):
         """Return VMs with one publisher and one local publisher per data centre."""
-        _, _, _, found = feeds
-        found[0].is_publisher = lambda: self.has_publisher
+        _, _, _, watchers = running_watchers
+        watchers[0].is_publisher = lambda: self.has_publisher
 
         def publish(publisher, delta):
-            for n, store_watcher in enumerate(found):
+            for n, store_watcher in enumerate(watchers):
                 same_data_centre = self.data_centre(n) == self.data_centre(publisher)
                 if n != publisher and (
-                    found[publisher].is_publisher() or same_data_centre
+                    watchers[publisher].is_publisher() or same_data_centre
                 ):
                     for part in delta.split():
                         store_watcher.apply_delta(StoreDelta.decode(part.encode()))
 
-        for n, store_watcher in enumerate(found):
+        for n, store_watcher in enumerate(watchers):
             store_watcher.publish = lambda delta, n=n: publish(n, delta)
             store_watcher.is_local_publisher = lambda n=n: (
                 self.DATA_CENTRES <= n < 2 * self.DATA_CENTRES
@@ -126,7 +128,7 @@
             # The watch of the coordinator key is not counted here.
             store_watcher.is_standby = lambda: False
         self.has_publisher = True
-        return feeds
+        return running_watchers
 
     def report(self, store, seconds):
         async def report_for_a_while():
@@ -136,31 +138,35 @@
 
         return report_for_a_while()
 
-    def test_loss_of_the_publisher_causes_no_rush_to_the_store(self, publishing_feeds):
+    def test_loss_of_the_publisher_causes_no_rush_to_the_store(
+        self, publishing_watchers
+    ):
         # Guards against 63 VMs that each read the store twice while there is no
         # publisher, which is when the election of a coordinator needs the store.
-        loop, store, calls, found = publishing_feeds
+        loop, store, calls, watchers = publishing_watchers
         loop.run_until_complete(self.report(store, 3.0))
         self.has_publisher = False
-        found[0].stop()
+        watchers[0].stop()
         before = len(calls)
         loop.run_until_complete(self.report(store, 3.0))
         assert len(calls) - before <= self.DATA_CENTRES * (3.0 / 0.7 + 1)
-        newest = max(store_watcher._revision for store_watcher in found)
-        assert min(store_watcher._revision for store_watcher in found[1:]) > newest - 10
+        newest = max(store_watcher._revision for store_watcher in watchers)
+        assert (
+            min(store_watcher._revision for store_watcher in watchers[1:]) > newest - 10
+        )
 
-    def test_next_publisher_leaves_no_gap(self, publishing_feeds):
+    def test_next_publisher_leaves_no_gap(self, publishing_watchers):
         # The last update of the lost publisher did not reach all VMs. Unless the next
         # publisher includes these changes, every VM that missed them reads the store.
-        loop, store, calls, found = publishing_feeds
+        loop, store, calls, watchers = publishing_watchers
         loop.run_until_complete(self.report(store, 1.0))
-        missing, next_publisher = found[10], found[4]
+        missing, next_publisher = watchers[10], watchers[4]
         original = missing.apply_delta
         missing.apply_delta = lambda delta: False
         loop.run_until_complete(self.report(store, 0.5))
         missing.apply_delta = original
         self.has_publisher = False
-        found[0].stop()
+        watchers[0].stop()
         next_publisher.is_publisher = lambda: True
         before = len(calls)
         loop.run_until_complete(self.report(store, 1.0))
@@ -168,18 +174,18 @@
         assert len(calls) - before <= 2 * self.DATA_CENTRES + 3
 
     def test_data_centre_without_a_local_publisher_reads_the_store(
-        self, publishing_feeds
+        self, publishing_watchers
     ):
-        loop, store, _, found = publishing_feeds
-        for store_watcher in found:
+        loop, store, _, watchers = publishing_watchers
+        for store_watcher in watchers:
             store_watcher.is_local_publisher = lambda: False
         self.has_publisher = False
-        found[0].stop()
+        watchers[0].stop()
         loop.run_until_complete(self.report(store, 1.5))
         store.put("t/b", b"{}")
         loop.run_until_complete(self.report(store, 1.5))
         assert all(
-            "b" in store_watcher._cluster_view.known for store_watcher in found[1:]
+            "b" in store_watcher._cluster_view.known for store_watcher in watchers[1:]
         )
 
 
@@ -242,7 +248,7 @@
             return fleet
 
         yield make
-        for store_watcher in (f for fleet in fleets for f in fleet.feeds):
+        for store_watcher in (f for fleet in fleets for f in fleet.watchers):
             store_watcher.stop()
 
 
@@ -258,7 +264,9 @@
         return range(3, 8)
 
     def vms_using(self, fleet, name):
-        return [n for n, f in enumerate(fleet.feeds) if f._cluster_view.is_usable(name)]
+        return [
+            n for n, f in enumerate(fleet.watchers) if f._cluster_view.is_usable(name)
+        ]
 
     def test_vms_that_receive_updates_stop_using_a_removed_target(
         self, make_fleet, cut
@@ -289,7 +297,7 @@
         late = StoreDelta(0, 1, [], contact=60.0)
         fleet.store.is_unreachable = True
         fleet.run(4.0)
-        store_watcher = fleet.feeds[7]
+        store_watcher = fleet.watchers[7]
         store_watcher.apply_delta(late)
         assert store_watcher.in_outage()
 
@@ -298,7 +306,7 @@
         # each failed read overflows.
         fleet = make_fleet(9)
         fleet.views[7].is_unreachable = True
-        store_watcher = fleet.feeds[7]
+        store_watcher = fleet.watchers[7]
 
         async def deliver_gaps(times):
             for n in range(times):
@@ -325,7 +333,7 @@
         fleet.heal()
 
         def is_applied():
-            versions = {f._cluster_view.configuration.version for f in fleet.feeds}
+            versions = {f._cluster_view.configuration.version for f in fleet.watchers}
             users = self.vms_using(fleet, "a") + self.vms_using(fleet, "b")
             return not users and versions == {2}
 
@@ -350,7 +358,7 @@
         # a saturated link, and the retry delay was as long as the time since the last
         # call, which had succeeded.
         fleet = make_fleet(195)
-        store_watcher, view = fleet.feeds[7], fleet.views[7]
+        store_watcher, view = fleet.watchers[7], fleet.views[7]
         # A configuration is too large for the delta, so each VM reads it itself.
         fleet.store.put("cfg", b"2" + b" " * MAX_INLINE_VALUE_BYTES)
         read, failures = view.read, []
@@ -373,7 +381,7 @@
         # Guards against a configuration that is in force late because it waits for the
         # read of another value, which hangs until the timeout on a dead connection.
         fleet = make_fleet(63)
-        store_watcher, view = fleet.feeds[7], fleet.views[7]
+        store_watcher, view = fleet.watchers[7], fleet.views[7]
         read = view.read
 
         async def read_assignments_slowly(prefix):
@@ -397,7 +405,7 @@
         # Guards against a configuration that is in force late at a VM that has missed
         # changes, because it waits until all records are read over a saturated link.
         fleet = make_fleet(63)
-        store_watcher, view = fleet.feeds[7], fleet.views[7]
+        store_watcher, view = fleet.watchers[7], fleet.views[7]
         read, watch = view.read, view.watch
 
         async def slow(*args):
@@ -425,7 +433,7 @@
         fleet.partitioned.add(7)
         fleet.run(0.5)
         fleet.store.compacted = fleet.store.revision
-        fleet.feeds[7].request_refresh()
+        fleet.watchers[7].request_refresh()
         fleet.run(0.3)
         if reconnects:
             fleet.heal()
@@ -435,7 +443,7 @@
         # history compacted ignored all deltas until it had read all records, which
         # takes seconds on a saturated link.
         fleet = make_fleet(63)
-        store_watcher, view = fleet.feeds[7], fleet.views[7]
+        store_watcher, view = fleet.watchers[7], fleet.views[7]
         read = view.read
 
         async def read_all_slowly(prefix):
@@ -458,7 +466,7 @@
         # Guards against keys that return to a previous owner: a VM that does not know
         # the latest moves becomes coordinator and renews the old grants.
         fleet = make_fleet(9)
-        store_watcher, view = fleet.feeds[7], fleet.views[7]
+        store_watcher, view = fleet.watchers[7], fleet.views[7]
 
         async def fail(prefix):
             raise StoreUnavailable("timed out")
@@ -474,7 +482,7 @@
         # Guards against a draining target that is used again, because a slow read of
         # all records returned an older state than the delta applied meanwhile.
         fleet = make_fleet(9)
-        store_watcher, view = fleet.feeds[7], fleet.views[7]
+        store_watcher, view = fleet.watchers[7], fleet.views[7]
         read = view.read
 
         async def read_slowly(prefix):
