--- a/packages/daemon/src/berylstage_daemon/control.py
+++ b/packages/daemon/src/berylstage_daemon/control.py
@@ -26,7 +26,7 @@
 from berylstage_platform.errors import PlatformError
 from berylstage_platform.http import HttpStore, HttpVmList
 from berylstage_targets.errors import TargetError
-from berylstage_targets.target import GrantOrder
+from berylstage_targets.target import GrantRequest
 from google.protobuf.message import DecodeError
 from logbook import Logger
 
@@ -292,7 +292,7 @@
 
     async def _send_grant(self, action: SendGrant) -> None:
         """Send a grant order and hand the answer back."""
-        order = GrantOrder(
+        order = GrantRequest(
             vm=self._app.cfg.vm,
             epoch=action.epoch,
             version=action.version,
--- a/packages/entry/src/berylstage_entry/grant_renewer.py
+++ b/packages/entry/src/berylstage_entry/grant_renewer.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from berylstage_transfers.errors import CallFailed, NeverSent, NothingListens
+from berylstage_transfers.errors import CallFailed, ConnectionRefused, NeverSent
 from logbook import Logger
 
 from berylstage_entry.clock import now
@@ -131,7 +131,7 @@
         except CallFailed as exc:
             if isinstance(exc, NeverSent):
                 grants.record_unsent(sent)
-            if isinstance(exc, NothingListens):
+            if isinstance(exc, ConnectionRefused):
                 self._record_refusal(target)
             if not grants.unresponsive_since:
                 log.info(
@@ -271,7 +271,7 @@
                 target, service.health_path, GRANT_TIMEOUT_SECONDS
             )
         except (CallFailed, TargetReplaced) as exc:
-            if isinstance(exc, NothingListens):
+            if isinstance(exc, ConnectionRefused):
                 self._record_refusal(target)
             log.debug("target still unresponsive", extra={"cause": str(exc)})
             return False
--- a/packages/entry/src/berylstage_entry/key_moves.py
+++ b/packages/entry/src/berylstage_entry/key_moves.py
@@ -6,7 +6,7 @@
 import json
 from typing import TYPE_CHECKING
 
-from berylstage_transfers.errors import CallFailed, NeverSent, NothingListens
+from berylstage_transfers.errors import CallFailed, ConnectionRefused, NeverSent
 from logbook import Logger
 
 from berylstage_entry.assignment import KeyRange
@@ -239,7 +239,7 @@
                 "keys not released",
                 extra={"target": target.name, "first": r.first, "cause": str(exc)},
             )
-            if isinstance(exc, NothingListens):
+            if isinstance(exc, ConnectionRefused):
                 grants.record_refusal(now())
             grants.record_failure(now())
             return None
--- a/packages/entry/src/berylstage_entry/target_clients.py
+++ b/packages/entry/src/berylstage_entry/target_clients.py
@@ -8,7 +8,7 @@
 from berylstage_transfers.call import Call
 from berylstage_transfers.client import CallClient
 from berylstage_transfers.errors import AnswerLost
-from berylstage_transfers.rest import Rest
+from berylstage_transfers.idle_limit import IdleLimit
 
 if TYPE_CHECKING:
     from berylstage_entry.protocols import CallerRequest, TargetAnswer, TargetProtocol
@@ -34,18 +34,24 @@
     protocol : TargetProtocol
     connections : int
         Maximum number of connections of this VM to the target.
-    rest : Rest
+    idle_limit : IdleLimit
         Learned idle limit of the connections to all targets of the service.
     """
 
     __slots__ = ("_client", "_is_retired", "_in_flight", "_protocol", "target")
 
     def __init__(
-        self, target: Target, protocol: TargetProtocol, connections: int, rest: Rest
+        self,
+        target: Target,
+        protocol: TargetProtocol,
+        connections: int,
+        idle_limit: IdleLimit,
     ):
         self.target = target
         self._protocol = protocol
-        self._client = CallClient(connections, max_idle=MAX_IDLE_SECONDS, rest=rest)
+        self._client = CallClient(
+            connections, max_idle=MAX_IDLE_SECONDS, idle_limit=idle_limit
+        )
         self._in_flight = 0
         self._is_retired = False
 
@@ -76,8 +82,8 @@
             seconds,
             echo=req.request_id,
             fresh=fresh,
-            echo_name=self._protocol.request_id_header,
-            unframed=True,
+            echo_header=self._protocol.request_id_header,
+            allow_unframed=True,
         )
         self._in_flight += 1
         try:
@@ -104,7 +110,7 @@
         If an order's connection were cut then, its outcome would be unknown.
         """
         self._is_retired = True
-        self._client.refuse_waiting("the target is gone")
+        self._client.fail_queued_calls("the target is gone")
         self._close_if_done()
 
     def close(self) -> None:
@@ -130,7 +136,7 @@
     def __init__(self, protocol: TargetProtocol):
         self._protocol = protocol
         self._clients: dict[str, TargetClient] = {}
-        self._idle_limits: dict[str, Rest] = {}
+        self._idle_limits: dict[str, IdleLimit] = {}
         # Clients of removed targets with requests in flight.
         self._retired: list[TargetClient] = []
         # Number of VMs that share a target's connections.
@@ -154,9 +160,9 @@
             ):
                 return client
             self._retire(client)
-        rest = self._idle_limits.setdefault(target.service, Rest())
+        idle_limit = self._idle_limits.setdefault(target.service, IdleLimit())
         client = TargetClient(
-            target, self._protocol, self.connection_share(connections), rest
+            target, self._protocol, self.connection_share(connections), idle_limit
         )
         self._clients[target.name] = client
         return client
--- a/packages/entry/tests/fakes.py
+++ b/packages/entry/tests/fakes.py
@@ -21,7 +21,7 @@
 from berylstage_entry.settings import Bounds, EntrySettings
 from berylstage_entry.store import Changes, Item, Store
 from berylstage_entry.targets import LoadReport, Target
-from berylstage_transfers.errors import AnswerLost, NeverSent, NothingListens
+from berylstage_transfers.errors import AnswerLost, ConnectionRefused, NeverSent
 
 LIMITS = Limits(16384, 1 << 20, 3.0, 15.0)
 BOUNDS = Bounds(0.2, 60.0, 1.5, 5.0, 6.0, 10.0)
@@ -323,7 +323,7 @@
     async def _connect(self, name):
         if name in self.down:
             await asyncio.sleep(0.001)
-            raise NothingListens("refused")
+            raise ConnectionRefused("refused")
         if name in self.unreachable:
             await asyncio.sleep(0.25)
             raise NeverSent("no connection")
--- a/packages/standins/src/berylstage_standins/grants.py
+++ b/packages/standins/src/berylstage_standins/grants.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from berylstage_targets.target import GrantOrder
+from berylstage_targets.target import GrantRequest
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -33,7 +33,7 @@
         self.shards: dict[str, int] = {}
         self.expires_ms = 0
 
-    def accept(self, order: GrantOrder) -> str:
+    def accept(self, order: GrantRequest) -> str:
         """Take a grant order.
 
         Parameters
--- a/packages/standins/src/berylstage_standins/target.py
+++ b/packages/standins/src/berylstage_standins/target.py
@@ -19,7 +19,7 @@
 from berylstage_standins.work import ColdBreak, Work, WorkSettings
 
 if TYPE_CHECKING:
-    from berylstage_targets.target import GrantOrder
+    from berylstage_targets.target import GrantRequest
     from tornado.iostream import IOStream
 
 # Seconds that a target which was told to stop waits for its jobs.
@@ -123,7 +123,7 @@
         """Let every open connection go silent; new ones work."""
         self.silent.update(self.streams)
 
-    def decide(self, order: GrantOrder) -> str:
+    def decide(self, order: GrantRequest) -> str:
         """Take a grant order and return why it is refused; empty when it is not."""
         if self.work.draining:
             return "draining"
--- a/packages/standins/src/berylstage_standins/target_server.py
+++ b/packages/standins/src/berylstage_standins/target_server.py
@@ -6,7 +6,7 @@
 import json
 from typing import TYPE_CHECKING
 
-from berylstage_targets.target import GrantOrder
+from berylstage_targets.target import GrantRequest
 from tornado.httpserver import HTTPServer
 from tornado.web import Application, Finish, HTTPError, RequestHandler
 
@@ -205,7 +205,7 @@
     async def put(self) -> None:
         """Take a grant order."""
         try:
-            order = GrantOrder(**json.loads(self.request.body))
+            order = GrantRequest(**json.loads(self.request.body))
         except (TypeError, ValueError):
             raise HTTPError(400) from None
         reason = self.target.decide(order)
--- a/packages/standins/tests/test_grants.py
+++ b/packages/standins/tests/test_grants.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from berylstage_standins.grants import GrantTable
-from berylstage_targets.target import GrantOrder
+from berylstage_targets.target import GrantRequest
 
 
 class Clock:
@@ -19,7 +19,7 @@
 def order(anchor, epoch=1, version=1, shards=None, lifetime_ms=500):
     """Return an order for shard s/1 under fence 7."""
     given = {"s/1": 7} if shards is None else shards
-    return GrantOrder("vm-1", epoch, version, given, anchor, "run-1", lifetime_ms)
+    return GrantRequest("vm-1", epoch, version, given, anchor, "run-1", lifetime_ms)
 
 
 def make_table():
--- a/packages/targets/src/berylstage_targets/http.py
+++ b/packages/targets/src/berylstage_targets/http.py
@@ -14,7 +14,7 @@
 from berylstage_targets.errors import NotRun, OutcomeUnknown, TargetError
 from berylstage_targets.target import (
     GrantAnswer,
-    GrantOrder,
+    GrantRequest,
     LoadReport,
     TargetClient,
     WorkAnswer,
@@ -108,8 +108,8 @@
             fresh=req.fresh_connection,
         )
 
-    async def grant(self, order: GrantOrder, timeout: float) -> GrantAnswer:  # noqa: D102
-        fields = {name: getattr(order, name) for name in GrantOrder.__slots__}
+    async def grant(self, order: GrantRequest, timeout: float) -> GrantAnswer:  # noqa: D102
+        fields = {name: getattr(order, name) for name in GrantRequest.__slots__}
         body = json.dumps(fields).encode()
         call = self._make_json_call("PUT", "/grants", timeout, body)
         doc = await _call_json(self._control_client, call)
--- a/packages/targets/src/berylstage_targets/target.py
+++ b/packages/targets/src/berylstage_targets/target.py
@@ -106,7 +106,7 @@
         self.incarnation = incarnation
 
 
-class GrantOrder:
+class GrantRequest:
     """The shards for which a target is to accept work from its leader.
 
     Parameters
@@ -234,7 +234,7 @@
         """
 
     @abstractmethod
-    async def grant(self, order: GrantOrder, timeout: float) -> GrantAnswer:
+    async def grant(self, order: GrantRequest, timeout: float) -> GrantAnswer:
         """Give, renew or revoke grants.
 
         Raises
--- a/packages/targets/tests/conftest.py
+++ b/packages/targets/tests/conftest.py
@@ -12,7 +12,7 @@
 from berylstage_standins.target_server import make_server
 from berylstage_standins.work import WorkSettings
 from berylstage_targets.http import HttpTargetClient
-from berylstage_targets.target import GrantOrder, WorkRequest
+from berylstage_targets.target import GrantRequest, WorkRequest
 from tornado.netutil import bind_sockets
 
 FENCE = 7
@@ -63,7 +63,7 @@
             "incarnation": self.target.incarnation,
             "lifetime_ms": 60_000,
         }
-        return GrantOrder(**{**given, **fields})
+        return GrantRequest(**{**given, **fields})
 
     async def obtain_grant(self):
         """Obtain the grant under which requests run."""
--- a/packages/transfers/src/berylstage_transfers/call.py
+++ b/packages/transfers/src/berylstage_transfers/call.py
@@ -27,13 +27,13 @@
     timeout : float
         Seconds for the whole call, including the wait for a connection.
     echo : str
-        Value that the answer must have in the header ``echo_name``; empty if the
+        Value that the answer must have in the header ``echo_header``; empty if the
         answer is not checked.
     fresh : bool
         Whether to open a new connection.
-    echo_name : bytes
+    echo_header : bytes
         Lower-case name of the answer's header with the value ``echo``.
-    unframed : bool
+    allow_unframed : bool
         Whether an answer without a length may end by closing its connection.
 
     Attributes
@@ -67,7 +67,7 @@
         "answers_other_call",
         "deadline",
         "echo",
-        "echo_name",
+        "echo_header",
         "fresh",
         "fut",
         "headers",
@@ -81,7 +81,7 @@
         "status",
         "timeout",
         "timer",
-        "unframed",
+        "allow_unframed",
         "url",
     )
 
@@ -94,8 +94,8 @@
         timeout: float,
         echo: str = "",
         fresh: bool = False,
-        echo_name: bytes = b"request-id",
-        unframed: bool = False,
+        echo_header: bytes = b"request-id",
+        allow_unframed: bool = False,
     ):
         self.method = method
         self.url = url
@@ -104,8 +104,8 @@
         self.timeout = timeout
         self.echo = echo.encode()
         self.fresh = fresh
-        self.echo_name = echo_name
-        self.unframed = unframed
+        self.echo_header = echo_header
+        self.allow_unframed = allow_unframed
         self.deadline = 0.0
         # Monotonic times: ``connect_deadline`` for establishing the connection, and
         # ``read_deadline`` for reading data received before the call's deadline.
@@ -138,14 +138,14 @@
         self.answer_headers = headers
         if self.status < MIN_FINAL_STATUS or not self.echo:
             return True
-        self.answers_other_call = headers.get(self.echo_name) != self.echo
+        self.answers_other_call = headers.get(self.echo_header) != self.echo
         return not self.answers_other_call
 
     def is_framed(self) -> bool:
         """Return whether a complete body is distinguishable from a truncated one."""
         # libcurl reports a reset within a body as an error, but a clean close of the
         # connection as the end of the answer.
-        if self.status in BODILESS_STATUSES or self.unframed:
+        if self.status in BODILESS_STATUSES or self.allow_unframed:
             return True
         headers = self.answer_headers
         return b"content-length" in headers or b"transfer-encoding" in headers
--- a/packages/transfers/src/berylstage_transfers/client.py
+++ b/packages/transfers/src/berylstage_transfers/client.py
@@ -15,8 +15,8 @@
 
 from berylstage_transfers.call import Answer, Call
 from berylstage_transfers.connection_age import ConnectionAgeLimit
-from berylstage_transfers.errors import AnswerLost, NeverSent, NothingListens
-from berylstage_transfers.rest import Rest
+from berylstage_transfers.errors import AnswerLost, ConnectionRefused, NeverSent
+from berylstage_transfers.idle_limit import IdleLimit
 
 if TYPE_CHECKING:
     from typing import Any
@@ -82,7 +82,7 @@
     reset_on_close : bool
         Whether closing a connection discards undelivered data, so that an abandoned
         call cannot arrive later.
-    rest : Rest, optional
+    idle_limit : Rest, optional
         Shared by the clients of all servers of one kind.
     connect_timeout : float
         Seconds to wait for a new connection to be established.
@@ -95,7 +95,7 @@
         age_limit: ConnectionAgeLimit | None = None,
         max_idle: int = MAX_IDLE_SECONDS,
         reset_on_close: bool = False,
-        rest: Rest | None = None,
+        idle_limit: IdleLimit | None = None,
         connect_timeout: float = CONNECT_TIMEOUT_SECONDS,
     ) -> CallClient:
         """Return a new instance instead of tornado's shared one."""
@@ -107,7 +107,7 @@
             age_limit=age_limit,
             max_idle=max_idle,
             reset_on_close=reset_on_close,
-            rest=rest,
+            idle_limit=idle_limit,
             connect_timeout=connect_timeout,
         )
         assert isinstance(client, CallClient)
@@ -120,7 +120,7 @@
         age_limit: ConnectionAgeLimit | None = None,
         max_idle: int = MAX_IDLE_SECONDS,
         reset_on_close: bool = False,
-        rest: Rest | None = None,
+        idle_limit: IdleLimit | None = None,
         connect_timeout: float = CONNECT_TIMEOUT_SECONDS,
     ):
         super().__init__()
@@ -132,7 +132,7 @@
         age_limit: ConnectionAgeLimit | None,
         max_idle: int = MAX_IDLE_SECONDS,
         reset_on_close: bool = False,
-        rest: Rest | None = None,
+        idle_limit: IdleLimit | None = None,
         connect_timeout: float = CONNECT_TIMEOUT_SECONDS,
     ) -> None:
         """Initialize without curl handles, which are created on demand."""
@@ -145,7 +145,7 @@
         self._age_limit = age_limit or ConnectionAgeLimit()
         self._handles: dict[pycurl.Curl, _Handle] = {}
         self._fds_by_port: dict[int, int] = {}
-        self._rest = rest or Rest()
+        self._idle_limit = idle_limit or IdleLimit()
         # Monotonic time of each connection's last use, by its local port.
         self._last_used: dict[int, float] = {}
         self._multi.setopt(pycurl.M_MAXCONNECTS, max_kept or max_clients)
@@ -197,10 +197,10 @@
         for curl, handle in self._handles.items():
             if handle.call is not None:
                 self._finish(curl, pycurl.E_ABORTED_BY_CALLBACK, "client closed")
-        self.refuse_waiting("client closed")
+        self.fail_queued_calls("client closed")
         super().close()
 
-    def refuse_waiting(self, cause: str) -> None:
+    def fail_queued_calls(self, cause: str) -> None:
         """Fail the calls that wait for a connection; active calls continue.
 
         Parameters
@@ -334,9 +334,9 @@
         now = time.monotonic()
         if call.sent and not call.opened_connection:
             if curl_error is None:
-                self._rest.record_answer(handle.idle_seconds, now)
+                self._idle_limit.record_answer(handle.idle_seconds, now)
             elif (handle.saw_reset or curl_error in _RESET_ERRORS) and not call.status:
-                self._rest.record_reset(handle.idle_seconds, now)
+                self._idle_limit.record_reset(handle.idle_seconds, now)
         if len(self._last_used) >= MAX_REMEMBERED_PORTS:
             self._last_used.clear()
         self._last_used[handle.port] = now
@@ -362,7 +362,7 @@
         "_reset_on_close",
         "_opened_fd",
         "_poll",
-        "_rest",
+        "_idle_limit",
         "_fds_by_port",
         "_last_used",
         "call",
@@ -380,7 +380,7 @@
         self._poll = select.poll()
         # The file descriptor of each kept connection, by its local port.
         self._fds_by_port = client._fds_by_port
-        self._rest = client._rest
+        self._idle_limit = client._idle_limit
         self._last_used = client._last_used
         # Local port of the current connection, and its idle time before this call.
         self.port = 0
@@ -496,7 +496,7 @@
         # reset, and the outcome of a call that may not be repeated is unknown.
         now = time.monotonic()
         self.idle_seconds = now - self._last_used.get(local_port, now)
-        return self.idle_seconds > self._rest.max_idle_seconds(now)
+        return self.idle_seconds > self._idle_limit.max_idle_seconds(now)
 
     def _on_header(self, line: bytes) -> int | None:
         assert self.call is not None
@@ -543,7 +543,7 @@
             f"{subject}: sent, but no complete answer arrived ({cause}); {remedy}"
         )
     elif refused:
-        exc = NothingListens(
+        exc = ConnectionRefused(
             f"{subject}: connection refused ({cause}); "
             "check that the server runs at this address"
         )
--- a/packages/transfers/src/berylstage_transfers/errors.py
+++ b/packages/transfers/src/berylstage_transfers/errors.py
@@ -11,7 +11,7 @@
     """The call failed before any byte was sent, so it can safely be retried."""
 
 
-class NothingListens(NeverSent):
+class ConnectionRefused(NeverSent):
     """The host refused the connection because no process listens at the address."""
 
 
--- a/packages/transfers/src/berylstage_transfers/rest.py
+++ b/packages/transfers/src/berylstage_transfers/idle_limit.py
@@ -22,7 +22,7 @@
 HALF_LIFE_SECONDS = 5.0
 
 
-class Rest:
+class IdleLimit:
     """Learns the idle time after which servers of one kind silently drop connections.
 
     A server that drops idle connections resets the next call on one of them, and the
--- a/packages/transfers/tests/test_client.py
+++ b/packages/transfers/tests/test_client.py
@@ -14,8 +14,8 @@
 from berylstage_transfers.errors import (
     AnswerLost,
     CallFailed,
+    ConnectionRefused,
     NeverSent,
-    NothingListens,
 )
 
 CLOSE = b"<close>"
@@ -196,7 +196,7 @@
                 sock.bind(("127.0.0.1", 0))
                 address = "127.0.0.1:%d" % sock.getsockname()[1]
             client = CallClient(1)
-            with pytest.raises(NothingListens):
+            with pytest.raises(ConnectionRefused):
                 await client.call(Call("GET", f"http://{address}/", {}, None, 1.0))
             client.close()
 
@@ -213,7 +213,7 @@
             client = CallClient(1)
             with pytest.raises(CallFailed) as caught:
                 await client.call(Call("GET", f"http://{address}/", {}, None, 1.0))
-            assert not isinstance(caught.value, NothingListens)
+            assert not isinstance(caught.value, ConnectionRefused)
             client.close()
             server.close()
 
@@ -541,7 +541,7 @@
         run(scenario)
 
 
-class TestRest:
+class TestIdleLimit:
     def test_a_server_that_drops_idle_connections_loses_one_call(self):
         # A server drops connections that were idle for a third of a second and resets
         # the next call on them. Without a limit on the idle time, every call after
