--- a/packages/standins/src/berylstage_standins/__init__.py
+++ b/packages/standins/src/berylstage_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform and the targets, for tests and the demo."""
+"""Simulated platform, targets and callers for tests and the demo."""
--- a/packages/standins/src/berylstage_standins/call_record.py
+++ b/packages/standins/src/berylstage_standins/call_record.py
@@ -1,4 +1,4 @@
-"""What a caller got for one attempt of a request."""
+"""Record of one attempt of a caller's request."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class CallOutcome(Enum):
-    """How an attempt ended, as ``Berylstage-Outcome`` says it.
+    """Result of an attempt, as named by the ``Berylstage-Outcome`` header.
 
-    ``LOST`` is the caller's own: it got no answer, because the VM went away for one.
-    ``NOT_SENT`` is too: no VM took the connection.
+    The caller itself sets ``LOST`` when it gets no answer, for example because the VM
+    failed, and ``NOT_SENT`` when no VM accepts the connection.
     """
 
     ANSWERED = "answered"
@@ -25,7 +25,7 @@
     NOT_SENT = "not-sent"
 
 
-# Outcomes after which the work certainly did not run in that attempt.
+# Outcomes which guarantee that the work did not run in that attempt.
 CERTAIN = frozenset({CallOutcome.NOT_RUN, CallOutcome.NOT_SENT})
 
 
@@ -36,19 +36,19 @@
     ----------
     service, kind, key : str
     digest : str
-        Digest of the body, which is the same over all attempts of a request and
-        differs between requests.
+        Digest of the body: equal for all attempts of a request, different for each
+        request.
     idempotency_key : str
-        Empty for repeatable work.
+        Empty for work that may be repeated.
     vm : str
-        Address of the VM that was asked.
+        Address of the VM that the attempt was sent to.
     outcome : CallOutcome
     status : int
         HTTP status; 0 without an answer.
     reason : str
-        ``Berylstage-Reason``, or what went wrong.
+        Value of the ``Berylstage-Reason`` header, or the cause of a lost answer.
     own : bool
-        Whether an answer was the answer to this very request.
+        Whether the answer belongs to this request.
     start, end : float
         Monotonic seconds.
     """
@@ -103,13 +103,13 @@
 
     @classmethod
     def from_json(cls, line: str) -> CallRecord:
-        """Read what :meth:`to_json` wrote."""
+        """Parse a line written by :meth:`to_json`."""
         doc = json.loads(line)
         return cls(**{**doc, "outcome": CallOutcome(doc["outcome"])})
 
 
 def read_calls(path: Path) -> list[CallRecord]:
-    """Read a file of records, one a line.
+    """Read a file with one JSON record per line.
 
     Parameters
     ----------
--- a/packages/standins/src/berylstage_standins/connections.py
+++ b/packages/standins/src/berylstage_standins/connections.py
@@ -1,4 +1,4 @@
-"""Connections that stay open and bring no answer."""
+"""Connections that stay open without an answer."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 if TYPE_CHECKING:
     from tornado.web import RequestHandler
 
-# Bytes read at once from a connection whose bytes nobody looks at.
-_CHUNK = 65536
+# Largest read from a connection whose data is discarded.
+_DISCARD_CHUNK_BYTES = 65536
 
 
 async def leave_unanswered(handler: RequestHandler) -> None:
-    """Swallow what comes on a handler's connection until the other end closes it.
+    """Discard the data on a handler's connection until the peer closes it.
 
     Parameters
     ----------
@@ -24,12 +24,12 @@
     Raises
     ------
     Finish
-        Always: the handler has nothing more to do.
+        Always, so that Tornado writes no answer.
     """
     stream = handler.detach()
     while not stream.closed():
         try:
-            await stream.read_bytes(_CHUNK, partial=True)
+            await stream.read_bytes(_DISCARD_CHUNK_BYTES, partial=True)
         except StreamClosedError:
             break
     raise Finish
--- a/packages/standins/src/berylstage_standins/fake_store.py
+++ b/packages/standins/src/berylstage_standins/fake_store.py
@@ -1,4 +1,4 @@
-"""A store in the same process, for tests that need no network."""
+"""In-process store for tests that need no network."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class FakeStore(Store):
-    """Store on a platform stand-in's state, without HTTP.
+    """Store that accesses a simulated platform's state without HTTP.
 
-    It meets the same fault switches as :mod:`berylstage_standins.platform_server`, save
-    that ``slow_ms`` and ``slow_answer_ms`` mean no answer in time.
+    It obeys the fault switches of :mod:`berylstage_standins.platform_server`, except
+    that ``slow_ms`` and ``slow_answer_ms`` always cause a missing answer.
 
     Parameters
     ----------
@@ -56,7 +56,7 @@
         if self._is_down(key) or self.platform.faults.slow_ms:
             raise _no_answer(kind, key)
         if not admitted:
-            raise RateLimited(f"{kind} {key}: nothing was done; call again later")
+            raise RateLimited(f"{kind} {key}: rate limit exceeded; call again later")
 
     def _is_down(self, key: str) -> bool:
         faults = self.platform.faults
@@ -64,5 +64,7 @@
 
 
 def _no_answer(kind: str, key: str) -> StoreUnavailable:
-    """Return the error for a call without an answer."""
-    return StoreUnavailable(f"{kind} {key}: no answer; read back to see its effect")
+    """Return the error for a call that got no answer."""
+    return StoreUnavailable(
+        f"{kind} {key}: the store did not answer; read the key to learn the result"
+    )
--- a/packages/standins/src/berylstage_standins/faults.py
+++ b/packages/standins/src/berylstage_standins/faults.py
@@ -1,12 +1,12 @@
-"""Fault switches of the stand-ins, set through ``POST /faults``."""
+"""Fault switches of the simulated servers, set through ``POST /faults``."""
 
 from __future__ import annotations
 
 
 class Faults:
-    """Base of the sets of switches: a class with slots and a default for each.
+    """Base class for a set of fault switches.
 
-    A subclass names its switches and their defaults in ``DEFAULTS``.
+    A subclass defines its switches and their defaults in ``DEFAULTS``.
     """
 
     __slots__ = ()
@@ -18,35 +18,35 @@
             setattr(self, name, default)
 
     def set(self, doc: dict[str, bool | int | float | str]) -> None:
-        """Set the switches that a document names and leave the others.
+        """Set the switches named in a document and keep the others.
 
         Parameters
         ----------
         doc : dict
-            Value by switch.
+            Values by the name of the switch.
 
         Raises
         ------
         ValueError
-            A switch is unknown or its value has the wrong type; nothing was set.
+            A switch is unknown or its value has the wrong type; no switch is changed.
         """
         for name, value in doc.items():
             if name not in self.DEFAULTS:
                 known = ", ".join(sorted(self.DEFAULTS))
-                raise ValueError(f"no switch {name!r}; take one of: {known}")
+                raise ValueError(f"unknown switch {name!r}; use one of: {known}")
             if not _fits(value, self.DEFAULTS[name]):
                 kind = type(self.DEFAULTS[name]).__name__
-                raise ValueError(f"switch {name!r} takes a value of type {kind}")
+                raise ValueError(f"switch {name!r} requires a value of type {kind}")
         for name, value in doc.items():
             setattr(self, name, value)
 
     def as_dict(self) -> dict[str, bool | int | float | str]:
-        """Return the value of each switch."""
+        """Return the values of all switches by name."""
         return {name: getattr(self, name) for name in self.DEFAULTS}
 
 
 def _fits(value: object, default: object) -> bool:
-    """Tell whether a value has the type of the default; whole numbers are floats."""
+    """Return whether a value has the default's type; floats also accept integers."""
     if isinstance(default, float):
         return isinstance(value, int | float) and not isinstance(value, bool)
     return type(value) is type(default)
@@ -61,17 +61,17 @@
         ``""``, ``silent`` (calls get no answer), ``closed`` (connections close without
         an answer) or ``error`` (status 503).
     down_for : str
-        Limits ``down`` to paths that start so.
+        Path prefix to which ``down`` is limited.
     slow_ms : int
-        Milliseconds before a call takes effect.
+        Delay in milliseconds before a call takes effect.
     slow_answer_ms : int
-        Milliseconds between the effect of a write and its answer.
+        Delay in milliseconds between the effect of a write and its answer.
     lose_answers : int
-        That many of the next writes take effect and get no answer.
+        Number of next writes that take effect but get no answer.
     lose_by_close : bool
-        Whether a lost answer closes its connection or leaves it silent.
+        Whether a lost answer closes its connection; otherwise it stays open.
     watch_silent : bool
-        Watches neither answer nor time out.
+        Whether watches neither answer nor time out.
     """
 
     __slots__ = (
@@ -109,29 +109,30 @@
     Attributes
     ----------
     freeze : bool
-        Connections are accepted and nothing is answered until it is switched off; then
-        all goes on as if nothing had happened.
+        Whether the target accepts connections but answers nothing; once switched off,
+        it continues as a resumed process does.
     frozen_reports : bool
-        Health and load are answered even during a freeze, which misleads.
+        Whether health and load are answered during a freeze, so that the target
+        wrongly appears healthy.
     slow_factor : float
-        Multiplies the time of work.
+        Factor that multiplies the duration of work.
     cross_answers : int
-        That many of the next answers to work are those of another request.
+        Number of next answers to work that are replaced by another request's answer.
     short_answers : int
-        That many of the next answers to work break off in the body.
+        Number of next answers to work that are truncated within the body.
     lost_answers : int
-        That many of the next answers to work never come: the work is done and the
+        Number of next answers to work that are not sent: the work is done, then the
         connection closes.
     unwilling : bool
-        Grants are refused.
+        Whether grants are refused.
     shed : bool
-        Work is refused.
+        Whether work is refused.
     draining : bool
-        Grants and new work are refused; work in progress ends.
+        Whether grants and new work are refused; work in progress completes.
     report_running : int
-        Running jobs that the load report claims; -1 for the truth.
+        Number of running jobs in the load report; -1 reports the actual number.
     report_cold : str
-        ``""`` for the truth, else ``yes`` or ``no``.
+        Cold state in the load report: ``yes`` or ``no``; ``""`` reports the actual one.
     """
 
     __slots__ = (
--- a/packages/standins/src/berylstage_standins/grants.py
+++ b/packages/standins/src/berylstage_standins/grants.py
@@ -1,4 +1,4 @@
-"""The grants that a target holds: fence tokens with an end by its own clock."""
+"""Grants of a target: fence tokens that expire by the target's own clock."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class GrantTable:
-    """The newest grant, and whether work falls under it.
+    """Newest grant of a target, against which work is checked.
 
     Parameters
     ----------
     clock_ms : callable
-        The target's clock in whole milliseconds; it starts above 0, since an anchor
-        of 0 means that the VM knows none.
+        Returns the target's clock in whole milliseconds. It starts above 0, since an
+        anchor of 0 means that the VM knows no clock reading.
     incarnation : callable
-        Name of the current run of the target.
+        Returns the name of the target's current incarnation.
     """
 
     def __init__(
@@ -33,46 +33,46 @@
         self.shards: dict[str, int] = {}
         self.expires_ms = 0
 
-    def accept(self, order: GrantRequest) -> str:
-        """Take a grant order.
+    def accept(self, request: GrantRequest) -> str:
+        """Accept or refuse a grant request.
 
         Parameters
         ----------
-        order : GrantOrder
+        request : GrantRequest
 
         Returns
         -------
         str
-            Empty when the order is in force, else the reason of the refusal:
-            ``epoch`` for an older epoch or version, ``anchor`` when the anchor is not
-            a reading of this run's clock or the order has already ended.
+            Empty if the grant is in force, else the reason for the refusal: ``epoch``
+            for an older epoch or version, ``anchor`` when the anchor is not a reading
+            of this incarnation's clock or the grant has already expired.
         """
-        if (order.epoch, order.version) < (self.epoch, self.version):
+        if (request.epoch, request.version) < (self.epoch, self.version):
             return "epoch"
-        # An anchor of another run, or of no run, says nothing about this clock: a
-        # delayed order could come into force long after its sender lost its lease.
-        if not order.anchor or order.incarnation != self._incarnation():
+        # An anchor of another incarnation is unrelated to this clock, as is a missing
+        # one: a delayed request could take effect long after its sender lost its lease.
+        if not request.anchor or request.incarnation != self._incarnation():
             return "anchor"
         now = self._clock_ms()
-        expires = order.anchor + order.lifetime_ms
-        if order.anchor > now or expires <= now:
+        expires = request.anchor + request.lifetime_ms
+        if request.anchor > now or expires <= now:
             return "anchor"
-        renewed = (order.epoch, order.version) == (self.epoch, self.version)
+        renewed = (request.epoch, request.version) == (self.epoch, self.version)
         self.expires_ms = max(expires, self.expires_ms) if renewed else expires
-        self.vm = order.vm
-        self.epoch = order.epoch
-        self.version = order.version
-        self.shards = dict(order.shards)
+        self.vm = request.vm
+        self.epoch = request.epoch
+        self.version = request.version
+        self.shards = dict(request.shards)
         return ""
 
     def covers(self, shard: str, fence: int, epoch: int) -> bool:
-        """Tell whether work is under a grant in force.
+        """Return whether work is covered by a grant in force.
 
         Parameters
         ----------
         shard : str
-            ``service/number``; empty where keys are not owned, so that only the lead
-            of the VM is checked.
+            ``service/number``; empty for services without key ownership, where only
+            the epoch of the coordinator is checked.
         fence : int
         epoch : int
 
@@ -85,7 +85,7 @@
         return not shard or self.shards.get(shard) == fence
 
     def clear(self) -> None:
-        """Forget everything, as a restarted process does."""
+        """Remove the grant, as a process restart does."""
         self.epoch = 0
         self.version = 0
         self.shards = {}
--- a/packages/standins/src/berylstage_standins/job.py
+++ b/packages/standins/src/berylstage_standins/job.py
@@ -1,36 +1,36 @@
-"""One request for work as it arrived at a target."""
+"""Work request received by a target."""
 
 from __future__ import annotations
 
 import asyncio
 
-# Fields that the ledger does not show.
-_HIDDEN = frozenset({"deadline", "dropped", "ended"})
+# Fields that are not written to the ledger.
+_UNRECORDED_FIELDS = frozenset({"deadline", "dropped", "ended"})
 
 
 class Job:
-    """One request for work.
+    """Work request and the state of its execution.
 
     Parameters
     ----------
     request_id, service, kind, key : str
     shard : str
-        Name as grants have it; empty where keys are not owned.
+        Shard name as used in grants; empty for services without key ownership.
     fence, epoch : int
     vm : str
-        VM that sent it.
+        Name of the VM that sent the request.
     idempotency_key : str
     digest : str
-        Digest of the body, which tells a caller that an answer is its own.
+        Digest of the body, by which a caller verifies that an answer is its own.
     deadline : float
-        Seconds since 1970; 0 for none.
+        Unix time in seconds; 0 for no deadline.
 
     Attributes
     ----------
     dropped : asyncio.Event
-        Set when nobody waits for the job any more.
+        Set when the job is cancelled or its caller has disconnected.
     ended : asyncio.Event
-        Set when the target works on it no more.
+        Set when the target has stopped working on the job.
     """
 
     __slots__ = (
@@ -78,5 +78,7 @@
         self.ended = asyncio.Event()
 
     def record(self) -> dict:
-        """Return the fields that the ledger shows."""
-        return {n: getattr(self, n) for n in self.__slots__ if n not in _HIDDEN}
+        """Return the fields that are written to the ledger."""
+        return {
+            n: getattr(self, n) for n in self.__slots__ if n not in _UNRECORDED_FIELDS
+        }
--- a/packages/standins/src/berylstage_standins/key_values.py
+++ b/packages/standins/src/berylstage_standins/key_values.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service, in memory."""
+"""In-memory key-value service of the platform."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Bytes of the largest value, from the brief: "values up to a megabyte".
-MAX_VALUE = 1_000_000
+# The platform supports values of up to a megabyte.
+MAX_VALUE_BYTES = 1_000_000
 
 
 class Lease:
-    """A lease: keys written under it go when it lapses.
+    """Lease whose keys are deleted when it expires.
 
     Parameters
     ----------
     ttl : float
-        Seconds from one renewal to the lapse.
+        Seconds from a renewal until the lease expires.
     expires : float
-        Monotonic time of the lapse.
+        Monotonic time in seconds at which the lease expires.
     """
 
     __slots__ = ("expires", "keys", "ttl")
@@ -36,15 +36,15 @@
 
 
 class KeyValues:
-    """Versioned values with compare-and-swap, leases and wake-ups.
+    """Versioned values with compare-and-swap, leases and watches.
 
-    Versions come from one counter, so that a key that was deleted and created again
-    never shows an old version.
+    All versions come from one counter, so that a key that is deleted and created again
+    never gets an old version.
 
     Parameters
     ----------
     clock : callable
-        Monotonic time in seconds.
+        Returns monotonic time in seconds.
     """
 
     def __init__(self, clock: Callable[[], float]):
@@ -56,27 +56,31 @@
         self._changed: dict[str, asyncio.Event] = {}
 
     def read(self, key: str) -> Entry:
-        """Return the entry of a key; version 0 when there is none."""
+        """Return a key's entry; its version is 0 when the key does not exist."""
         self._lapse()
         return self._entries.get(key) or Entry(key, b"", 0)
 
     def write(
         self, key: str, value: bytes, expected_version: int, lease_id: str = ""
     ) -> int:
-        """Write a value if the key has the expected version and return the new one.
+        """Write a value if the key has the expected version; return the new version.
 
         Raises
         ------
         ValueTooLarge, VersionConflict
             Nothing was written.
         KeyError
-            There is no such lease.
+            The lease does not exist.
         """
-        if len(value) > MAX_VALUE:
-            raise ValueTooLarge(f"{key}: {len(value)} bytes; split the value")
+        if len(value) > MAX_VALUE_BYTES:
+            raise ValueTooLarge(
+                f"{key}: value of {len(value)} bytes is too large; split it"
+            )
         found = self.read(key)
         if found.version != expected_version:
-            raise VersionConflict(f"{key}: has version {found.version}; read again")
+            raise VersionConflict(
+                f"{key}: current version is {found.version}; read the key again"
+            )
         lease = self._leases[lease_id] if lease_id else None
         for other in self._leases.values():
             other.keys.discard(key)
@@ -88,12 +92,12 @@
         return entry.version
 
     async def changed(self, key: str, after_version: int, timeout: float) -> bool:
-        """Wait until a key has another version than the given one.
+        """Wait until a key's version differs from the given one.
 
         Returns
         -------
         bool
-            False when nothing changed within ``timeout`` seconds.
+            False if the version did not change within ``timeout`` seconds.
         """
         end = self._clock() + timeout
         while self.read(key).version == after_version:
@@ -108,13 +112,13 @@
         return True
 
     def take_lease(self, ttl: float) -> str:
-        """Create a lease of ``ttl`` seconds and return its id."""
+        """Create a lease of ``ttl`` seconds and return its ID."""
         lease_id = f"lease-{next(self._lease_ids)}"
         self._leases[lease_id] = Lease(ttl, self._clock() + ttl)
         return lease_id
 
     def renew_lease(self, lease_id: str) -> bool:
-        """Renew a lease; False when it has lapsed."""
+        """Renew a lease; return False if it has expired."""
         self._lapse()
         lease = self._leases.get(lease_id)
         if lease is None:
@@ -123,7 +127,7 @@
         return True
 
     def drop_lease(self, lease_id: str) -> bool:
-        """End a lease and delete its keys; False when it had lapsed."""
+        """Revoke a lease and delete its keys; return False if it has expired."""
         lease = self._leases.pop(lease_id, None)
         if lease is None:
             return False
@@ -133,12 +137,12 @@
         return True
 
     def lapse_all(self) -> None:
-        """Let every lease lapse at once, as after a long pause of the holders."""
+        """Expire every lease at once, as after a long pause of the holders."""
         for lease_id in list(self._leases):
             self.drop_lease(lease_id)
 
     def lapse_due(self) -> None:
-        """Delete what stands under leases that have lapsed."""
+        """Delete the keys of expired leases."""
         self._lapse()
 
     def _lapse(self) -> None:
--- a/packages/standins/src/berylstage_standins/ledger_writer.py
+++ b/packages/standins/src/berylstage_standins/ledger_writer.py
@@ -1,4 +1,4 @@
-"""Writing the append-only ledger of what ran on a target."""
+"""Append-only ledger of the work executed on a target."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-# Names of the events in a ledger.
+# Event names in a ledger.
 RAN = "ran"
 STARTED = "started"
 COLD_BOUND_BROKEN = "cold bound broken"
 
 
 class LedgerWriter:
-    """Appends one JSON document a line.
+    """Appends JSON documents to a file, one per line.
 
-    Each line is handed to the kernel before the answer goes out, so that a process
-    killed right after it has answered leaves the line behind.
+    Each line is passed to the kernel before the answer is sent, so that the line is
+    kept even if the process is killed right after it has answered.
 
     Parameters
     ----------
     path : Path or None
-        None keeps the lines in memory only.
+        File to append to; None keeps the documents in memory.
     """
 
     def __init__(self, path: Path | None):
@@ -31,7 +31,7 @@
         self._file = path.open("ab", buffering=0) if path is not None else None
 
     def append(self, doc: dict) -> None:
-        """Append one document."""
+        """Append one document as a line."""
         if self._file is None:
             self.lines.append(doc)
             return
--- a/packages/standins/src/berylstage_standins/platform_server.py
+++ b/packages/standins/src/berylstage_standins/platform_server.py
@@ -12,14 +12,14 @@
 from tornado.web import Application, Finish, HTTPError, RequestHandler
 
 from berylstage_standins.connections import leave_unanswered
-from berylstage_standins.key_values import MAX_VALUE
+from berylstage_standins.key_values import MAX_VALUE_BYTES
 
 if TYPE_CHECKING:
     from berylstage_standins.platform import Platform
 
 # Bytes of a request that the server reads at most; a value over the store's limit but
 # below this gets the 413 of the contract.
-MAX_REQUEST = 4 * MAX_VALUE
+MAX_REQUEST = 4 * MAX_VALUE_BYTES
 
 
 def make_server(platform: Platform) -> HTTPServer:
--- a/packages/standins/tests/test_faults.py
+++ b/packages/standins/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Tests of the fault switches, and of the stand-ins' calls that no adapter makes."""
+"""Tests of the fault switches and of HTTP calls that no adapter makes."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from berylstage_transfers.client import CallClient
 from tornado.netutil import bind_sockets
 
-# Documents that no set of switches takes.
-BAD = [
+# Documents that every set of switches rejects.
+INVALID_DOCUMENTS = [
     {"no such switch": True},
     {"slow_ms": "1"},
     {"slow_ms": True},
@@ -29,17 +29,17 @@
 
 
 class TestFaults:
-    @pytest.mark.parametrize("doc", BAD)
+    @pytest.mark.parametrize("doc", INVALID_DOCUMENTS)
     @pytest.mark.parametrize("kind", [PlatformFaults, TargetFaults])
-    def test_a_bad_document_sets_nothing(self, kind, doc):
-        # A fault in a test's own document must not go by unseen: the test would
-        # then pass without the fault that it is about.
+    def test_an_invalid_document_changes_no_switch(self, kind, doc):
+        # A mistake in a test's document must raise an error: otherwise the test
+        # would pass without the fault that it is meant to inject.
         faults = kind()
         with pytest.raises(ValueError, match="switch"):
             faults.set(doc)
         assert faults.as_dict() == kind.DEFAULTS
 
-    def test_whole_numbers_are_numbers(self):
+    def test_float_switches_accept_integers(self):
         faults = TargetFaults()
         faults.set({"slow_factor": 3})
         assert faults.as_dict()["slow_factor"] == 3
@@ -47,7 +47,7 @@
 
 @asynccontextmanager
 async def serve(server):
-    """Run a server, and give how to call it."""
+    """Run a server and yield a function that calls it."""
     sockets = bind_sockets(0, "127.0.0.1")
     server.add_sockets(sockets)
     base = "http://127.0.0.1:{}".format(sockets[0].getsockname()[1])
@@ -68,7 +68,7 @@
 
 
 def run(scenario):
-    """Run a test's coroutine to its end."""
+    """Run a test's coroutine with a timeout of 30 seconds."""
     return asyncio.run(asyncio.wait_for(scenario(), 30))
 
 
@@ -101,7 +101,7 @@
 
         run(scenario)
 
-    def test_a_vm_with_unknown_fields_is_refused(self):
+    def test_a_vm_with_unknown_fields_is_rejected(self):
         async def scenario():
             async with serve(platform_server.make_server(Platform())) as call:
                 doc = {"data_centre": "a", "http_address": "b", "peer_address": "c"}
@@ -129,17 +129,17 @@
         async def scenario():
             target = Target("t", WorkSettings(cold_bound=1), LedgerWriter(None))
             async with serve(target_server.make_server(target)) as call:
-                born = target.incarnation
+                first_incarnation = target.incarnation
                 assert (await call("POST", "/faults", {"no such switch": 1}))[0] == 400
                 assert (await call("POST", "/faults", {"shed": True}))[0] == 200
                 assert target.work.shed_all
                 await call("POST", "/faults", {"restart_now": True})
                 health = (await call("GET", "/health"))[1]
-                assert health["incarnation"] == target.incarnation != born
+                assert health["incarnation"] == target.incarnation != first_incarnation
 
         run(scenario)
 
-    def test_a_request_without_an_id_is_a_bad_one(self):
+    def test_requests_with_missing_fields_are_rejected(self):
         async def scenario():
             target = Target("t", WorkSettings(), LedgerWriter(None))
             async with serve(target_server.make_server(target)) as call:
--- a/packages/standins/tests/test_key_values.py
+++ b/packages/standins/tests/test_key_values.py
@@ -1,4 +1,4 @@
-"""Tests of the platform's values, leases and rates."""
+"""Tests of the platform's values, leases and rate limits."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Clock:
-    """A clock that tests set, in seconds."""
+    """Clock with a settable time in seconds."""
 
     def __init__(self):
         self.now = 0.0
@@ -19,9 +19,9 @@
 
 
 class TestLeases:
-    def test_a_lapsed_lease_takes_its_keys_along(self):
-        # The holder of a lease is paused for longer than its time. What it wrote
-        # under the lease must go, so that others can take its place.
+    def test_an_expired_lease_deletes_its_keys(self):
+        # The holder of a lease is paused for longer than the lease. The keys that it
+        # wrote under the lease must be deleted, so that another holder can write them.
         clock = Clock()
         values = KeyValues(clock)
         lease = values.take_lease(1.0)
@@ -34,7 +34,7 @@
         assert values.read("k").version == 0
         assert not values.renew_lease(lease)
 
-    def test_a_key_written_without_the_lease_stays(self):
+    def test_a_key_rewritten_without_the_lease_is_kept(self):
         values = KeyValues(Clock())
         lease = values.take_lease(1.0)
         version = values.write("k", b"held", 0, lease)
@@ -42,9 +42,9 @@
         values.lapse_all()
         assert values.read("k").version == version
 
-    def test_a_key_created_again_has_a_version_of_its_own(self):
-        # A holder that slept through the lapse of its lease writes by the version it
-        # knew. Were the version used again, its write would undo its successor's.
+    def test_a_recreated_key_gets_a_new_version(self):
+        # A holder paused past the expiry of its lease writes with the old version.
+        # If that version were reused, the write would overwrite its successor's.
         values = KeyValues(Clock())
         old = values.write("k", b"1", 0, values.take_lease(1.0))
         values.lapse_all()
@@ -54,7 +54,7 @@
 
 
 class TestRateLimit:
-    def test_only_so_many_in_any_second(self):
+    def test_calls_are_limited_in_any_one_second(self):
         clock = Clock()
         limit = RateLimit(2, clock)
         assert [limit.admit() for _ in range(3)] == [True, True, False]
@@ -65,7 +65,7 @@
 
 
 class TestVmLog:
-    def test_a_vm_that_is_gone_stays_listed_for_the_lag(self):
+    def test_a_removed_vm_stays_listed_for_the_lag(self):
         clock = Clock()
         log = VmLog(2.0, clock)
         log.record("vm-1", {"name": "vm-1"})
