--- a/packages/standins/src/berylstage_standins/ledger.py
+++ b/packages/standins/src/berylstage_standins/ledger.py
@@ -17,21 +17,20 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Seconds after its closing in which a data centre may still get work, from the
-# brief: "receives no new work a few seconds later".
-GRACE = 3.0
-# Findings of one kind that the report spells out.
-MAX_SHOWN = 5
+# A closed data centre must receive no new work a few seconds after its closure.
+GRACE_SECONDS = 3.0
+# Violations printed for each invariant.
+MAX_PRINTED_VIOLATIONS = 5
 
 
 class Run:
-    """One piece of work that took effect on a target.
+    """Execution of a request that took effect on a target.
 
     Parameters
     ----------
     target, data_centre : str
     doc : dict
-        The line of the ledger.
+        Parsed line of the ledger.
     """
 
     __slots__ = (
@@ -66,16 +65,17 @@
 
 
 class Ledger:
-    """What one target's ledger tells.
+    """Contents of one target's ledger.
 
     Parameters
     ----------
     data_centre : str
     runs : list of Run
-        Work that took effect, in its order.
+        Executions that took effect, in the order of the ledger.
     cold_bounds_broken : int
+        Number of times that the target received more jobs than its cold bound.
     starts : int
-        Runs of the target's process.
+        Number of starts of the target's process.
     """
 
     __slots__ = ("cold_bounds_broken", "data_centre", "runs", "starts")
@@ -90,14 +90,14 @@
 
 
 class Closure:
-    """A time in which operators kept a data centre closed.
+    """Period during which operators kept a data centre closed.
 
     Parameters
     ----------
     data_centre : str
     begin, end : float
-        Seconds since 1970, from the accepted sheet that closed it to the one that
-        opened it; infinite when it stayed closed.
+        Unix times in seconds at which the sheets that closed and reopened it were
+        accepted; ``end`` is infinite if it stayed closed.
     """
 
     __slots__ = ("begin", "data_centre", "end")
@@ -109,14 +109,14 @@
 
 
 class Findings:
-    """Everything that broke an invariant, as sentences by invariant.
+    """Violations of the invariants.
 
     Attributes
     ----------
     runs : int
-        Pieces of work that took effect.
+        Number of executions that took effect.
     broken : dict of str to list of str
-        Sentences by invariant; the lists are empty when it held.
+        Descriptions of the violations by invariant; empty lists for those that hold.
     """
 
     RUN_TWICE = "run twice"
@@ -147,22 +147,25 @@
         }
 
     def hold(self) -> bool:
-        """Tell whether every invariant held."""
+        """Return whether all invariants hold."""
         return not any(self.broken.values())
 
     def lines(self) -> list[str]:
-        """Return the findings as lines for a person."""
+        """Return the findings as lines of human-readable text."""
         lines = [f"{'runs':<28} {self.runs:>8}"]
         for name, sentences in self.broken.items():
             lines.append(f"{name:<28} {len(sentences):>8}")
-            lines.extend(f"    {sentence}" for sentence in sentences[:MAX_SHOWN])
+            lines.extend(
+                f"    {sentence}" for sentence in sentences[:MAX_PRINTED_VIOLATIONS]
+            )
         return lines
 
 
 def read_ledger(path: Path) -> Ledger:
     """Read one target's ledger.
 
-    A last line that was cut off by a kill is left out: its answer never went out.
+    An incomplete last line, left by a killed process, is skipped: the answer for it was
+    never sent.
 
     Parameters
     ----------
@@ -173,7 +176,7 @@
     Ledger
     """
     runs = []
-    broken = 0
+    cold_bounds_broken = 0
     starts = 0
     target = ""
     data_centre = ""
@@ -185,29 +188,30 @@
             starts += 1
             target, data_centre = doc["target"], doc["data_centre"]
         elif doc["event"] == COLD_BOUND_BROKEN:
-            broken += 1
+            cold_bounds_broken += 1
         elif doc["event"] == RAN and doc["outcome"] == Outcome.DONE.value:
             runs.append(Run(target, data_centre, doc))
-    return Ledger(data_centre, runs, broken, starts)
+    return Ledger(data_centre, runs, cold_bounds_broken, starts)
 
 
 def check(
     ledgers: Iterable[Ledger],
     closures: Iterable[Closure] = (),
     calls: Iterable[CallRecord] = (),
-    grace: float = GRACE,
+    grace: float = GRACE_SECONDS,
 ) -> Findings:
-    """Check the ledgers, and what callers got, against what must always hold.
+    """Check the ledgers and the callers' records against the invariants.
 
     Parameters
     ----------
     ledgers : iterable of Ledger
-        Of all targets, on one machine, since times are compared.
+        Ledgers of all targets. The targets must share one machine, since their
+        monotonic times are compared.
     closures : iterable of Closure
     calls : iterable of CallRecord
         All attempts of all callers.
     grace : float
-        Seconds after a closing in which work may still arrive.
+        Seconds after a closure during which work may still arrive.
 
     Returns
     -------
@@ -216,12 +220,12 @@
     Raises
     ------
     ValueError
-        A closure names a data centre that no ledger names, so that nothing could be
-        found there.
+        A closure names a data centre that is in no ledger, so that the check could
+        not detect a violation there.
     """
     ledgers = list(ledgers)
     closures = list(closures)
-    _check_names(ledgers, closures)
+    _check_data_centres(ledgers, closures)
     runs = [run for ledger in ledgers for run in ledger.runs]
     found = Findings(len(runs))
     _check_idempotency(runs, found)
@@ -233,12 +237,12 @@
     return found
 
 
-def _check_names(ledgers: list[Ledger], closures: list[Closure]) -> None:
+def _check_data_centres(ledgers: list[Ledger], closures: list[Closure]) -> None:
     known = {ledger.data_centre for ledger in ledgers}
     for closure in closures:
         if closure.data_centre not in known:
             raise ValueError(
-                f"no target's ledger names the data centre {closure.data_centre!r}; "
+                f"data centre {closure.data_centre!r} is in no target's ledger; "
                 "start the targets with --data-centre"
             )
 
@@ -257,7 +261,7 @@
 def _check_owners(runs: list[Run], found: Findings) -> None:
     by_key = defaultdict(list)
     for run in runs:
-        # Work without a fence token is that of a service whose keys nobody owns.
+        # Work without a fence token belongs to a service without key ownership.
         if run.fence:
             by_key[run.service, run.key].append(run)
     for (service, key), same in by_key.items():
@@ -267,19 +271,19 @@
 
 
 def _check_overlaps(name: str, runs: list[Run], found: Findings) -> None:
-    """Find runs on two targets at the same time."""
+    """Find executions for one key that overlap in time on two targets."""
     latest: dict[str, Run] = {}
     for run in sorted(runs, key=lambda run: run.start):
         for other in latest.values():
             if other.target != run.target and other.end > run.start:
                 found.broken[found.TWO_OWNERS].append(f"{name}: {other} and {run}")
-        held = latest.get(run.target)
-        if held is None or held.end < run.end:
+        previous = latest.get(run.target)
+        if previous is None or previous.end < run.end:
             latest[run.target] = run
 
 
 def _check_fences(name: str, runs: list[Run], found: Findings) -> None:
-    """Find effects under an older fence token after those under a newer one."""
+    """Find executions with an older fence token that end after newer ones."""
     ordered = sorted(runs, key=lambda run: run.end)
     for before, after in pairwise(ordered):
         if after.fence < before.fence:
@@ -313,15 +317,15 @@
             found.broken[found.NO_RUN].append(f"{call.kind} {call.key} by {call.vm}")
 
 
-def _closure(text: str) -> Closure:
-    """Read ``data-centre=begin`` or ``data-centre=begin:end``."""
+def _parse_closure(text: str) -> Closure:
+    """Parse ``data-centre=begin`` or ``data-centre=begin:end``."""
     name, _, times = text.partition("=")
     begin, _, end = times.partition(":")
     return Closure(name, float(begin), float(end or "inf"))
 
 
 def main() -> int:
-    """Print the findings and return the exit status: 1 when an invariant broke."""
+    """Print the findings and return the exit status: 1 if an invariant is violated."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("ledgers", nargs="+", type=Path)
     parser.add_argument("--calls", action="append", default=[], type=Path)
@@ -329,11 +333,11 @@
         "--closed",
         action="append",
         default=[],
-        type=_closure,
+        type=_parse_closure,
         metavar="DATA_CENTRE=BEGIN[:END]",
         help="seconds since 1970 in which a data centre was closed",
     )
-    parser.add_argument("--grace", type=float, default=GRACE, help="seconds")
+    parser.add_argument("--grace", type=float, default=GRACE_SECONDS, help="seconds")
     args = parser.parse_args()
     calls = [call for path in args.calls for call in read_calls(path)]
     ledgers = [read_ledger(path) for path in args.ledgers]
--- a/packages/standins/src/berylstage_standins/work.py
+++ b/packages/standins/src/berylstage_standins/work.py
@@ -1,4 +1,4 @@
-"""Work on a target: slots, backlog, cold start, deadlines and cancellation."""
+"""Job execution on a target: slots, backlog, cold start, deadlines, cancellation."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
     from berylstage_standins.grants import GrantTable
     from berylstage_standins.job import Job
 
-# Factor by which work slows down once the bound of a cold start is broken.
+# Factor by which work slows down once the cold start bound is exceeded.
 COLD_BREAK_FACTOR = 10.0
-# Milliseconds of work for a kind without a setting of its own.
+# Median duration of work in milliseconds for a kind without a setting.
 DEFAULT_WORK_MS = 5.0
-# Spread of the time of work: the standard deviation of its logarithm.
-WORK_SPREAD = 0.3
+# Standard deviation of the logarithm of the duration of work.
+WORK_LOG_STDDEV = 0.3
 
 
 class ColdBreak(Enum):
-    """What a cold target does when it is sent more than it bears."""
+    """Reaction of a cold target to more jobs than its cold bound."""
 
     SLOW = "slow"
     FALL = "fall"
@@ -35,15 +35,17 @@
 
 
 class Refused(Exception):
-    """Work that had no effect, with the reason for the ``Not-Run`` header."""
+    """Work was refused without effect, for the reason in the ``Not-Run`` header."""
 
     def __init__(self, reason: str):
-        super().__init__(f"not run: {reason}; send it again later or elsewhere")
+        super().__init__(
+            f"work was not run ({reason}); retry later or on another target"
+        )
         self.reason = reason
 
 
 class Outcome(Enum):
-    """How work that had a slot ended."""
+    """Result of work that was given a slot."""
 
     DONE = "done"
     DROPPED = "dropped"
@@ -51,24 +53,26 @@
 
 
 class WorkSettings:
-    """How a target works.
+    """Settings of a target's job execution.
 
     Parameters
     ----------
     slots : int
-        Jobs worked on at once.
+        Number of jobs that run concurrently.
     backlog : int
-        Jobs that wait for a slot; more are shed.
+        Number of jobs that may wait for a slot; further jobs are refused.
     cold_bound : int
-        Jobs that the target bears while it is cold; 0 for no bound.
+        Number of jobs that the target can handle while cold; 0 for no bound.
     cold_break : ColdBreak
-        What happens over the bound.
+        Reaction to more jobs than the cold bound.
     warm_after : int
-        Completions after which the target is warm.
+        Number of completed jobs after which the target is warm.
     work_ms : dict of str to float
-        Median time of work by kind.
+        Median duration of work in milliseconds by kind.
     seed : int
+        Seed of the random durations.
     checks_fences : bool
+        Whether the target refuses work without a valid grant.
     """
 
     __slots__ = (
@@ -112,9 +116,9 @@
     grants : GrantTable
     ledger : LedgerWriter
     on_change : callable
-        Called whenever the number of running jobs changed.
+        Called after each change of the number of running jobs.
     on_fall : callable
-        Called when the target falls over.
+        Called when the target crashes because its cold bound is exceeded.
     """
 
     def __init__(
@@ -138,51 +142,51 @@
         self._on_change = on_change
         self._on_fall = on_fall
         self._cold_left = 0
-        self._broken = False
+        self._cold_bound_exceeded = False
         self._waiting: deque[asyncio.Future[None]] = deque()
         self._random = random.Random(settings.seed)
         self.turn_cold()
 
     @property
     def cold(self) -> bool:
-        """Whether the target is in cold start."""
+        """Whether the target is in a cold start."""
         return self._cold_left > 0
 
     def turn_cold(self) -> None:
-        """Begin a cold start, if the target has a bound for one."""
+        """Begin a cold start if the target has a cold bound."""
         self._cold_left = self.settings.warm_after if self.settings.cold_bound else 0
-        self._broken = False
+        self._cold_bound_exceeded = False
 
     def drop(self, request_id: str) -> Job | None:
-        """Drop a job and return it; None when it is not here."""
+        """Cancel a job and return it; return None if the job is unknown."""
         job = self.jobs.get(request_id)
         if job is not None:
             job.dropped.set()
         return job
 
     def drop_all(self) -> None:
-        """Drop every job."""
+        """Cancel all jobs."""
         for job in self.jobs.values():
             job.dropped.set()
 
     async def run(self, job: Job) -> None:
-        """Run a job to its end.
+        """Run a job until it completes.
 
         Raises
         ------
         Refused
-            It had no effect.
+            The job had no effect.
         """
         self._admit(job)
         arrived = time.time()
         self.jobs[job.request_id] = job
         try:
             self._check_cold_bound(job)
-            await self._take_slot(job)
+            await self._acquire_slot(job)
             try:
-                await self._work(job, arrived)
+                await self._execute(job, arrived)
             finally:
-                self._free_slot()
+                self._release_slot()
         finally:
             self.jobs.pop(job.request_id, None)
             job.ended.set()
@@ -228,47 +232,47 @@
         if self.settings.cold_break is ColdBreak.FALL:
             self._on_fall()
             return
-        self._broken = True
+        self._cold_bound_exceeded = True
 
-    async def _take_slot(self, job: Job) -> None:
+    async def _acquire_slot(self, job: Job) -> None:
         if self.running < self.settings.slots:
             self.running += 1
             self._on_change()
             return
-        turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._waiting.append(turn)
+        slot: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self._waiting.append(slot)
         dropped = asyncio.ensure_future(job.dropped.wait())
-        left = job.deadline - time.time() if job.deadline else None
-        either: set[asyncio.Future[Any]] = {turn, dropped}
+        remaining = job.deadline - time.time() if job.deadline else None
+        either: set[asyncio.Future[Any]] = {slot, dropped}
         try:
             await asyncio.wait(
-                either, timeout=left, return_when=asyncio.FIRST_COMPLETED
+                either, timeout=remaining, return_when=asyncio.FIRST_COMPLETED
             )
         finally:
             dropped.cancel()
-            if not turn.done():
-                self._waiting.remove(turn)
-        if not turn.done():
+            if not slot.done():
+                self._waiting.remove(slot)
+        if not slot.done():
             raise Refused("cancelled" if job.dropped.is_set() else "deadline")
 
-    def _free_slot(self) -> None:
+    def _release_slot(self) -> None:
         if self._waiting:
-            # The slot passes on, so the number of running jobs stays.
+            # The next job takes over the slot: the number of running jobs stays.
             self._waiting.popleft().set_result(None)
             return
         self.running -= 1
         self._on_change()
 
-    async def _work(self, job: Job, arrived: float) -> None:
+    async def _execute(self, job: Job, arrived: float) -> None:
         self._check_deadline(job)
         self._check_fence(job)
         start_wall = time.time()
         start = time.monotonic()
         outcome = Outcome.DROPPED
         try:
-            await self._pass_time(job)
-            # Work takes effect at its end, where a server that checks fence tokens
-            # checks them once more: its grant may have lapsed meanwhile.
+            await self._wait_for_duration(job)
+            # Work takes effect on completion. The fence token is checked again there,
+            # since the grant may have expired while the work ran.
             outcome = Outcome.FENCED
             self._check_fence(job)
             outcome = Outcome.DONE
@@ -287,8 +291,8 @@
                 }
             )
 
-    async def _pass_time(self, job: Job) -> None:
-        """Spend the time of the work, unless the job is dropped meanwhile."""
+    async def _wait_for_duration(self, job: Job) -> None:
+        """Wait for the duration of the work unless the job is cancelled."""
         duration = self._duration(job.kind)
         start = time.monotonic()
         try:
@@ -297,15 +301,15 @@
             await self.thawed.wait()
             return
         await self.thawed.wait()
-        # A frozen process sees that its caller went away only after its own work,
-        # which was due first, has taken effect.
+        # A frozen process completes work that was due before it notices that the
+        # caller has disconnected, so such work takes effect in spite of it.
         if time.monotonic() - start < duration:
             raise Refused("cancelled")
 
     def _duration(self, kind: str) -> float:
-        """Return the seconds that the next job of a kind takes."""
+        """Return a random duration in seconds for a job of this kind."""
         median = self.settings.work_ms.get(kind, DEFAULT_WORK_MS) / 1000
-        duration = median * self._random.lognormvariate(0.0, WORK_SPREAD)
-        if self._broken and self.cold:
+        duration = median * self._random.lognormvariate(0.0, WORK_LOG_STDDEV)
+        if self._cold_bound_exceeded and self.cold:
             duration *= COLD_BREAK_FACTOR
         return duration * self.slow_factor
--- a/packages/standins/tests/test_ledger.py
+++ b/packages/standins/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""Tests of the check of the targets' ledgers."""
+"""Tests of the invariant checks on the targets' ledgers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def run_on(target, start, end, **fields):
-    """Return a run of the order of key-1 under fence 5."""
+    """Return an execution for key-1 with fence token 5."""
     doc = {
         "service": "parts-desk",
         "key": "key-1",
@@ -32,7 +32,7 @@
 
 
 def call(outcome, digest="d", own=True):
-    """Return one attempt of a caller."""
+    """Return the record of one attempt of a caller."""
     return CallRecord(
         service="parts-desk",
         kind="order",
@@ -51,7 +51,7 @@
 
 ORDER = {"idempotency_key": "order-1"}
 
-# Runs, and the invariants that they break.
+# Executions and the invariants that they violate.
 HISTORIES = {
     "one after the other on one target": (
         [run_on("a", 0, 1), run_on("a", 1, 2)],
@@ -89,7 +89,7 @@
     ),
 }
 
-# Attempts of a caller, whether the work ran, and the invariants that they break.
+# Attempts of a caller, whether the work ran, and the violated invariants.
 ATTEMPTS = {
     "answered": ([call(CallOutcome.ANSWERED)], True, []),
     "not run": ([call(CallOutcome.NOT_RUN)], False, []),
@@ -116,13 +116,13 @@
 }
 
 
-def ledgers_of(runs):
-    """Return a ledger of one target in shymkent-a."""
+def make_ledgers(runs):
+    """Return the ledger of one target in shymkent-a, as a list."""
     return [Ledger("shymkent-a", runs, 0, 1)]
 
 
-def broken(found):
-    """Return the names of the invariants that broke."""
+def violated_invariants(found):
+    """Return the names of the violated invariants."""
     return [name for name, sentences in found.broken.items() if sentences]
 
 
@@ -130,30 +130,30 @@
     @pytest.mark.parametrize("name", HISTORIES)
     def test_histories(self, name):
         runs, expected = HISTORIES[name]
-        found = check(ledgers_of(runs))
-        assert broken(found) == expected
+        found = check(make_ledgers(runs))
+        assert violated_invariants(found) == expected
         assert found.hold() == (not expected)
 
     @pytest.mark.parametrize("name", ATTEMPTS)
     def test_attempts(self, name):
         calls, ran, expected = ATTEMPTS[name]
         runs = [run_on("a", 0, 1, digest="d")] if ran else []
-        assert broken(check(ledgers_of(runs), calls=calls)) == expected
+        assert violated_invariants(check(make_ledgers(runs), calls=calls)) == expected
 
     @pytest.mark.parametrize(
         ("arrived", "expected"),
         [(9, 0), (12.9, 0), (13, 1), (19.9, 1), (20, 0)],
     )
     def test_work_in_a_closed_data_centre(self, arrived, expected):
-        # Operators closed shymkent-a at 10 and opened it again at 20. Some VM has not
-        # heard of it and sends work there.
+        # Operators close shymkent-a at 10 and reopen it at 20. A VM that has not
+        # received the change still sends work there.
         runs = [run_on("a", 0, 30, arrived_wall=arrived)]
-        found = check(ledgers_of(runs), [Closure("shymkent-a", 10.0, 20.0)])
+        found = check(make_ledgers(runs), [Closure("shymkent-a", 10.0, 20.0)])
         assert len(found.broken[found.CLOSED]) == expected
 
-    def test_a_data_centre_that_no_ledger_names_is_an_error(self):
-        # The targets were started without their data centre. A check that could find
-        # nothing must not look like one that found nothing.
+    def test_a_data_centre_missing_from_all_ledgers_is_an_error(self):
+        # The targets were started without a data centre, so that the check can detect
+        # no violation. It must fail instead of reporting none.
         ledgers = [Ledger("", [], 0, 1)]
         with pytest.raises(ValueError, match="--data-centre"):
             check(ledgers, [Closure("shymkent-a", 10.0)])
@@ -164,9 +164,9 @@
 
 
 class TestReadLedger:
-    def test_only_effects_count_and_a_cut_line_does_not(self, tmp_path):
-        # The target is killed in the middle of a line. Its answer never went out, so
-        # the reader leaves the line out instead of failing on it.
+    def test_fenced_work_and_an_incomplete_line_are_skipped(self, tmp_path):
+        # The target is killed while it writes a line. Its answer was never sent, so
+        # the reader skips the line instead of failing on it.
         path = tmp_path / "a.jsonl"
         fields = {n: getattr(run_on("a", 0, 1), n) for n in Run.__slots__}
         writer = LedgerWriter(path)
