--- a/packages/standins/src/berylstage_standins/load.py
+++ b/packages/standins/src/berylstage_standins/load.py
@@ -1,4 +1,4 @@
-"""A load of callers on the VMs, with what each of them got."""
+"""Load generator that records the result of every attempt."""
 
 from __future__ import annotations
 
@@ -18,28 +18,28 @@
 
 from berylstage_standins.call_record import CERTAIN, CallOutcome, CallRecord
 from berylstage_standins.load_result import SERVED, LoadResult
-from berylstage_standins.load_settings import LoadSettings, Share, read_share
+from berylstage_standins.load_settings import LoadSettings, Share, parse_share
 from berylstage_standins.target_server import body_digest
 
-# Connections to one VM; more calls wait.
-CONNECTIONS = 64
-# Calls under way at once when they come at a rate; more are left out, and counted.
-MAX_OPEN = 2000
-# Seconds between two lines of progress.
-PROGRESS_TICK = 1.0
-# Seconds before a retry where the answer does not say when to come back.
-RETRY_AFTER = 0.2
-# Seconds before a retry at most, so that a run ends soon.
-MAX_RETRY_AFTER = 1.0
-# Seconds between two probes of a key that failed, which bound the error of the time
-# that it was unavailable.
-PROBE_INTERVAL = 0.1
-# Exponent of the popularity of keys: 0 would make all equally popular.
-KEY_SKEW = 0.9
-
-
-class Wish:
-    """One request of a caller, over all its attempts."""
+# Connections to each VM; further calls wait for a free one.
+MAX_CONNECTIONS_PER_VM = 64
+# Concurrent requests at a fixed rate; further ones are skipped and counted.
+MAX_CONCURRENT_REQUESTS = 2000
+# Interval between two lines of progress.
+PROGRESS_INTERVAL_SECONDS = 1.0
+# Delay before a retry if the answer has no Retry-After header.
+DEFAULT_RETRY_DELAY_SECONDS = 0.2
+# Largest delay before a retry, so that a run ends soon.
+MAX_RETRY_DELAY_SECONDS = 1.0
+# Interval between two probes of a failed key, which bounds the error of the measured
+# unavailability.
+PROBE_INTERVAL_SECONDS = 0.1
+# Zipf exponent of the popularity of keys; 0 makes all keys equally popular.
+KEY_ZIPF_EXPONENT = 0.9
+
+
+class LoadRequest:
+    """Request of a caller, shared by all its attempts."""
 
     __slots__ = ("body", "digest", "idempotency_key", "issued_ms", "key", "share")
 
@@ -53,7 +53,7 @@
 
 
 class Load:
-    """Callers that send requests and record what they get.
+    """Simulated callers that send requests and record the results.
 
     Parameters
     ----------
@@ -63,7 +63,7 @@
     ----------
     result : LoadResult
     left_out : int
-        Requests that were due but not sent, since too many were under way.
+        Number of requests that were due but skipped, since too many were in progress.
     """
 
     def __init__(self, settings: LoadSettings):
@@ -71,21 +71,22 @@
         self.result = LoadResult()
         self.left_out = 0
         self._random = random.Random(settings.seed)
-        self._clients = {vm: CallClient(CONNECTIONS) for vm in settings.vms}
+        self._clients = {vm: CallClient(MAX_CONNECTIONS_PER_VM) for vm in settings.vms}
         self._weights = [share.weight for share in settings.mix]
         self._popularity = [
-            1.0 / (rank + 1) ** KEY_SKEW for rank in range(settings.keys)
+            1.0 / (rank + 1) ** KEY_ZIPF_EXPONENT for rank in range(settings.keys)
         ]
         self._probes: dict[tuple[str, str], asyncio.Task[None]] = {}
         self._run_id = uuid.uuid4().hex[:8]
-        self._wishes = 0
+        self._request_count = 0
 
     async def run(self, seconds: float) -> LoadResult:
-        """Send requests for a time, wait for the last answers, and return the result.
+        """Send requests for a time, wait for the last answers and return the result.
 
         Parameters
         ----------
         seconds : float
+        How long to send requests.
 
         Returns
         -------
@@ -109,7 +110,7 @@
 
     async def _run_caller(self, number: int, end: float) -> None:
         while time.monotonic() < end:
-            await self._fulfil(self._wish(), f"caller-{number}")
+            await self._send(self._make_request(), f"caller-{number}")
 
     async def _run_at_rate(self, end: float) -> None:
         tasks: set[asyncio.Task[None]] = set()
@@ -117,143 +118,151 @@
         while due < end:
             await asyncio.sleep(max(0.0, due - time.monotonic()))
             due += self._random.expovariate(self.settings.rate)
-            if len(tasks) >= MAX_OPEN:
+            if len(tasks) >= MAX_CONCURRENT_REQUESTS:
                 self.left_out += 1
                 continue
             caller = f"caller-{self._random.randrange(self.settings.callers)}"
-            task = asyncio.ensure_future(self._fulfil(self._wish(), caller))
+            task = asyncio.ensure_future(self._send(self._make_request(), caller))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         await asyncio.gather(*tasks)
 
-    def _wish(self) -> Wish:
-        self._wishes += 1
+    def _make_request(self) -> LoadRequest:
+        self._request_count += 1
         (share,) = self._random.choices(self.settings.mix, self._weights)
         (rank,) = self._random.choices(range(self.settings.keys), self._popularity)
-        return Wish(share, f"key-{rank}", f"{self._run_id}-{self._wishes}")
+        return LoadRequest(
+            share, f"key-{rank}", f"{self._run_id}-{self._request_count}"
+        )
 
-    async def _fulfil(self, wish: Wish, caller: str) -> None:
-        """Try a request until it is answered or the attempts are used up."""
+    async def _send(self, request: LoadRequest, caller: str) -> None:
+        """Send a request, and retry it while that is safe and attempts are left."""
         vms = self._random.sample(self.settings.vms, len(self.settings.vms))
         for attempt in range(1 + self.settings.retries):
-            record, pause = await self._attempt(wish, caller, vms[attempt % len(vms)])
+            record, delay = await self._attempt(
+                request, caller, vms[attempt % len(vms)]
+            )
             self.result.add(record)
             if record.outcome not in SERVED:
-                self._start_probe(wish)
-            if not _worth_a_retry(wish, record):
+                self._start_probe(request)
+            if not _is_retryable(request, record):
                 return
             if attempt < self.settings.retries:
-                await asyncio.sleep(pause)
+                await asyncio.sleep(delay)
 
-    def _start_probe(self, wish: Wish) -> None:
-        """Watch for a key to come back, unless that is done already."""
-        name = (wish.share.service, wish.key)
+    def _start_probe(self, request: LoadRequest) -> None:
+        """Start probing a failed key unless a probe is already running."""
+        name = (request.share.service, request.key)
         repeatable = [
             share
             for share in self.settings.mix
-            if share.service == wish.share.service and not share.once
+            if share.service == request.share.service and not share.once
         ]
         if repeatable and name not in self._probes:
-            probe = asyncio.ensure_future(self._probe(repeatable[0], wish.key))
+            probe = asyncio.ensure_future(self._probe(repeatable[0], request.key))
             self._probes[name] = probe
 
     async def _probe(self, share: Share, key: str) -> None:
-        """Ask for a key until it is served."""
+        """Send repeatable requests for a key until it is served."""
         served = False
         while not served:
-            await asyncio.sleep(PROBE_INTERVAL)
-            self._wishes += 1
-            wish = Wish(share, key, f"{self._run_id}-{self._wishes}")
+            await asyncio.sleep(PROBE_INTERVAL_SECONDS)
+            self._request_count += 1
+            request = LoadRequest(share, key, f"{self._run_id}-{self._request_count}")
             vm = self._random.choice(self.settings.vms)
-            record, _ = await self._attempt(wish, "probe", vm)
+            record, _ = await self._attempt(request, "probe", vm)
             self.result.add_probe(record)
             served = record.outcome in SERVED
         del self._probes[share.service, key]
 
     async def _attempt(
-        self, wish: Wish, caller: str, vm: str
+        self, request: LoadRequest, caller: str, vm: str
     ) -> tuple[CallRecord, float]:
         start = time.monotonic()
         answer = None
         reason = ""
         try:
-            answer = await self._clients[vm].call(self._call(wish, caller, vm))
+            answer = await self._clients[vm].call(self._make_call(request, caller, vm))
         except NeverSent:
             outcome = CallOutcome.NOT_SENT
         except AnswerLost as exc:
             outcome = CallOutcome.LOST
-            reason = _cause(exc)
+            reason = _extract_cause(exc)
         else:
-            outcome = _outcome(answer)
+            outcome = _parse_outcome(answer)
             reason = answer.header(b"berylstage-reason")
         record = CallRecord(
-            service=wish.share.service,
-            kind=wish.share.kind,
-            key=wish.key,
-            digest=wish.digest,
-            idempotency_key=wish.idempotency_key,
+            service=request.share.service,
+            kind=request.share.kind,
+            key=request.key,
+            digest=request.digest,
+            idempotency_key=request.idempotency_key,
             vm=vm,
             outcome=outcome,
             status=answer.status if answer else 0,
             reason=reason,
-            own=answer is not None and _is_own(wish, answer),
+            own=answer is not None and _is_own(request, answer),
             start=start,
             end=time.monotonic(),
         )
-        return record, _retry_after(answer)
+        return record, _retry_delay(answer)
 
-    def _call(self, wish: Wish, caller: str, vm: str) -> Call:
-        share = wish.share
-        path = f"{share.service}/{share.kind}/{quote(wish.key, safe='')}"
+    def _make_call(self, request: LoadRequest, caller: str, vm: str) -> Call:
+        share = request.share
+        path = f"{share.service}/{share.kind}/{quote(request.key, safe='')}"
         headers = {"Caller": caller, "Content-Type": "application/json"}
         if share.once:
-            headers["Idempotency-Key"] = wish.idempotency_key
-            headers["Idempotency-Issued-At"] = str(wish.issued_ms)
+            headers["Idempotency-Key"] = request.idempotency_key
+            headers["Idempotency-Issued-At"] = str(request.issued_ms)
         timeout = self.settings.timeout
-        return Call("POST", f"http://{vm}/{path}", headers, wish.body, timeout)
+        return Call("POST", f"http://{vm}/{path}", headers, request.body, timeout)
 
 
-def _worth_a_retry(wish: Wish, record: CallRecord) -> bool:
-    """Tell whether a caller would try again: an idempotency key makes it safe."""
+def _is_retryable(request: LoadRequest, record: CallRecord) -> bool:
+    """Return whether a retry is safe: the work did not run or is idempotent."""
     if record.outcome is CallOutcome.ANSWERED:
         return False
-    return record.outcome in CERTAIN or bool(wish.idempotency_key)
+    return record.outcome in CERTAIN or bool(request.idempotency_key)
 
 
-def _outcome(answer: Answer) -> CallOutcome:
-    """Return the outcome that an answer names."""
+def _parse_outcome(answer: Answer) -> CallOutcome:
+    """Return the outcome from an answer's header; ``LOST`` if it is invalid."""
     try:
         return CallOutcome(answer.header(b"berylstage-outcome"))
     except ValueError:
         return CallOutcome.LOST
 
 
-def _is_own(wish: Wish, answer: Answer) -> bool:
-    """Tell whether an answer proves that it is the answer to this request."""
+def _is_own(request: LoadRequest, answer: Answer) -> bool:
+    """Return whether the body of an answer identifies this request."""
     try:
         doc = json.loads(answer.body)
     except ValueError:
         return False
     if not isinstance(doc, dict):
         return False
-    return (doc.get("digest"), doc.get("key")) == (wish.digest, wish.key)
+    return (doc.get("digest"), doc.get("key")) == (request.digest, request.key)
 
 
-def _retry_after(answer: Answer | None) -> float:
-    """Return the seconds to wait before the next attempt."""
+def _retry_delay(answer: Answer | None) -> float:
+    """Return the delay in seconds before the next attempt."""
     try:
-        asked = float(answer.header(b"retry-after")) if answer else RETRY_AFTER
+        delay = (
+            float(answer.header(b"retry-after"))
+            if answer
+            else DEFAULT_RETRY_DELAY_SECONDS
+        )
     except ValueError:
-        asked = RETRY_AFTER
-    return min(asked, MAX_RETRY_AFTER)
+        delay = DEFAULT_RETRY_DELAY_SECONDS
+    return min(delay, MAX_RETRY_DELAY_SECONDS)
 
 
-def _cause(exc: CallFailed) -> str:
-    """Return the part of a failure's message that names its cause."""
+def _extract_cause(exc: CallFailed) -> str:
+    """Return the cause in parentheses from a failure's message."""
     return str(exc).partition("(")[2].partition(")")[0]
 
 
-def _settings(args: argparse.Namespace) -> LoadSettings:
+def _make_settings(args: argparse.Namespace) -> LoadSettings:
     return LoadSettings(
         vms=args.vm,
         mix=args.mix,
@@ -268,14 +277,14 @@
 
 async def _show_progress(load: Load) -> None:
     while True:
-        await asyncio.sleep(PROGRESS_TICK)
+        await asyncio.sleep(PROGRESS_INTERVAL_SECONDS)
         outcomes = load.result.outcomes
         shown = ", ".join(f"{outcomes[o]} {o.value}" for o in CallOutcome)
         print(shown, file=sys.stderr, flush=True)
 
 
 async def _run(args: argparse.Namespace) -> None:
-    load = Load(_settings(args))
+    load = Load(_make_settings(args))
     progress = asyncio.ensure_future(_show_progress(load)) if args.progress else None
     result = await load.run(args.seconds)
     if progress is not None:
@@ -289,12 +298,12 @@
 
 
 def main() -> None:
-    """Run a load and print what it brought as JSON."""
+    """Run a load and print its results as JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--vm", action="append", required=True, metavar="HOST:PORT")
     parser.add_argument(
         "--mix",
-        type=read_share,
+        type=parse_share,
         action="append",
         required=True,
         metavar="SERVICE/KIND[:once]=WEIGHT",
--- a/packages/standins/src/berylstage_standins/load_result.py
+++ b/packages/standins/src/berylstage_standins/load_result.py
@@ -1,4 +1,4 @@
-"""What a load brought: outcomes, latency, and how long keys were unavailable."""
+"""Results of a load: outcomes, latency and unavailability of keys."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 from berylstage_standins.call_record import CallOutcome, CallRecord
 
-# Range of the histograms in microseconds, and their significant digits.
-_LOWEST = 1
-_HIGHEST = 120_000_000
-_DIGITS = 3
-_MICROSECONDS = 1_000_000
+# Range and precision of the latency histograms.
+_MIN_LATENCY_MICROS = 1
+_MAX_LATENCY_MICROS = 120_000_000
+_SIGNIFICANT_DIGITS = 3
+_MICROS_PER_SECOND = 1_000_000
 
-# Outcomes that mean that the key is served: work in progress is.
+# Outcomes which show that the key is served, including work still in progress.
 SERVED = frozenset({CallOutcome.ANSWERED, CallOutcome.IN_PROGRESS})
 
 
 class Availability:
-    """How long a key was unavailable, from the attempts on it.
+    """Longest unavailability of a key, derived from the attempts on it.
 
     A key counts as unavailable from the start of the first attempt that failed after
-    a success to the end of the next attempt that succeeded. That is only as good as
-    the attempts are frequent, so the load probes a key from its first failure on.
+    a success to the end of the next attempt that succeeded. The precision depends on
+    the frequency of attempts, so the load probes a key from its first failure on.
 
-    A success in the middle of a long attempt that fails in the end shows that the key
-    was served by then: one call was lost, and the key is not to blame.
+    A success during a long attempt that finally fails shows that the key was served at
+    that time: a single call was lost, so the key counts as available until then.
     """
 
     __slots__ = ("failed_since", "longest", "served_at")
@@ -37,7 +37,7 @@
         self.longest = 0.0
 
     def add(self, record: CallRecord) -> None:
-        """Take one attempt into account."""
+        """Add one attempt."""
         if record.outcome not in SERVED:
             if self.failed_since is None:
                 self.failed_since = max(record.start, self.served_at)
@@ -48,24 +48,25 @@
             self.failed_since = None
 
     def until(self, now: float) -> float:
-        """Return the longest time in seconds, counting one that still lasts."""
+        """Return the longest unavailability in seconds, including an ongoing one."""
         if self.failed_since is None:
             return self.longest
         return max(self.longest, now - self.failed_since)
 
 
 class LoadResult:
-    """What a load brought.
+    """Results of a load.
 
     Attributes
     ----------
     records : list of CallRecord
-        Every attempt.
+        All attempts.
     probes : int
-        Attempts that only watched for a key to come back; they stand in ``records``,
-        and count in no figure but the time of unavailability.
+        Number of attempts that only test whether a failed key is served again. They
+        are in ``records`` but otherwise count only for the unavailability.
     latency : dict of str to HdrHistogram
-        Microseconds of the answered attempts, by ``service/kind`` and in ``all``.
+        Latency of the answered attempts in microseconds, by ``service/kind`` and for
+        ``all``.
     """
 
     def __init__(self) -> None:
@@ -77,35 +78,35 @@
         self._keys: dict[tuple[str, str], Availability] = defaultdict(Availability)
 
     def add_probe(self, record: CallRecord) -> None:
-        """Take into account an attempt that watched for a key to come back."""
+        """Add an attempt that tests whether a failed key is served again."""
         self.records.append(record)
         self.probes += 1
         self._keys[record.service, record.key].add(record)
 
     def add(self, record: CallRecord) -> None:
-        """Take one attempt into account."""
+        """Add one attempt."""
         self.records.append(record)
         self.outcomes[record.outcome] += 1
         if record.outcome is not CallOutcome.ANSWERED:
             self.reasons[f"{record.outcome.value}: {record.reason}"] += 1
         else:
-            micros = int((record.end - record.start) * _MICROSECONDS)
+            micros = int((record.end - record.start) * _MICROS_PER_SECOND)
             for name in ("all", f"{record.service}/{record.kind}"):
                 self.latency[name].record_value(micros)
         self._keys[record.service, record.key].add(record)
 
     def longest_unavailable(self, now: float) -> float:
-        """Return the longest time in seconds that any key was unavailable."""
+        """Return the longest unavailability of any key in seconds."""
         times = [key.until(now) for key in self._keys.values()]
         return max(times, default=0.0)
 
     def wrong_answers(self) -> int:
-        """Return how many answers were those of another request."""
+        """Return the number of answers that belong to another request."""
         answered = CallOutcome.ANSWERED
         return sum(r.outcome is answered and not r.own for r in self.records)
 
     def as_dict(self, now: float) -> dict:
-        """Return the result as JSON can hold it."""
+        """Return the results as a JSON-serializable dict."""
         return {
             "outcomes": {o.value: self.outcomes[o] for o in CallOutcome},
             "reasons": dict(self.reasons.most_common()),
@@ -119,7 +120,7 @@
 
 
 def _histogram() -> HdrHistogram:
-    return HdrHistogram(_LOWEST, _HIGHEST, _DIGITS)
+    return HdrHistogram(_MIN_LATENCY_MICROS, _MAX_LATENCY_MICROS, _SIGNIFICANT_DIGITS)
 
 
 def _percentiles(hist: HdrHistogram) -> dict[str, float]:
--- a/packages/standins/src/berylstage_standins/load_settings.py
+++ b/packages/standins/src/berylstage_standins/load_settings.py
@@ -1,4 +1,4 @@
-"""What a load asks of the VMs."""
+"""Settings of the load generator."""
 
 from __future__ import annotations
 
@@ -6,14 +6,16 @@
 
 
 class Share:
-    """One kind of request in the mix.
+    """Share of one kind of request in the mix.
 
     Parameters
     ----------
     service, kind : str
     once : bool
-        Whether the work may not be repeated, and gets an idempotency key.
+        Whether the work must not be repeated, so that requests carry an idempotency
+        key.
     weight : float
+        Relative frequency in the mix.
     """
 
     __slots__ = ("kind", "once", "service", "weight")
@@ -26,7 +28,7 @@
 
 
 class LoadSettings:
-    """What is asked of the VMs.
+    """Settings of the load generator.
 
     Parameters
     ----------
@@ -34,16 +36,16 @@
         ``host:port`` of each VM.
     mix : list of Share
     callers : int
-        Callers that wait for each answer before they ask again; with a rate, the
-        number of callers that the requests are spread over.
+        Number of callers. Without a rate, each waits for an answer before its next
+        request; with a rate, the requests are spread over them.
     rate : float
-        Requests a second, however slow the answers.
+        Requests per second, independent of the answers; 0 for no fixed rate.
     keys : int
-        Keys for each service.
+        Number of keys for each service.
     timeout : float
         Seconds that a caller waits for an answer.
     retries : int
-        Attempts after the first, each through another VM.
+        Number of attempts after the first, each through the next VM.
     seed : int
     """
 
@@ -79,8 +81,8 @@
         self.seed = seed
 
 
-def read_share(text: str) -> Share:
-    """Read one kind of request of the mix.
+def parse_share(text: str) -> Share:
+    """Parse the share of one kind of request.
 
     Parameters
     ----------
@@ -94,10 +96,13 @@
     Raises
     ------
     argparse.ArgumentTypeError
+        The text has another form.
     """
     name, _, weight = text.partition("=")
     name, _, once = name.partition(":")
     service, _, kind = name.partition("/")
     if not kind or once not in ("", "once"):
-        raise ArgumentTypeError(f"{text!r}: write service/kind[:once]=weight")
+        raise ArgumentTypeError(
+            f"invalid share {text!r}: use service/kind[:once]=weight"
+        )
     return Share(service, kind, once == "once", float(weight or 1))
--- a/packages/standins/src/berylstage_standins/platform.py
+++ b/packages/standins/src/berylstage_standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform: its state, and the process that serves it."""
+"""Simulated platform: its state and the process that serves it."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Calls a second, from the brief: "several hundred writes and about two thousand
-# reads a second".
+# The platform accepts several hundred writes and about two thousand reads per second.
 WRITES_PER_SECOND = 400
 READS_PER_SECOND = 2000
-# Seconds between two looks for lapsed leases.
-LEASE_TICK = 0.05
+# Interval between two checks for expired leases.
+LEASE_CHECK_INTERVAL_SECONDS = 0.05
 
 
 class RateLimit:
-    """Calls allowed in any one second.
+    """Limits the number of calls in any one second.
 
     Parameters
     ----------
     per_second : int
+        Largest number of calls in any one second.
     clock : callable
-        Monotonic time in seconds.
+        Returns monotonic time in seconds.
     """
 
     def __init__(self, per_second: int, clock: Callable[[], float]):
@@ -40,7 +40,7 @@
         self._calls: deque[float] = deque()
 
     def admit(self) -> bool:
-        """Count a call and tell whether it is within the limit."""
+        """Count a call if it is within the limit and return whether it is."""
         now = self._clock()
         while self._calls and self._calls[0] <= now - 1.0:
             self._calls.popleft()
@@ -51,7 +51,7 @@
 
 
 class VmChange:
-    """What became known of a VM at one time.
+    """Change of a VM's entry in the VM list.
 
     Parameters
     ----------
@@ -59,7 +59,7 @@
         Monotonic time in seconds.
     name : str
     doc : dict or None
-        The VM as ``GET /vms`` shows it; None when it is gone.
+        VM as shown by ``GET /vms``; None if the VM was removed.
     """
 
     __slots__ = ("doc", "name", "time")
@@ -71,47 +71,48 @@
 
 
 class VmLog:
-    """The VM list as it was a settable time ago.
+    """VM list that lags behind the actual changes.
 
     Parameters
     ----------
     lag : float
-        Seconds by which the list is late.
+        Seconds by which the list lags behind.
     clock : callable
-        Monotonic time in seconds.
+        Returns monotonic time in seconds.
     """
 
     def __init__(self, lag: float, clock: Callable[[], float]):
         self.lag = lag
         self._clock = clock
         self._changes: deque[VmChange] = deque()
-        self._seen: dict[str, dict] = {}
+        self._visible: dict[str, dict] = {}
 
     def record(self, name: str, doc: dict | None) -> None:
-        """Record a VM, or that it is gone."""
+        """Record an added, changed or removed VM."""
         self._changes.append(VmChange(self._clock(), name, doc))
 
     def vms(self) -> list[dict]:
-        """Return the list as it was ``lag`` seconds ago, by name."""
+        """Return the list as of ``lag`` seconds ago, sorted by name."""
         horizon = self._clock() - self.lag
         while self._changes and self._changes[0].time <= horizon:
             change = self._changes.popleft()
-            self._seen.pop(change.name, None)
+            self._visible.pop(change.name, None)
             if change.doc is not None:
-                self._seen[change.name] = change.doc
-        return [self._seen[name] for name in sorted(self._seen)]
+                self._visible[change.name] = change.doc
+        return [self._visible[name] for name in sorted(self._visible)]
 
 
 class Platform:
-    """State of the stand-in.
+    """State of the simulated platform.
 
     Parameters
     ----------
     vm_lag : float
-        Seconds by which the VM list is late.
+        Seconds by which the VM list lags behind.
     writes_per_second, reads_per_second : int
+        Rate limits; a watch counts as a read.
     clock : callable
-        Monotonic time in seconds.
+        Returns monotonic time in seconds.
     """
 
     def __init__(
@@ -130,7 +131,7 @@
         self._limits = {"write": writes, "read": reads, "watch": reads}
 
     def count(self, kind: str) -> bool:
-        """Count a call and tell whether it is within the rate limit.
+        """Count a call and return whether it is within the rate limit.
 
         Parameters
         ----------
@@ -149,9 +150,9 @@
         return admitted
 
     async def lapse_leases(self) -> None:
-        """Delete the keys of lapsed leases for as long as the task runs."""
+        """Delete the keys of expired leases until the task is cancelled."""
         while True:
-            await asyncio.sleep(LEASE_TICK)
+            await asyncio.sleep(LEASE_CHECK_INTERVAL_SECONDS)
             self.values.lapse_due()
 
 
@@ -163,14 +164,14 @@
     )
     server = make_server(platform)
     address = listen(server, args.host, args.port)
-    lapsing = asyncio.ensure_future(platform.lapse_leases())
+    lease_expiry = asyncio.ensure_future(platform.lapse_leases())
     await run_until_signal(f"platform listening on {address}")
-    lapsing.cancel()
+    lease_expiry.cancel()
     server.stop()
 
 
 def main() -> None:
-    """Run the stand-in until SIGTERM or SIGINT."""
+    """Run the simulated platform until SIGTERM or SIGINT."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--host", default="127.0.0.1")
     parser.add_argument("--port", type=int, required=True)
--- a/packages/standins/src/berylstage_standins/platform_server.py
+++ b/packages/standins/src/berylstage_standins/platform_server.py
@@ -1,4 +1,4 @@
-"""The platform stand-in's HTTP calls, as ``platform-contract.md`` lists them."""
+"""HTTP API of the simulated platform, as specified in ``platform-contract.md``."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 if TYPE_CHECKING:
     from berylstage_standins.platform import Platform
 
-# Bytes of a request that the server reads at most; a value over the store's limit but
-# below this gets the 413 of the contract.
-MAX_REQUEST = 4 * MAX_VALUE_BYTES
+# Exceeds the store's limit, so that a value between the two limits is read and gets
+# the status 413 that the contract requires.
+MAX_REQUEST_BYTES = 4 * MAX_VALUE_BYTES
 
 
 def make_server(platform: Platform) -> HTTPServer:
-    """Return an HTTP server for a platform, which listens nowhere yet.
+    """Return an HTTP server for a platform that does not listen yet.
 
     Parameters
     ----------
@@ -46,18 +46,18 @@
         ],
         log_function=lambda handler: None,
     )
-    return HTTPServer(application, max_body_size=MAX_REQUEST)
+    return HTTPServer(application, max_body_size=MAX_REQUEST_BYTES)
 
 
 class _Handler(RequestHandler):
-    """A call that counts, and that faults can strike."""
+    """Base class for calls that are counted and subject to faults."""
 
     def initialize(self, platform: Platform) -> None:
         self.platform = platform
 
     async def prepare(self) -> None:
         admitted = self.platform.count(self.call_kind())
-        await self.strike()
+        await self.apply_down_fault()
         if not admitted:
             raise HTTPError(429)
         if self.platform.faults.slow_ms:
@@ -67,8 +67,8 @@
         """Return the kind under which the call is counted."""
         return "read" if self.request.method == "GET" else "write"
 
-    async def strike(self) -> None:
-        """Let the call meet the switch ``down``."""
+    async def apply_down_fault(self) -> None:
+        """Apply the fault switch ``down`` to the call."""
         faults = self.platform.faults
         if not faults.down or not self.request.path.startswith(faults.down_for):
             return
@@ -96,7 +96,7 @@
         return "watch" if "after" in self.request.query_arguments else "read"
 
     async def get(self, key: str) -> None:
-        """Answer with the value, at once or when it changes."""
+        """Return the value, for a watch after it has changed."""
         if self.call_kind() == "watch" and not await self._changed(key):
             self.set_status(204)
             return
@@ -114,12 +114,12 @@
         changed = await self.platform.values.changed(key, after, wait)
         if self.platform.faults.watch_silent:
             await leave_unanswered(self)
-        # The platform may have gone down while the watch waited.
-        await self.strike()
+        # The switch may have been set while the watch waited.
+        await self.apply_down_fault()
         return changed
 
     async def put(self, key: str) -> None:
-        """Write the value if the version fits."""
+        """Write the value if the key has the expected version."""
         expected = int(self.request.headers.get("If-Version", "0"))
         lease = self.request.headers.get("Lease", "")
         values = self.platform.values
@@ -133,10 +133,10 @@
             raise HTTPError(413) from None
         except KeyError:
             raise HTTPError(410) from None
-        await self._after_effect()
+        await self._apply_answer_faults()
         self.set_header("Version", str(version))
 
-    async def _after_effect(self) -> None:
+    async def _apply_answer_faults(self) -> None:
         faults = self.platform.faults
         if faults.slow_answer_ms:
             await asyncio.sleep(faults.slow_answer_ms / 1000)
@@ -166,7 +166,7 @@
             raise HTTPError(410)
 
     def delete(self, lease_id: str) -> None:
-        """End a lease."""
+        """Revoke a lease."""
         if not self.platform.values.drop_lease(lease_id):
             raise HTTPError(410)
 
@@ -175,34 +175,34 @@
     """``/vms``."""
 
     def get(self) -> None:
-        """Answer with the list."""
+        """Return the VM list."""
         self.set_header("Content-Type", "application/json")
         self.write(json.dumps(self.platform.vm_log.vms()))
 
 
 class _VmHandler(_Handler):
-    """``/vms/<name>``: the platform's own doing."""
+    """``/vms/<name>``: simulates the platform's own changes of the VM list."""
 
     def put(self, name: str) -> None:
-        """Record a VM."""
+        """Add or change a VM."""
         doc = {"leaving": False, **json.loads(self.request.body), "name": name}
         if set(doc) != set(VmRecord.__slots__):
             raise HTTPError(400)
         self.platform.vm_log.record(name, doc)
 
     def delete(self, name: str) -> None:
-        """Record that a VM is gone."""
+        """Remove a VM."""
         self.platform.vm_log.record(name, None)
 
 
 class _FaultsHandler(RequestHandler):
-    """``/faults``: never struck by a fault itself."""
+    """``/faults``, which is not subject to faults."""
 
     def initialize(self, platform: Platform) -> None:
         self.platform = platform
 
     def get(self) -> None:
-        """Answer with the switches."""
+        """Return the values of the switches."""
         self.write(self.platform.faults.as_dict())
 
     def post(self) -> None:
@@ -224,11 +224,11 @@
 
 
 class _CountsHandler(RequestHandler):
-    """``/counts``: calls by kind since the start."""
+    """``/counts``: number of calls by kind since the start."""
 
     def initialize(self, platform: Platform) -> None:
         self.platform = platform
 
     def get(self) -> None:
-        """Answer with the counts."""
+        """Return the counts."""
         self.write(dict(self.platform.counts))
--- a/packages/standins/src/berylstage_standins/process.py
+++ b/packages/standins/src/berylstage_standins/process.py
@@ -1,4 +1,4 @@
-"""Running a stand-in as a process."""
+"""Helpers to run a simulated server as a process."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 def listen(server: HTTPServer, host: str, port: int) -> str:
-    """Let a server listen and return its address.
+    """Start listening and return the server's address.
 
     Parameters
     ----------
     server : HTTPServer
     host : str
-        An IP number.
+        IP address to listen on.
     port : int
-        0 for any that is free.
+        Port to listen on; 0 selects a free port.
 
     Returns
     -------
@@ -39,7 +39,7 @@
     Parameters
     ----------
     greeting : str
-        The line that tells whoever started the process that it listens.
+        Line that tells the parent process that the server is listening.
     """
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
--- a/packages/standins/src/berylstage_standins/target.py
+++ b/packages/standins/src/berylstage_standins/target.py
@@ -1,4 +1,4 @@
-"""Stand-in for a target: its state, and the process that serves it."""
+"""Simulated target: its state and the process that serves it."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
     from berylstage_targets.target import GrantRequest
     from tornado.iostream import IOStream
 
-# Seconds that a target which was told to stop waits for its jobs.
-DRAIN_TIMEOUT = 10.0
-# Seconds between two looks whether the jobs have ended.
-DRAIN_TICK = 0.02
+# How long a stopping target waits for its jobs to complete.
+DRAIN_TIMEOUT_SECONDS = 10.0
+# Interval between two checks for unfinished jobs.
+DRAIN_CHECK_INTERVAL_SECONDS = 0.02
 
 
 class LoadSample:
-    """The load of a target at one time."""
+    """Load of a target at one point in time."""
 
     __slots__ = ("cold", "running", "time")
 
@@ -40,7 +40,7 @@
 
 
 class Target:
-    """State of the stand-in.
+    """State of the simulated target.
 
     Parameters
     ----------
@@ -48,16 +48,16 @@
     settings : WorkSettings
     ledger : LedgerWriter
     connections : int
-        Connections accepted at once; more are closed.
+        Largest number of open connections; further ones are closed.
     report_lag : float
-        Seconds by which the load report is late.
+        Seconds by which the load report lags behind.
     data_centre : str
-        Shown in the ledger.
+        Data centre that is recorded in the ledger.
 
     Attributes
     ----------
     accepted : int
-        Connections accepted since the start.
+        Number of connections accepted since the start.
     """
 
     def __init__(
@@ -86,12 +86,12 @@
         self.restart()
 
     def clock_ms(self) -> int:
-        """Return the target's own clock, in milliseconds; it starts at 1."""
-        return int((time.monotonic() - self._born) * 1000) + 1
+        """Return the milliseconds since the incarnation began, starting at 1."""
+        return int((time.monotonic() - self._started_at) * 1000) + 1
 
     def restart(self) -> None:
-        """Begin a new run, as after a crash: jobs and grants are gone, all is cold."""
-        self._born = time.monotonic()
+        """Begin a new incarnation without jobs or grants and cold, as after a crash."""
+        self._started_at = time.monotonic()
         self.incarnation = uuid.uuid4().hex
         self.grants.clear()
         self.work.drop_all()
@@ -110,7 +110,7 @@
         )
 
     def apply_faults(self) -> None:
-        """Let the work see the switches."""
+        """Apply the fault switches to the job execution."""
         self.work.slow_factor = self.faults.slow_factor
         self.work.shed_all = self.faults.shed
         self.work.draining = self.faults.draining
@@ -120,21 +120,21 @@
             self.work.thawed.set()
 
     def silence_connections(self) -> None:
-        """Let every open connection go silent; new ones work."""
+        """Stop answering on all open connections; new ones are not affected."""
         self.silent.update(self.streams)
 
-    def decide(self, order: GrantRequest) -> str:
-        """Take a grant order and return why it is refused; empty when it is not."""
+    def decide(self, request: GrantRequest) -> str:
+        """Accept or refuse a grant request; return the reason, empty if accepted."""
         if self.work.draining:
             return "draining"
         if self.faults.unwilling:
             return "unwilling"
         if not self.work.settings.checks_fences:
             return ""
-        return self.grants.accept(order)
+        return self.grants.accept(request)
 
     def load_report(self) -> dict:
-        """Return the load as it was ``report_lag`` seconds ago, or as misreported."""
+        """Return the load as of ``report_lag`` seconds ago, with faults applied."""
         self._sample()
         sample = self._samples[0]
         running = sample.running
@@ -182,21 +182,21 @@
     address = listen(server, args.host, args.port)
     await run_until_signal(f"target {args.name} listening on {address}")
     target.work.draining = True
-    end = time.monotonic() + DRAIN_TIMEOUT
+    end = time.monotonic() + DRAIN_TIMEOUT_SECONDS
     while target.work.jobs and time.monotonic() < end:
-        await asyncio.sleep(DRAIN_TICK)
+        await asyncio.sleep(DRAIN_CHECK_INTERVAL_SECONDS)
     server.stop()
     ledger.close()
 
 
-def _work_ms(text: str) -> tuple[str, float]:
-    """Read ``kind=milliseconds``."""
+def _parse_work_ms(text: str) -> tuple[str, float]:
+    """Parse ``kind=milliseconds``."""
     kind, _, value = text.partition("=")
     return kind, float(value)
 
 
 def main() -> None:
-    """Run the stand-in until SIGTERM or SIGINT; jobs in progress end first."""
+    """Run the target until SIGTERM or SIGINT, then let jobs in progress complete."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--name", required=True)
     parser.add_argument("--data-centre", default="")
@@ -215,7 +215,7 @@
     parser.add_argument("--warm-after", type=int, default=50, help="completions")
     parser.add_argument(
         "--work-ms",
-        type=_work_ms,
+        type=_parse_work_ms,
         action="append",
         default=[],
         metavar="KIND=MS",
--- a/packages/standins/src/berylstage_standins/target_server.py
+++ b/packages/standins/src/berylstage_standins/target_server.py
@@ -1,4 +1,4 @@
-"""The target stand-in's HTTP calls, as ``target-contract.md`` lists them."""
+"""HTTP API of the simulated target, as specified in ``target-contract.md``."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
     from berylstage_standins.target import Target
 
-# Digits of a digest: enough that no two bodies of a trial look alike.
-DIGEST_LENGTH = 16
+# Long enough that no two bodies of a test run share a digest.
+DIGEST_HEX_DIGITS = 16
 
 
 def body_digest(body: bytes) -> str:
-    """Return the digest of a request's body as answers and ledgers name it.
+    """Return the digest of a request's body as used in answers and ledgers.
 
     Parameters
     ----------
@@ -34,11 +34,11 @@
     -------
     str
     """
-    return hashlib.sha256(body).hexdigest()[:DIGEST_LENGTH]
+    return hashlib.sha256(body).hexdigest()[:DIGEST_HEX_DIGITS]
 
 
 class CrossedAnswer:
-    """An answer that another request got, which a crossed one repeats."""
+    """Answer to an earlier request, sent again by the fault ``cross_answers``."""
 
     __slots__ = ("body", "request_id")
 
@@ -48,12 +48,12 @@
 
 
 class TargetServer(HTTPServer):
-    """Server that limits and remembers its connections."""
+    """HTTP server that limits and tracks its connections."""
 
     target: Target
 
     def handle_stream(self, stream: IOStream, address: tuple) -> None:
-        """Serve a connection, or close it when there are too many."""
+        """Serve a connection, or close it if too many are open."""
         streams = self.target.streams
         if sum(not s.closed() for s in streams) >= self.target.connections:
             stream.close()
@@ -64,7 +64,7 @@
 
 
 def make_server(target: Target) -> TargetServer:
-    """Return an HTTP server for a target, which listens nowhere yet.
+    """Return an HTTP server for a target that does not listen yet.
 
     Parameters
     ----------
@@ -92,7 +92,7 @@
 
 
 class _Handler(RequestHandler):
-    """A call that a freeze or a silent connection can strike."""
+    """Base class for calls that are subject to a freeze or a silent connection."""
 
     def initialize(self, target: Target) -> None:
         self.target = target
@@ -102,14 +102,14 @@
         await self.wait_out_faults()
 
     async def wait_out_faults(self) -> None:
-        """Wait for the thaw; on a connection that went silent, answer nothing."""
+        """Wait until a freeze ends; on a silent connection, never answer."""
         if not self.is_exempt():
             await self.target.work.thawed.wait()
         if self.stream in self.target.silent:
             await leave_unanswered(self)
 
     def is_exempt(self) -> bool:
-        """Tell whether the call is answered even during a freeze."""
+        """Return whether the call is answered during a freeze."""
         return False
 
 
@@ -119,8 +119,8 @@
     job: Job | None = None
 
     async def post(self, service: str, kind: str, key: str) -> None:
-        """Run the job and answer with proof of which one it was."""
-        job = self._job(service, kind, key)
+        """Run the job; the answer identifies the job that it belongs to."""
+        job = self._parse_job(service, kind, key)
         self.job = job
         incarnation = self.target.incarnation
         self.set_header("Request-Id", job.request_id)
@@ -135,9 +135,9 @@
             return
         self._close_after_restart(incarnation)
         await self.wait_out_faults()
-        await self._answer(job)
+        await self._send_answer(job)
 
-    def _job(self, service: str, kind: str, key: str) -> Job:
+    def _parse_job(self, service: str, kind: str, key: str) -> Job:
         headers = self.request.headers
         try:
             return Job(
@@ -157,12 +157,12 @@
             raise HTTPError(400) from None
 
     def _close_after_restart(self, incarnation: str) -> None:
-        """End without an answer when the run that took the job is over."""
+        """Close the connection if the incarnation that accepted the job has ended."""
         if incarnation != self.target.incarnation:
             self.detach().close()
             raise Finish
 
-    async def _answer(self, job: Job) -> None:
+    async def _send_answer(self, job: Job) -> None:
         doc = {
             "target": self.target.name,
             "key": job.key,
@@ -183,10 +183,10 @@
         self.set_header("Content-Type", "application/json")
         if faults.short_answers > 0:
             faults.short_answers -= 1
-            await self._answer_half(answer.body)
+            await self._send_half_answer(answer.body)
         self.write(answer.body)
 
-    async def _answer_half(self, body: bytes) -> None:
+    async def _send_half_answer(self, body: bytes) -> None:
         self.set_header("Content-Length", str(len(body)))
         self.write(body[: len(body) // 2])
         await self.flush()
@@ -194,7 +194,7 @@
         raise Finish
 
     def on_connection_close(self) -> None:
-        # On a silent connection not even its end comes through.
+        # On a silent connection the target does not notice the disconnect either.
         if self.job is not None and self.stream not in self.target.silent:
             self.job.dropped.set()
 
@@ -203,12 +203,12 @@
     """``PUT /grants``."""
 
     async def put(self) -> None:
-        """Take a grant order."""
+        """Accept or refuse a grant request."""
         try:
-            order = GrantRequest(**json.loads(self.request.body))
+            request = GrantRequest(**json.loads(self.request.body))
         except (TypeError, ValueError):
             raise HTTPError(400) from None
-        reason = self.target.decide(order)
+        reason = self.target.decide(request)
         self.write(
             {
                 "accepted": not reason,
@@ -224,7 +224,7 @@
     """``POST /cancel/<request id>``."""
 
     async def post(self, request_id: str) -> None:
-        """Drop a job and answer once the target works on it no more."""
+        """Cancel a job and answer after the target has stopped working on it."""
         job = self.target.work.drop(request_id)
         if job is not None:
             await job.ended.wait()
@@ -238,7 +238,7 @@
         return self.target.faults.frozen_reports
 
     def get(self) -> None:
-        """Answer that the process answers."""
+        """Return the target's name and incarnation."""
         self.write({"name": self.target.name, "incarnation": self.target.incarnation})
 
 
@@ -246,24 +246,25 @@
     """``GET /load``."""
 
     def get(self) -> None:
-        """Answer with the load report."""
+        """Return the load report."""
         self.write(self.target.load_report())
 
 
 class _FaultsHandler(RequestHandler):
-    """``/faults``: never struck by a fault itself."""
+    """``/faults``, which is not subject to faults."""
 
     def initialize(self, target: Target) -> None:
         self.target = target
 
     def get(self) -> None:
-        """Answer with the switches."""
+        """Return the values of the switches."""
         self.write(self.target.faults.as_dict())
 
     def post(self) -> None:
         """Set switches.
 
-        ``silence_connections``, ``cold_now`` and ``restart_now`` act once.
+        ``silence_connections``, ``cold_now`` and ``restart_now`` act once and are not
+        stored.
         """
         doc = json.loads(self.request.body)
         silence = doc.pop("silence_connections", False)
--- a/packages/standins/tests/test_load.py
+++ b/packages/standins/tests/test_load.py
@@ -1,4 +1,4 @@
-"""Tests of the load of callers."""
+"""Tests of the load generator."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class Handler(RequestHandler):
-    """Answers as a VM does, with the outcomes given in the test."""
+    """Answers like a VM, with the outcomes that a test specifies."""
 
     def initialize(self, script, seen):
         self.script = script
         self.seen = seen
 
     def post(self, service, kind, key):
-        """Answer with the next outcome."""
+        """Send the next outcome."""
         self.seen.append(self.request)
         outcome = self.script.pop(0) if self.script else "answered"
         digest = body_digest(self.request.body)
@@ -39,7 +39,7 @@
 
 @asynccontextmanager
 async def vm(*script):
-    """Run a VM that answers with given outcomes, then answers."""
+    """Run a VM that sends the given outcomes, then ``answered``."""
     seen = []
     state = {"script": list(script), "seen": seen}
     server = HTTPServer(Application([(r"/([^/]+)/([^/]+)/(.+)", Handler, state)]))
@@ -53,13 +53,13 @@
 
 
 def run_load(*script, once=False, retries=0, **settings):
-    """Send one request to a VM, and return the result and what the VM saw."""
+    """Send one request; return the result and the attempts that the VM received."""
 
     async def scenario():
         async with vm(*script) as (address, seen):
             mix = [Share("parts-desk", "order", once, 1.0)]
             load = Load(LoadSettings([address], mix, retries=retries, **settings))
-            await load._fulfil(load._wish(), "caller-1")
+            await load._send(load._make_request(), "caller-1")
             load.close()
             return load.result, seen
 
@@ -94,22 +94,22 @@
         ],
     )
     def test_retries_carry_the_same_key(self, script, once, attempts):
-        # A caller tries again where it is safe: what did not run, or what has an
-        # idempotency key. With a new key the work could run twice.
+        # A caller retries only work that did not run or that has an idempotency key.
+        # With a new key for each attempt, the work could run twice.
         result, seen = run_load(*script, once=once, retries=3)
         assert len(result.records) == attempts
         keys = {req.headers.get("Idempotency-Key") for req in seen}
         assert len(keys) == 1
         assert (None not in keys) == once
 
-    def test_a_key_that_failed_is_probed_until_it_is_back(self):
-        # Most keys are asked for seldom. Without probes a key that failed once would
-        # count as unavailable until somebody happens to ask for it again.
+    def test_a_failed_key_is_probed_until_it_is_served(self):
+        # Most keys are rarely requested. Without probes, a key that failed once would
+        # count as unavailable until the next request for it.
         async def scenario():
             async with vm(*["not-run"] * 3) as (address, _):
                 mix = [Share("parts-desk", "status", False, 1.0)]
                 load = Load(LoadSettings([address], mix))
-                await load._fulfil(load._wish(), "caller-1")
+                await load._send(load._make_request(), "caller-1")
                 while load.result.probes < 3:
                     await asyncio.sleep(0.01)
                 assert load.result.outcomes[CallOutcome.NOT_RUN] == 1
@@ -138,14 +138,14 @@
 
 
 def attempt(outcome, start, end):
-    """Return an attempt on one key."""
+    """Return the record of an attempt on one key."""
     return CallRecord("s", "k", "key", "d", "", "vm", outcome, 0, "", True, start, end)
 
 
 class TestAvailability:
-    def test_from_the_first_failure_to_the_next_success(self):
-        # A target dies. Its keys count as unavailable from the first caller that gets
-        # no answer until the first that gets one again.
+    def test_unavailability_lasts_from_first_failure_to_next_success(self):
+        # A target crashes. Its keys are unavailable from the start of the first failed
+        # attempt to the end of the next successful one.
         key = Availability()
         key.add(attempt(CallOutcome.ANSWERED, 0.0, 1.0))
         key.add(attempt(CallOutcome.UNKNOWN, 2.0, 3.0))
@@ -156,8 +156,8 @@
         assert key.until(9.0) == 4.0
 
     def test_a_call_lost_while_others_are_answered(self):
-        # One connection went silent, and the call on it waits out its whole time. Other
-        # callers get answers for the same key all the while.
+        # One connection goes silent, and the call on it times out. Meanwhile other
+        # callers get answers for the same key.
         key = Availability()
         for second in range(5):
             key.add(attempt(CallOutcome.ANSWERED, second, second + 0.5))
--- a/packages/standins/tests/test_process.py
+++ b/packages/standins/tests/test_process.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-ins as processes."""
+"""Tests of the simulated servers as processes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @contextmanager
 def process(module, *flags):
-    """Run a stand-in and give it, with its address, once it listens."""
+    """Run a simulated server; yield the process and its address once it listens."""
     command = [sys.executable, "-m", f"berylstage_standins.{module}", "--port", "0"]
     done = subprocess.Popen([*command, *flags], stdout=subprocess.PIPE, text=True)
     try:
@@ -45,9 +45,9 @@
 
 
 class TestTarget:
-    def test_a_kill_loses_no_line_whose_answer_went_out(self, tmp_path):
-        # The target is killed the moment its answer has reached the caller. Without
-        # the line in the ledger, the answer would seem to come from nowhere.
+    def test_a_killed_target_keeps_the_lines_of_sent_answers(self, tmp_path):
+        # The target is killed as soon as its answer has reached the caller. Without
+        # the line in the ledger, the check would report an answer without a run.
         path = tmp_path / "ledger.jsonl"
 
         async def send(done, address):
