--- a/packages/standins/src/berylstage_standins/fake_store.py
+++ b/packages/standins/src/berylstage_standins/fake_store.py
@@ -56,7 +56,9 @@
         if self._is_down(key) or self.platform.faults.slow_ms:
             raise _no_answer(kind, key)
         if not admitted:
-            raise RateLimited(f"{kind} {key}: rate limit exceeded; call again later")
+            raise RateLimited(
+                f"{kind} {key}: rate limited without effect; call again later"
+            )
 
     def _is_down(self, key: str) -> bool:
         faults = self.platform.faults
--- a/packages/standins/src/berylstage_standins/key_values.py
+++ b/packages/standins/src/berylstage_standins/key_values.py
@@ -57,7 +57,7 @@
 
     def read(self, key: str) -> Entry:
         """Return a key's entry; its version is 0 when the key does not exist."""
-        self._lapse()
+        self._expire_leases()
         return self._entries.get(key) or Entry(key, b"", 0)
 
     def write(
@@ -119,14 +119,14 @@
 
     def renew_lease(self, lease_id: str) -> bool:
         """Renew a lease; return False if it has expired."""
-        self._lapse()
+        self._expire_leases()
         lease = self._leases.get(lease_id)
         if lease is None:
             return False
         lease.expires = self._clock() + lease.ttl
         return True
 
-    def drop_lease(self, lease_id: str) -> bool:
+    def revoke_lease(self, lease_id: str) -> bool:
         """Revoke a lease and delete its keys; return False if it has expired."""
         lease = self._leases.pop(lease_id, None)
         if lease is None:
@@ -139,17 +139,17 @@
     def lapse_all(self) -> None:
         """Expire every lease at once, as after a long pause of the holders."""
         for lease_id in list(self._leases):
-            self.drop_lease(lease_id)
+            self.revoke_lease(lease_id)
 
-    def lapse_due(self) -> None:
+    def expire_due_leases(self) -> None:
         """Delete the keys of expired leases."""
-        self._lapse()
+        self._expire_leases()
 
-    def _lapse(self) -> None:
+    def _expire_leases(self) -> None:
         now = self._clock()
         for lease_id, lease in list(self._leases.items()):
             if lease.expires <= now:
-                self.drop_lease(lease_id)
+                self.revoke_lease(lease_id)
 
     def _wake(self, key: str) -> None:
         event = self._changed.pop(key, None)
--- a/packages/standins/src/berylstage_standins/ledger.py
+++ b/packages/standins/src/berylstage_standins/ledger.py
@@ -1,4 +1,4 @@
-"""Reading the targets' ledgers and checking what must always hold."""
+"""Reads the targets' ledgers and checks invariants on them."""
 
 from __future__ import annotations
 
@@ -121,7 +121,7 @@
 
     RUN_TWICE = "run twice"
     TWO_OWNERS = "two owners"
-    FENCES_BACK = "older fence after newer"
+    FENCE_REGRESSION = "older fence after newer"
     CLOSED = "work in a closed data centre"
     COLD = "cold bounds broken"
     NOT_RUN = "said not run, but ran"
@@ -137,7 +137,7 @@
             for name in (
                 self.RUN_TWICE,
                 self.TWO_OWNERS,
-                self.FENCES_BACK,
+                self.FENCE_REGRESSION,
                 self.CLOSED,
                 self.COLD,
                 self.NOT_RUN,
@@ -287,7 +287,9 @@
     ordered = sorted(runs, key=lambda run: run.end)
     for before, after in pairwise(ordered):
         if after.fence < before.fence:
-            found.broken[found.FENCES_BACK].append(f"{name}: {before}, then {after}")
+            found.broken[found.FENCE_REGRESSION].append(
+                f"{name}: {before}, then {after}"
+            )
 
 
 def _check_closures(
--- a/packages/standins/src/berylstage_standins/platform.py
+++ b/packages/standins/src/berylstage_standins/platform.py
@@ -153,7 +153,7 @@
         """Delete the keys of expired leases until the task is cancelled."""
         while True:
             await asyncio.sleep(LEASE_CHECK_INTERVAL_SECONDS)
-            self.values.lapse_due()
+            self.values.expire_due_leases()
 
 
 async def _serve(args: argparse.Namespace) -> None:
--- a/packages/standins/src/berylstage_standins/platform_server.py
+++ b/packages/standins/src/berylstage_standins/platform_server.py
@@ -167,7 +167,7 @@
 
     def delete(self, lease_id: str) -> None:
         """Revoke a lease."""
-        if not self.platform.values.drop_lease(lease_id):
+        if not self.platform.values.revoke_lease(lease_id):
             raise HTTPError(410)
 
 
--- a/packages/standins/src/berylstage_standins/target.py
+++ b/packages/standins/src/berylstage_standins/target.py
@@ -95,7 +95,7 @@
         self.incarnation = uuid.uuid4().hex
         self.grants.clear()
         self.work.drop_all()
-        self.work.turn_cold()
+        self.work.begin_cold_start()
         for stream in list(self.streams):
             stream.close()
         self.ledger.append(
--- a/packages/standins/src/berylstage_standins/target_server.py
+++ b/packages/standins/src/berylstage_standins/target_server.py
@@ -281,7 +281,7 @@
         if silence:
             self.target.silence_connections()
         if cold:
-            self.target.work.turn_cold()
+            self.target.work.begin_cold_start()
         if restart:
             self.finish()
             self.target.restart()
--- a/packages/standins/src/berylstage_standins/work.py
+++ b/packages/standins/src/berylstage_standins/work.py
@@ -30,7 +30,7 @@
     """Reaction of a cold target to more jobs than its cold bound."""
 
     SLOW = "slow"
-    FALL = "fall"
+    CRASH = "fall"
     SHED = "shed"
 
 
@@ -117,7 +117,7 @@
     ledger : LedgerWriter
     on_change : callable
         Called after each change of the number of running jobs.
-    on_fall : callable
+    on_crash : callable
         Called when the target crashes because its cold bound is exceeded.
     """
 
@@ -127,7 +127,7 @@
         grants: GrantTable,
         ledger: LedgerWriter,
         on_change: Callable[[], None] = lambda: None,
-        on_fall: Callable[[], None] = lambda: None,
+        on_crash: Callable[[], None] = lambda: None,
     ):
         self.settings = settings
         self.grants = grants
@@ -140,19 +140,19 @@
         self.thawed = asyncio.Event()
         self.thawed.set()
         self._on_change = on_change
-        self._on_fall = on_fall
+        self._on_crash = on_crash
         self._cold_left = 0
         self._cold_bound_exceeded = False
         self._waiting: deque[asyncio.Future[None]] = deque()
         self._random = random.Random(settings.seed)
-        self.turn_cold()
+        self.begin_cold_start()
 
     @property
     def cold(self) -> bool:
         """Whether the target is in a cold start."""
         return self._cold_left > 0
 
-    def turn_cold(self) -> None:
+    def begin_cold_start(self) -> None:
         """Begin a cold start if the target has a cold bound."""
         self._cold_left = self.settings.warm_after if self.settings.cold_bound else 0
         self._cold_bound_exceeded = False
@@ -229,8 +229,8 @@
         )
         if self.settings.cold_break is ColdBreak.SHED:
             raise Refused("cold")
-        if self.settings.cold_break is ColdBreak.FALL:
-            self._on_fall()
+        if self.settings.cold_break is ColdBreak.CRASH:
+            self._on_crash()
             return
         self._cold_bound_exceeded = True
 
--- a/packages/standins/tests/test_ledger.py
+++ b/packages/standins/tests/test_ledger.py
@@ -77,7 +77,7 @@
     ),
     "the old owner after the new one": (
         [run_on("b", 0, 1, fence=6), run_on("a", 2, 3)],
-        [Findings.FENCES_BACK],
+        [Findings.FENCE_REGRESSION],
     ),
     "an order twice": (
         [run_on("a", 0, 1, **ORDER), run_on("a", 2, 3, **ORDER)],
--- a/packages/standins/tests/test_work.py
+++ b/packages/standins/tests/test_work.py
@@ -98,7 +98,7 @@
             await settle()
             assert count_exceeded_cold_bounds(target) == 1
             assert (target.incarnation != first_incarnation) == (
-                cold_break is ColdBreak.FALL
+                cold_break is ColdBreak.CRASH
             )
             target.work.drop_all()
             ends = await asyncio.gather(*tasks, return_exceptions=True)
@@ -111,7 +111,7 @@
         async def scenario():
             target = make_target(cold_bound=1, warm_after=1)
             await start(target, "r0")
-            target.work.turn_cold()
+            target.work.begin_cold_start()
             tasks = [start(target, f"r{n}") for n in (1, 2)]
             await asyncio.gather(*tasks)
             assert count_exceeded_cold_bounds(target) == 1
