--- a/packages/platform/tests/test_http.py
+++ b/packages/platform/tests/test_http.py
@@ -164,12 +164,12 @@
         async def scenario():
             async with open_store() as rig:
                 values = rig.platform.values
-                lease = values.take_lease(60.0)
+                lease = values.create_lease(60.0)
                 version = values.write(KEY, b"held", 0, lease)
                 watching = asyncio.ensure_future(rig.store.watch(KEY, version, 10.0))
                 while not rig.platform.counts["watch"]:
                     await asyncio.sleep(0.001)
-                values.lapse_all()
+                values.expire_all_leases()
                 assert (await watching).version == 0
 
         run(scenario)
--- a/packages/standins/src/berylstage_standins/key_values.py
+++ b/packages/standins/src/berylstage_standins/key_values.py
@@ -111,7 +111,7 @@
                 return self.read(key).version != after_version
         return True
 
-    def take_lease(self, ttl: float) -> str:
+    def create_lease(self, ttl: float) -> str:
         """Create a lease of ``ttl`` seconds and return its ID."""
         lease_id = f"lease-{next(self._lease_ids)}"
         self._leases[lease_id] = Lease(ttl, self._clock() + ttl)
@@ -136,7 +136,7 @@
             self._wake(key)
         return True
 
-    def lapse_all(self) -> None:
+    def expire_all_leases(self) -> None:
         """Expire every lease at once, as after a long pause of the holders."""
         for lease_id in list(self._leases):
             self.revoke_lease(lease_id)
--- a/packages/standins/src/berylstage_standins/platform_server.py
+++ b/packages/standins/src/berylstage_standins/platform_server.py
@@ -154,7 +154,7 @@
     def post(self) -> None:
         """Create a lease."""
         ttl = json.loads(self.request.body)["ttl_ms"] / 1000
-        self.write({"id": self.platform.values.take_lease(ttl)})
+        self.write({"id": self.platform.values.create_lease(ttl)})
 
 
 class _LeaseHandler(_Handler):
@@ -217,7 +217,7 @@
             self.write({"error": str(exc)})
             return
         if lapse:
-            self.platform.values.lapse_all()
+            self.platform.values.expire_all_leases()
         if lag_ms is not None:
             self.platform.vm_log.lag = lag_ms / 1000
         self.write(self.platform.faults.as_dict())
--- a/packages/standins/tests/test_key_values.py
+++ b/packages/standins/tests/test_key_values.py
@@ -24,7 +24,7 @@
         # wrote under the lease must be deleted, so that another holder can write them.
         clock = Clock()
         values = KeyValues(clock)
-        lease = values.take_lease(1.0)
+        lease = values.create_lease(1.0)
         version = values.write("k", b"held", 0, lease)
         clock.now = 0.9
         assert values.renew_lease(lease)
@@ -36,18 +36,18 @@
 
     def test_a_key_rewritten_without_the_lease_is_kept(self):
         values = KeyValues(Clock())
-        lease = values.take_lease(1.0)
+        lease = values.create_lease(1.0)
         version = values.write("k", b"held", 0, lease)
         version = values.write("k", b"free", version)
-        values.lapse_all()
+        values.expire_all_leases()
         assert values.read("k").version == version
 
     def test_a_recreated_key_gets_a_new_version(self):
         # A holder paused past the expiry of its lease writes with the old version.
         # If that version were reused, the write would overwrite its successor's.
         values = KeyValues(Clock())
-        old = values.write("k", b"1", 0, values.take_lease(1.0))
-        values.lapse_all()
+        old = values.write("k", b"1", 0, values.create_lease(1.0))
+        values.expire_all_leases()
         values.write("k", b"2", 0)
         with pytest.raises(VersionConflict):
             values.write("k", b"3", old)
