--- a/packages/standins/src/berylstage_standins/platform.py
+++ b/packages/standins/src/berylstage_standins/platform.py
@@ -149,7 +149,7 @@
             self.counts["rate limited"] += 1
         return admitted
 
-    async def lapse_leases(self) -> None:
+    async def delete_expired_keys(self) -> None:
         """Delete the keys of expired leases until the task is cancelled."""
         while True:
             await asyncio.sleep(LEASE_CHECK_INTERVAL_SECONDS)
@@ -164,7 +164,7 @@
     )
     server = make_server(platform)
     address = listen(server, args.host, args.port)
-    lease_expiry = asyncio.ensure_future(platform.lapse_leases())
+    lease_expiry = asyncio.ensure_future(platform.delete_expired_keys())
     await run_until_signal(f"platform listening on {address}")
     lease_expiry.cancel()
     server.stop()
--- a/packages/standins/src/berylstage_standins/platform_server.py
+++ b/packages/standins/src/berylstage_standins/platform_server.py
@@ -208,7 +208,7 @@
     def post(self) -> None:
         """Set switches; ``lapse_leases`` and ``vm_lag_ms`` act once."""
         doc = json.loads(self.request.body)
-        lapse = doc.pop("lapse_leases", False)
+        expire = doc.pop("lapse_leases", False)
         lag_ms = doc.pop("vm_lag_ms", None)
         try:
             self.platform.faults.set(doc)
@@ -216,7 +216,7 @@
             self.set_status(400)
             self.write({"error": str(exc)})
             return
-        if lapse:
+        if expire:
             self.platform.values.expire_all_leases()
         if lag_ms is not None:
             self.platform.vm_log.lag = lag_ms / 1000
