--- a/packages/settings/src/berylstage_settings/__init__.py
+++ b/packages/settings/src/berylstage_settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings from flags and environment variables, checked."""
+"""Read and validate settings from flags and environment variables."""
--- a/packages/settings/src/berylstage_settings/errors.py
+++ b/packages/settings/src/berylstage_settings/errors.py
@@ -1,15 +1,15 @@
-"""Errors of settings; each message names the remedy."""
+"""Exceptions for invalid settings; each message says how to correct the setting."""
 
 from __future__ import annotations
 
 
 class SettingFault(Exception):
-    """A setting is missing or cannot be used.
+    """A setting is missing or invalid.
 
     Parameters
     ----------
     name : str
-        Name of the flag, without dashes.
+        Name of the flag, without the leading dashes.
     message : str
         What is wrong and what to do.
     """
@@ -20,9 +20,9 @@
 
 
 class FaultySettings(ExceptionGroup[SettingFault]):
-    """All settings that cannot be used."""
+    """Group of the faults of all invalid settings."""
 
     @property
     def faults(self) -> list[SettingFault]:
-        """The faults themselves; no group holds another one."""
+        """Faults in the group; groups are never nested."""
         return [exc for exc in self.exceptions if isinstance(exc, SettingFault)]
--- a/packages/settings/src/berylstage_settings/parsers.py
+++ b/packages/settings/src/berylstage_settings/parsers.py
@@ -1,4 +1,4 @@
-"""Checks of the text of a setting, each returning the value."""
+"""Parsers that validate the text of a setting and return its value."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 def parse_address(text: str) -> str:
-    """Return ``ip:port``; names are not looked up.
+    """Validate and return an ``ip:port`` address; host names are not resolved.
 
     Raises
     ------
     ValueError
-        The text is no IP number with a port.
+        The text is not an IP address with a port.
     """
     host, _, port = text.rpartition(":")
     try:
@@ -29,12 +29,12 @@
 
 
 def parse_name(text: str) -> str:
-    """Return a name of letters, digits and dashes.
+    """Validate and return a name of letters, digits and dashes.
 
     Raises
     ------
     ValueError
-        It holds something else.
+        The text contains other characters.
     """
     if not text.replace("-", "").isalnum():
         raise ValueError("use letters, digits and dashes only, as in the sheet")
@@ -42,12 +42,12 @@
 
 
 def parse_seconds(text: str) -> float:
-    """Return a number of seconds.
+    """Return a duration in seconds.
 
     Raises
     ------
     ValueError
-        It is no number in range.
+        The text is not a number from 0 to ``MAX_SECONDS``.
     """
     value = _number(text)
     if not 0 <= value <= MAX_SECONDS:
@@ -56,12 +56,12 @@
 
 
 def parse_size(text: str) -> int:
-    """Return a number of bytes.
+    """Return a size in bytes.
 
     Raises
     ------
     ValueError
-        It is no whole number above zero.
+        The text is not a positive integer.
     """
     if not text.isdecimal() or int(text) < 1:
         raise ValueError("use a whole number of bytes, at least 1")
@@ -69,15 +69,17 @@
 
 
 def parse_choice(*choices: str):
-    """Return a parser that takes one of some words.
+    """Return a parser that accepts one of the given words.
 
     Parameters
     ----------
     *choices : str
+        Accepted words, at least two.
 
     Returns
     -------
     callable
+        Returns its argument, or raises ValueError for any other word.
     """
 
     def parse(text: str) -> str:
@@ -89,7 +91,7 @@
 
 
 def _number(text: str) -> float:
-    """Return a number, or raise an error that says what to do."""
+    """Return the text as a float, or raise ValueError with a readable message."""
     try:
         return float(text)
     except ValueError:
--- a/packages/settings/src/berylstage_settings/setting.py
+++ b/packages/settings/src/berylstage_settings/setting.py
@@ -1,4 +1,4 @@
-"""One setting, and the reading of a whole table of them."""
+"""Definition of a setting, and reading of a table of settings."""
 
 from __future__ import annotations
 
@@ -15,23 +15,24 @@
 
 
 class Setting:
-    """One setting.
+    """Definition of one setting.
 
     Parameters
     ----------
     name : str
-        Name of the flag; the environment variable is derived from it.
+        Name of the flag; the name of the environment variable is derived from it.
     parse : callable
-        Makes the value from text; raises ValueError, whose message says what would do.
+        Converts text to the value; raises ValueError with a message that says which
+        values are valid.
     meaning : str
-        What it is for, for ``--help`` and the operators' pages.
+        Description for ``--help`` and the operators' pages.
     default : str or callable or None
-        Text to parse when the setting is not given, or what returns it.
+        Text to parse when the setting is not given, or a callable that returns it.
     default_text : str, optional
-        The default in words, where the text itself does not say it.
+        Description of the default, where the default itself does not explain it.
     required : bool
-        Whether it must be given; one that is neither given nor required nor has a
-        default is None.
+        Whether the setting must be given. An optional setting without a default is
+        None when it is not given.
     """
 
     __slots__ = ("name", "parse", "meaning", "default", "default_text", "required")
@@ -64,21 +65,22 @@
         return ENVIRONMENT_PREFIX + self.attribute.upper()
 
     def value(self, text: str | None) -> Any:
-        """Return the value.
+        """Return the parsed value, or the default if the setting is not given.
 
         Parameters
         ----------
         text : str or None
-            None when the setting was not given.
+            Text of the setting; None when it is not given.
 
         Returns
         -------
         object
+            Value that the parser returned; None without text and default.
 
         Raises
         ------
         SettingFault
-            It must be given, or the text cannot be used.
+            The setting is required but not given, or its text is invalid.
         """
         if not text:
             if self.required:
@@ -106,27 +108,29 @@
     flags: Mapping[str, str | None],
     env: Mapping[str, str],
 ) -> T:
-    """Check all settings and set them as attributes of an object.
+    """Validate all settings and set them as attributes of an object.
 
     Parameters
     ----------
     target : object
-        Has an attribute for each setting.
+        Object with an attribute for each setting.
     table : sequence of Setting
+        Settings to read.
     flags : mapping of str to str or None
-        Values of the flags, by name; None where a flag was not given.
+        Values of the flags by name; None for a flag that is not given.
     env : mapping of str to str
-        Environment variables; a flag goes before its variable.
+        Environment variables; a flag takes precedence over its variable.
 
     Returns
     -------
     object
-        The target.
+        The ``target`` argument.
 
     Raises
     ------
     FaultySettings
-        All faults at once, so that a new machine is set up in one go.
+        At least one setting is invalid. All faults are raised together, so that an
+        operator can correct them in one pass.
     """
     faults = []
     for setting in table:
--- a/packages/sheet/src/berylstage_sheet/__init__.py
+++ b/packages/sheet/src/berylstage_sheet/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' sheet and the configuration it becomes."""
+"""Read the operators' sheet into a configuration and write it back."""
--- a/packages/sheet/src/berylstage_sheet/cells.py
+++ b/packages/sheet/src/berylstage_sheet/cells.py
@@ -1,4 +1,4 @@
-"""What the cells of a sheet may hold, and how they are read."""
+"""Cell types of a sheet: parsing, validation and description."""
 
 from __future__ import annotations
 
@@ -19,12 +19,14 @@
 
 
 class BadCell(ValueError):
-    """The text of a cell cannot be read; the reader adds the place.
+    """The text of a cell is invalid; the reader adds the cell's position.
 
     Parameters
     ----------
     problem : str
+        What is wrong with the text.
     remedy : str
+        How to correct it.
     """
 
     def __init__(self, problem: str, remedy: str):
@@ -34,30 +36,30 @@
 
 
 class Cell(ABC):
-    """One type of cell."""
+    """Base class of the cell types."""
 
     @abstractmethod
     def read(self, text: str):
-        """Return the value that a cell's text stands for.
+        """Parse the text of a cell and return its value.
 
         Parameters
         ----------
         text : str
-            The cell without spaces around it; never empty.
+            Text of the cell without surrounding whitespace; never empty.
 
         Raises
         ------
         BadCell
-            The text is not of this type.
+            The text is not valid for this type.
         """
 
     @abstractmethod
     def describe(self) -> str:
-        """Return what the cell may hold, for the operators' pages."""
+        """Describe the valid values, for the operators' pages."""
 
 
 class NameCell(Cell):
-    """A name that needs no escaping in a URL or a metric."""
+    """Cell with a name that needs no escaping in a URL or a metric."""
 
     def read(self, text: str) -> str:
         """Return the name."""
@@ -79,7 +81,7 @@
 
 
 class KeyCell(Cell):
-    """A key of a service, exactly as callers send it before percent-encoding."""
+    """Cell with a key of a service, as callers send it before percent-encoding."""
 
     def read(self, text: str) -> str:
         """Return the key."""
@@ -97,7 +99,7 @@
 
 
 class TextCell(Cell):
-    """Free text on one line."""
+    """Cell with free text on one line."""
 
     def read(self, text: str) -> str:
         """Return the text."""
@@ -111,7 +113,7 @@
 
 
 class ThresholdCell(Cell):
-    """Name of one of the policy's thresholds."""
+    """Cell with the name of one of the policy's thresholds."""
 
     def read(self, text: str) -> str:
         """Return the name."""
@@ -127,19 +129,19 @@
 
 
 class ChoiceCell(Cell):
-    """One word out of a few.
+    """Cell with one of a fixed set of words.
 
     Parameters
     ----------
-    choices : type of Enum or tuple of Enum
-        The values that the cell may stand for.
+    *choices : Enum
+        Members that the cell may select; the text is a member's value.
     """
 
     def __init__(self, *choices: Enum):
         self.choices = {choice.value: choice for choice in choices}
 
     def read(self, text: str) -> Enum:
-        """Return the value chosen, whatever the case of its letters."""
+        """Return the selected member; the comparison ignores case."""
         choice = self.choices.get(text.casefold())
         if choice is None:
             raise BadCell(f"{text!r} is not allowed here", f"use {self.describe()}")
@@ -151,12 +153,12 @@
 
 
 class YesNoCell(Cell):
-    """Yes or no."""
+    """Cell with ``yes`` or ``no``."""
 
     WORDS = {"yes": True, "no": False}
 
     def read(self, text: str) -> bool:
-        """Return True for yes."""
+        """Return True for ``yes`` and False for ``no``."""
         answer = self.WORDS.get(text.casefold())
         if answer is None:
             raise BadCell(f"{text!r} is not allowed here", f"use {self.describe()}")
@@ -168,12 +170,12 @@
 
 
 class IntegerCell(Cell):
-    """A whole number in a range.
+    """Cell with an integer in a range.
 
     Parameters
     ----------
     low, high : int
-        Bounds, both included.
+        Bounds of the range, both inclusive.
     """
 
     def __init__(self, low: int, high: int):
@@ -184,8 +186,8 @@
         """Return the number."""
         if not (text.isascii() and text.isdecimal()):
             raise BadCell(f"{text!r} is no whole number", f"use {self.describe()}")
-        # Bounded before it is read: a cell of a million digits would take the
-        # processor for seconds.
+        # The length is checked before the conversion, because converting a million
+        # digits would occupy the processor for seconds.
         if len(text) > len(str(self.high)) or not self.low <= int(text) <= self.high:
             raise BadCell(f"{text[:20]} is out of range", f"use {self.describe()}")
         return int(text)
@@ -196,7 +198,7 @@
 
 
 class NumberCell(Cell):
-    """A number with or without a fraction, written with a point or a comma."""
+    """Cell with a finite number; the decimal separator is a point or a comma."""
 
     def read(self, text: str) -> float:
         """Return the number."""
@@ -214,10 +216,10 @@
 
 
 class AddressCell(Cell):
-    """An IP number and a port; names are not looked up."""
+    """Cell with an IP address and a port; host names are not resolved."""
 
     def read(self, text: str) -> str:
-        """Return the address as ``ip:port``, in its shortest spelling."""
+        """Return the address as ``ip:port`` in its shortest notation."""
         host, _, port = text.rpartition(":")
         try:
             ip = ip_address(host.removeprefix("[").removesuffix("]"))
--- a/packages/sheet/src/berylstage_sheet/checks.py
+++ b/packages/sheet/src/berylstage_sheet/checks.py
@@ -1,4 +1,4 @@
-"""Checks across the rows of a sheet."""
+"""Validation rules that span several rows of a sheet."""
 
 from __future__ import annotations
 
@@ -36,24 +36,25 @@
 
 
 def check(layout: Layout) -> Iterator[SheetFault]:
-    """Yield the faults that only several rows together show.
+    """Yield the violations of all rules that span several rows.
 
     Parameters
     ----------
     layout : Layout
-        Its unreadable cells have been reported already; a row that has one takes
-        part in a check only with the cells that were read.
+        Sheet whose unreadable cells have already been reported. The rules see only
+        the readable cells of a row.
 
     Yields
     ------
     SheetFault
+        Position of a violation and how to correct it.
     """
     for rule in RULES:
         yield from rule(layout)
 
 
 def _properties(layout: Layout) -> Iterator[SheetFault]:
-    """Check what the sheet says of itself."""
+    """Check the properties of the sheet itself."""
     for record in layout.of(SHEET):
         name = record.value("property")
         value = record.value("value")
@@ -72,7 +73,7 @@
 
 
 def _duplicates(layout: Layout) -> Iterator[SheetFault]:
-    """Check that no two rows of a section are about the same thing."""
+    """Check that no two rows of a section have the same identity."""
     for section in SECTIONS:
         first: dict[tuple, int] = {}
         column = section.columns[section.identity - 1].name
@@ -101,8 +102,8 @@
     ):
         names = _names(layout, named)
         if not names:
-            # The section is missing or unreadable, which is reported once; a fault
-            # for each row that refers to it would bury that.
+            # The section is missing or unreadable, which is reported once. A further
+            # fault for each row that refers to it would obscure that report.
             continue
         for record in layout.of(section):
             name = record.value(column)
@@ -121,9 +122,9 @@
 
 
 def _first_rows(layout: Layout, section: Section) -> Iterator[Record]:
-    """Yield the rows of a section without those that repeat an earlier one."""
-    # A duplicate is reported by itself. If its cells counted as well, each check
-    # would report what follows from it.
+    """Yield the rows of a section, skipping duplicates of earlier rows."""
+    # A duplicate is reported on its own. If the checks used its cells as well, they
+    # would also report its consequences.
     seen = set()
     for record in layout.of(section):
         if record.identity not in seen:
@@ -132,7 +133,7 @@
 
 
 def _suggestion(name: str, names: list[str], section: Section) -> str:
-    """Return the remedy for a name that does not exist."""
+    """Return the remedy for an unknown name, with the closest known name if any."""
     close = get_close_matches(name, names, n=1)
     if close:
         return f"write {close[0]!r}, or add a row there"
@@ -141,8 +142,8 @@
 
 def _addresses(layout: Layout) -> Iterator[SheetFault]:
     """Check that no two targets listen on the same address."""
-    # Two names for one server would hold two leads: its slots would be filled
-    # twice over, and a key could have two owners that are the same process.
+    # A server under two names would be counted as two targets: it would get twice as
+    # many requests as it has slots, and one process could own a key under two names.
     first: dict[str, Record] = {}
     for record in layout.of(TARGETS):
         address = record.value("address")
@@ -161,8 +162,8 @@
 
 def _repeatable(layout: Layout) -> Iterator[SheetFault]:
     """Check that kinds which run at most once belong to services with owned keys."""
-    # Where any target may answer, no single place remembers which requests ran: a
-    # caller's retry would run a second time on another target.
+    # If any target may answer, no single target records which requests have run, and
+    # a caller's retry could run a second time on another target.
     free = {
         record.value("service")
         for record in _first_rows(layout, SERVICES)
@@ -179,7 +180,7 @@
 
 
 def _kinds(layout: Layout) -> Iterator[SheetFault]:
-    """Check that each service has a kind of request."""
+    """Check that each service has at least one kind of request."""
     used = {record.value("service") for record in layout.of(KINDS)}
     for record in layout.of(SERVICES):
         name = record.value("service")
@@ -192,7 +193,7 @@
 
 
 def _shards(layout: Layout) -> Iterator[SheetFault]:
-    """Check that owned keys are divided finely enough for each target to own some."""
+    """Check that a service with owned keys has at least one shard per target."""
     counts = Counter(record.value("service") for record in layout.of(TARGETS))
     for record in layout.of(SERVICES):
         shards = record.value("shards")
@@ -207,7 +208,7 @@
 
 
 def _connections(layout: Layout) -> Iterator[SheetFault]:
-    """Check that a target accepts a connection for each slot."""
+    """Check that a target accepts at least as many connections as it has slots."""
     for record in layout.of(TARGETS):
         slots = record.value("slots")
         connections = record.value("connections")
@@ -220,7 +221,7 @@
 
 
 def _pins(layout: Layout) -> Iterator[SheetFault]:
-    """Check that a key stays on a target of its own service."""
+    """Check that a key is pinned only to a target of its own service."""
     services = {r.value("target"): r.value("service") for r in layout.of(TARGETS)}
     for record in layout.of(KEYS):
         target = record.value("target")
@@ -235,7 +236,7 @@
 
 
 def _something_open(layout: Layout) -> Iterator[SheetFault]:
-    """Check that a data centre is open and a VM stays."""
+    """Check that at least one data centre is open and one VM is not leaving."""
     centres = layout.of(DATA_CENTRES)
     if centres and all(r.value("state") is DataCentreState.CLOSED for r in centres):
         yield RuleFault(
@@ -247,7 +248,7 @@
 
 
 def _served(layout: Layout) -> Iterator[SheetFault]:
-    """Check that each service keeps a target that takes work."""
+    """Check that each service has at least one target that accepts requests."""
     centres = list(_first_rows(layout, DATA_CENTRES))
     closed = {
         record.value("data centre")
@@ -256,8 +257,8 @@
     }
     if len(closed) == len(centres):
         return
-    # A target with an unreadable state or data centre counts as one that works: its
-    # own fault is reported, and this one may vanish with it.
+    # A target with an unreadable state or data centre counts as accepting requests:
+    # that cell is already reported, and correcting it may resolve this fault too.
     served = {
         record.value("service")
         for record in layout.of(TARGETS)
--- a/packages/sheet/src/berylstage_sheet/columns.py
+++ b/packages/sheet/src/berylstage_sheet/columns.py
@@ -1,4 +1,4 @@
-"""The sections and columns of a sheet; the operators' pages are made from them."""
+"""Sections and columns of a sheet; the operators' pages are generated from them."""
 
 from __future__ import annotations
 
@@ -36,13 +36,13 @@
     Parameters
     ----------
     name : str
-        As it stands in the header row.
+        Name in the header row.
     cell : Cell
-        What its cells may hold.
+        Type of the column's cells.
     meaning : str
-        One sentence for the operators' pages.
+        Description for the operators' pages, in one sentence.
     required : bool
-        Whether its cells must be filled.
+        Whether its cells must not be empty.
     """
 
     __slots__ = ("name", "cell", "meaning", "required")
@@ -60,17 +60,17 @@
     Parameters
     ----------
     name : str
-        As it stands in the section's own row.
+        Name in the section's title row.
     subject : str
-        What one of its rows is about.
+        What a row of the section describes.
     meaning : str
-        One sentence for the operators' pages.
+        Description for the operators' pages, in one sentence.
     columns : tuple of Column
-        The first ``identity`` of them name what a row is about.
+        Columns of the section; the first ``identity`` columns identify a row.
     identity : int
-        Number of columns that must be unique together.
+        Number of leading columns whose combined values must be unique.
     required : bool
-        Whether the sheet must have the section, with at least one row.
+        Whether the sheet must contain the section with at least one row.
     """
 
     __slots__ = ("name", "subject", "meaning", "columns", "identity", "required")
@@ -92,7 +92,7 @@
         self.required = required
 
     def column(self, name: str) -> Column | None:
-        """Return the column of a name, whatever the case of its letters."""
+        """Return the column with a name, ignoring case, or None."""
         for column in self.columns:
             if column.name.casefold() == name.casefold():
                 return column
