--- a/packages/sheet/src/berylstage_sheet/configuration.py
+++ b/packages/sheet/src/berylstage_sheet/configuration.py
@@ -1,23 +1,23 @@
-"""The operators' configuration: what a checked sheet becomes."""
+"""Configuration that a valid sheet defines, and its JSON form in the store."""
 
 from __future__ import annotations
 
 import json
 from enum import Enum
 
-# Where the store holds the configuration.
+# Store key of the configuration.
 CONFIGURATION_KEY = "berylstage/configuration"
 
 
 class Ownership(Enum):
-    """Whether the keys of a service have one owning target."""
+    """Whether each key of a service is owned by one target."""
 
     OWNED = "owned"
     FREE = "free"
 
 
 class RequestClass(Enum):
-    """How urgent work is: the class sets weight, queue and deadline."""
+    """Urgency of a request, which determines its weight, queue and deadline."""
 
     INTERACTIVE = "interactive"
     STANDARD = "standard"
@@ -25,14 +25,14 @@
 
 
 class DataCentreState(Enum):
-    """Whether operators let a data centre take work."""
+    """Whether the targets of a data centre may get new requests."""
 
     OPEN = "open"
     CLOSED = "closed"
 
 
 class MemberState(Enum):
-    """Whether operators want a VM or a target to take work."""
+    """Whether a VM or a target is in service, being added or being removed."""
 
     ACTIVE = "active"
     JOINING = "joining"
@@ -45,13 +45,13 @@
     Parameters
     ----------
     name : str
-        Name as it stands in the caller's URL.
+        Name in the caller's URL.
     request_class : RequestClass
-        Class of the work.
+        Urgency of the requests.
     repeatable : bool
-        False for work that runs at most once, such as a parts dispatch.
+        False for requests that run at most once, such as a parts dispatch.
     deadline_ms : int
-        Default deadline, in milliseconds, when the caller names none.
+        Deadline in milliseconds for requests that specify none.
     """
 
     __slots__ = ("name", "request_class", "repeatable", "deadline_ms")
@@ -75,15 +75,15 @@
     Parameters
     ----------
     name : str
-        Name as it stands in the caller's URL.
+        Name in the caller's URL.
     tenant : str
-        Tenant that the service works for.
+        Tenant that the service belongs to.
     ownership : Ownership
-        Whether exactly one target may answer for a key.
+        Whether exactly one target may serve a key.
     shards : int
         Number of hash ranges that the keys are divided into.
     kinds : dict of str to Kind
-        The kinds of request, by name. A kind that is not listed is refused.
+        Kinds of request by name; requests of any other kind are refused.
     """
 
     __slots__ = ("name", "tenant", "ownership", "shards", "kinds")
@@ -104,7 +104,7 @@
 
 
 class DataCentre:
-    """One data centre and whether it takes work."""
+    """One data centre and whether its targets may get new requests."""
 
     __slots__ = ("name", "state")
 
@@ -114,7 +114,7 @@
 
 
 class Vm:
-    """One entry VM as operators wish it to be."""
+    """One entry VM and its desired state."""
 
     __slots__ = ("name", "data_centre", "state")
 
@@ -125,26 +125,26 @@
 
 
 class Target:
-    """One target and what it bears.
+    """One target, its address and its capacity.
 
     Parameters
     ----------
     name : str
-        Unique name over all services.
+        Name, unique across all services.
     service : str
-        Service that the target serves.
+        Name of the service that the target serves.
     address : str
-        ``host:port`` with an IP number.
+        ``host:port``, where the host is an IP address.
     data_centre : str
-        Data centre that the target stands in.
+        Name of the data centre that the target is in.
     slots : int
-        Requests that the target works on at the same time.
+        Number of requests that the target processes concurrently.
     connections : int
-        Connections that the target accepts.
+        Number of connections that the target accepts.
     checks_fences : bool
-        Whether the target itself refuses work under an old fence token.
+        Whether the target itself rejects requests with an outdated fence token.
     state : MemberState
-        Whether operators want it to take work.
+        Whether the target is in service or being removed.
     """
 
     __slots__ = (
@@ -180,16 +180,16 @@
 
 
 class SpecialKey:
-    """A key that operators set apart.
+    """A key that operators made a shard of its own.
 
     Parameters
     ----------
     service : str
-        Service of the key.
+        Name of the service that the key belongs to.
     key : str
-        The key itself.
+        Key as callers send it before percent-encoding.
     target : str or None
-        Target that the key is pinned to; None leaves the choice to the router.
+        Name of the target that the key is pinned to; None lets the router choose.
     """
 
     __slots__ = ("service", "key", "target")
@@ -201,23 +201,30 @@
 
 
 class Configuration:
-    """Everything that operators decided, under one revision number.
+    """One revision of the operators' configuration.
 
     Parameters
     ----------
     revision : int
-        Grows by one with each accepted sheet and never falls.
+        Revision number; it increases by one with each accepted sheet and never
+        decreases.
     services : dict of str to Service
+        Services by name.
     data_centres : dict of str to DataCentre
+        Data centres by name.
     vms : dict of str to Vm
+        Entry VMs by name.
     targets : dict of str to Target
+        Targets by name.
     special_keys : list of SpecialKey
+        Keys that are shards of their own.
     thresholds : dict of str to float
-        Overrides of the policy's named thresholds.
+        Overrides of the policy's thresholds by name.
     author : str
-        Who exported the sheet.
+        Author that the sheet names.
     write_id : str
-        Unique id of the write, so that a lost answer can be settled by reading.
+        Unique ID of the write. If the store's response is lost, reading this ID
+        back shows whether the write succeeded.
     """
 
     __slots__ = (
@@ -255,24 +262,24 @@
         self.write_id = write_id
 
     def takes_work(self, target: Target) -> bool:
-        """Tell whether operators let a target take new work.
+        """Return whether a target may get new requests.
 
         Parameters
         ----------
         target : Target
-            A target of this configuration.
+            Target of this configuration.
 
         Returns
         -------
         bool
-            False when the target leaves or its data centre is closed.
+            False if the target is leaving or its data centre is closed.
         """
         centre = self.data_centres[target.data_centre]
         open_centre = centre.state is DataCentreState.OPEN
         return open_centre and target.state is not MemberState.LEAVING
 
     def targets_of(self, service: str) -> list[Target]:
-        """Return the targets of a service, by name.
+        """Return the targets of a service, sorted by name.
 
         Parameters
         ----------
@@ -282,26 +289,28 @@
         Returns
         -------
         list of Target
+            Empty if no target serves the service.
         """
         found = [t for t in self.targets.values() if t.service == service]
         return sorted(found, key=lambda target: target.name)
 
     def to_json(self) -> bytes:
-        """Return the configuration as JSON, as the store holds it."""
+        """Return the configuration as JSON in the format of the store."""
         return json.dumps(self, default=_fields, sort_keys=True).encode()
 
     @classmethod
     def from_json(cls, raw: bytes) -> Configuration:
-        """Read a configuration from the JSON that the store holds.
+        """Parse a configuration from JSON in the format of the store.
 
         Parameters
         ----------
         raw : bytes
-            What :meth:`to_json` returned.
+            JSON that :meth:`to_json` returned.
 
         Returns
         -------
         Configuration
+            Configuration equal to the serialized one.
         """
         doc = json.loads(raw)
         return cls(
@@ -324,14 +333,14 @@
 
 
 def _fields(value):
-    """Return what the JSON encoder writes for one of our values."""
+    """Return the JSON representation of an enum member or a configuration object."""
     if isinstance(value, Enum):
         return value.value
     return {name: getattr(value, name) for name in value.__slots__}
 
 
 def _service(doc: dict) -> Service:
-    """Read one service from its JSON."""
+    """Return the service that a JSON object describes."""
     kinds = {
         name: Kind(
             name,
@@ -351,5 +360,5 @@
 
 
 def _target(doc: dict) -> Target:
-    """Read one target from its JSON."""
+    """Return the target that a JSON object describes."""
     return Target(**{**doc, "state": MemberState(doc["state"])})
--- a/packages/sheet/src/berylstage_sheet/difference.py
+++ b/packages/sheet/src/berylstage_sheet/difference.py
@@ -1,4 +1,4 @@
-"""What changes between two configurations, the weightiest change first."""
+"""Compare two configurations and order their changes by impact."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Weight(IntEnum):
-    """What a change does to work under way; smaller is weightier."""
+    """Impact of a change on requests in progress; a smaller value is more severe."""
 
     STOPS_WORK = 1
     MOVES_KEYS = 2
@@ -36,7 +36,7 @@
 
     @property
     def label(self) -> str:
-        """The weight in words."""
+        """Member name in lower case, with spaces instead of underscores."""
         return self.name.lower().replace("_", " ")
 
 
@@ -46,9 +46,9 @@
     Parameters
     ----------
     section : Section
-        Section of the sheet that the changed row stands in.
+        Section of the sheet that contains the changed row.
     identity : tuple of str
-        What the row is about.
+        Values of the columns that identify the row.
     """
 
     __slots__ = ("section", "identity")
@@ -60,16 +60,16 @@
     @property
     @abstractmethod
     def weight(self) -> Weight:
-        """What the change does to work under way."""
+        """Impact of the change on requests in progress."""
 
     @property
     @abstractmethod
     def detail(self) -> str:
-        """What changes, in words."""
+        """Description of the change without the name of its row."""
 
     @property
     def name(self) -> str:
-        """What the row is about, in words."""
+        """Values that identify the row, separated by spaces."""
         return " ".join(self.identity)
 
     def __str__(self) -> str:
@@ -77,7 +77,7 @@
 
 
 class Added(Change):
-    """A row that is new."""
+    """A row that exists only in the new configuration."""
 
     __slots__ = ("row",)
 
@@ -87,13 +87,13 @@
 
     @property
     def weight(self) -> Weight:
-        """What the change does to work under way."""
+        """Impact of the change on requests in progress."""
         moving = self.section in (DATA_CENTRES, TARGETS, KEYS, VMS)
         return Weight.MOVES_KEYS if moving else Weight.CHANGES_HANDLING
 
     @property
     def detail(self) -> str:
-        """What changes, in words."""
+        """Description of the change: the cells of the row that are not empty."""
         columns = self.section.columns[self.section.identity :]
         cells = self.row.cells[self.section.identity :]
         pairs = zip(columns, cells, strict=True)
@@ -102,7 +102,7 @@
 
 
 class Removed(Change):
-    """A row that is gone."""
+    """A row that exists only in the old configuration."""
 
     __slots__ = ()
 
@@ -111,7 +111,7 @@
 
     @property
     def weight(self) -> Weight:
-        """What the change does to work under way."""
+        """Impact of the change on requests in progress."""
         if self.section in (SERVICES, KINDS, DATA_CENTRES, TARGETS):
             return Weight.STOPS_WORK
         if self.section in (VMS, KEYS):
@@ -120,21 +120,21 @@
 
     @property
     def detail(self) -> str:
-        """What changes, in words."""
+        """Description of the change."""
         return "removed"
 
 
 class Altered(Change):
-    """A cell that has another content.
+    """A cell whose text differs between the configurations.
 
     Parameters
     ----------
     row : Row
-        The row as it was.
+        Row in the old configuration.
     column : str
-        Name of the column.
+        Name of the cell's column.
     before, after : str
-        Text of the cell.
+        Text of the cell in the old and in the new configuration.
     """
 
     __slots__ = ("column", "before", "after")
@@ -147,7 +147,7 @@
 
     @property
     def weight(self) -> Weight:
-        """What the change does to work under way."""
+        """Impact of the change on requests in progress."""
         place = (self.section, self.column)
         if place in STATES:
             return _state_weight(self.section, self.after)
@@ -157,7 +157,7 @@
 
     @property
     def detail(self) -> str:
-        """What changes, in words."""
+        """Description of the change: the column, its old text and its new text."""
         before = self.before or "(empty)"
         after = self.after or "(empty)"
         return f"{self.column} {before} -> {after}"
@@ -176,7 +176,7 @@
 
 
 def _state_weight(section: Section, after: str) -> Weight:
-    """Return the weight of a change of state."""
+    """Return the impact of changing a row's state."""
     if after == DataCentreState.CLOSED.value:
         return Weight.STOPS_WORK
     if section is TARGETS and after == MemberState.LEAVING.value:
@@ -185,20 +185,21 @@
 
 
 def compare(before: Configuration | None, after: Configuration) -> list[Change]:
-    """Return what changes between two configurations.
+    """Return the changes between two configurations.
 
-    Revision, author and write id are not compared.
+    Revision, author and write ID are not compared.
 
     Parameters
     ----------
     before : Configuration or None
-        None stands for a store without a configuration.
+        Old configuration; None if the store has none.
     after : Configuration
+        New configuration.
 
     Returns
     -------
     list of Change
-        The weightiest first, then in the order of the sheet.
+        Changes ordered by severity, then in the order of the sheet.
     """
     order = {section.name: number for number, section in enumerate(SECTIONS)}
     changes = _changes(before, after)
@@ -206,7 +207,7 @@
 
 
 def _changes(before: Configuration | None, after: Configuration) -> Iterator[Change]:
-    """Yield the changes row by row."""
+    """Yield the changes of each row, removed rows first."""
     old = _by_identity(before)
     new = _by_identity(after)
     for place, row in old.items():
@@ -227,7 +228,7 @@
 
 
 def _altered(old: Row, new: Row) -> Iterator[Change]:
-    """Yield the cells that differ between two rows about the same thing."""
+    """Yield a change for each differing cell of two rows with the same identity."""
     for column, before, after in zip(
         old.section.columns, old.cells, new.cells, strict=True
     ):
--- a/packages/sheet/src/berylstage_sheet/errors.py
+++ b/packages/sheet/src/berylstage_sheet/errors.py
@@ -1,4 +1,4 @@
-"""Faults of a sheet, each with its place and its remedy."""
+"""Faults of a sheet; each has a position in the sheet and a remedy."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def column_letter(index: int) -> str:
-    """Return the letters by which a spreadsheet names a column.
+    """Return the letters that identify a column in a spreadsheet.
 
     Parameters
     ----------
@@ -32,14 +32,14 @@
 
 
 class Place:
-    """Where in the sheet a fault is.
+    """Position of a fault in the sheet.
 
     Parameters
     ----------
     row : int
-        Row as the spreadsheet numbers it, from 1; 0 for the sheet as a whole.
+        Row number in the spreadsheet, from 1; 0 for the sheet as a whole.
     column : str
-        Name in the header row; empty when the whole row is meant.
+        Name of the column in the header row; empty for the whole row.
     index : int
         Column number, from 0.
     """
@@ -65,11 +65,11 @@
     Parameters
     ----------
     place : Place
-        Where the fault is.
+        Position of the fault.
     problem : str
         What is wrong.
     remedy : str
-        What the operator does about it.
+        How the operator can correct it.
     """
 
     def __init__(self, place: Place, problem: str, remedy: str):
@@ -85,43 +85,43 @@
 
     @property
     def column(self) -> str:
-        """Name of the faulty column; empty when the whole row is meant."""
+        """Name of the faulty column; empty if the fault concerns the whole row."""
         return self.place.column
 
 
 class LayoutFault(SheetFault):
-    """The file, a section or a header row cannot be read."""
+    """The file, a section or a header row is malformed."""
 
 
 class CellFault(SheetFault):
-    """The content of one cell is not what its column takes."""
+    """The text of a cell is not valid for its column."""
 
 
 class DuplicateFault(SheetFault):
-    """Two rows say something about the same thing."""
+    """Two rows have the same identity or address."""
 
 
 class UnknownNameFault(SheetFault):
-    """A row names something that the sheet does not hold."""
+    """A row refers to a name that the sheet does not define."""
 
 
 class RuleFault(SheetFault):
-    """Rows that are right by themselves contradict each other."""
+    """Rows that are valid on their own violate a rule together."""
 
 
 class TransitionFault(SheetFault):
-    """The sheet changes something that cannot change in place."""
+    """The sheet changes a property that cannot be changed in place."""
 
 
 class FaultySheet(ExceptionGroup[SheetFault]):
-    """All faults of a sheet, in the order of its rows."""
+    """Group of all faults of a sheet, in the order of its rows."""
 
     def __new__(cls, faults: Sequence[SheetFault]):
-        """Group the faults; the group's message gives their number."""
+        """Group the faults, sorted by row and column."""
         ordered = sorted(faults, key=lambda f: (f.place.row, f.place.index))
         return super().__new__(cls, "the sheet has faults", ordered)
 
     @property
     def faults(self) -> list[SheetFault]:
-        """The faults themselves; no group holds another one."""
+        """Faults in the group; groups are never nested."""
         return [exc for exc in self.exceptions if isinstance(exc, SheetFault)]
--- a/packages/sheet/src/berylstage_sheet/layout.py
+++ b/packages/sheet/src/berylstage_sheet/layout.py
@@ -1,4 +1,4 @@
-"""Dividing a spreadsheet's CSV file into sections and typed rows."""
+"""Parse a spreadsheet's CSV file into sections and typed rows."""
 
 from __future__ import annotations
 
@@ -16,17 +16,18 @@
 
 
 class Record:
-    """One row of a section, its cells read.
+    """One row of a section, with parsed cells.
 
     Parameters
     ----------
     section : Section
+        Section that contains the row.
     row : int
-        Row as the spreadsheet numbers it.
+        Row number in the spreadsheet, from 1.
     values : dict of str to object
-        Value of each readable cell, by column name; None for an empty cell.
+        Values of the cells by column name; None for an empty or unreadable cell.
     indexes : dict of str to int
-        Number of each column in the sheet, by column name.
+        Column numbers in the sheet by column name, from 0.
     """
 
     __slots__ = ("section", "row", "values", "indexes")
@@ -44,34 +45,35 @@
         self.indexes = indexes
 
     def value(self, column: str):
-        """Return the value of a cell; None when it is empty or unreadable."""
+        """Return the value of a cell; None if it is empty or unreadable."""
         return self.values.get(column)
 
     def place(self, column: str) -> Place:
-        """Return the place of a cell."""
+        """Return the position of a cell."""
         return Place(self.row, column, self.indexes.get(column, 0))
 
     @property
     def whole(self) -> bool:
-        """Whether every cell that must be filled was read."""
+        """Whether every required cell has a readable value."""
         required = [c.name for c in self.section.columns if c.required]
         return all(self.values.get(name) is not None for name in required)
 
     @property
     def identity(self) -> tuple:
-        """Values of the columns that name what the row is about."""
+        """Values of the columns that identify the row."""
         columns = self.section.columns[: self.section.identity]
         return tuple(self.values.get(column.name) for column in columns)
 
 
 class Layout:
-    """The records of a sheet and the faults met on the way.
+    """Parsed rows of a sheet and the faults found while parsing.
 
-    Parameters
+    Attributes
     ----------
     records : dict of str to list of Record
-        By section name. A section that the sheet lacks is missing.
+        Rows by section name; sections that the sheet lacks have no entry.
     faults : list of SheetFault
+        Faults found while parsing.
     """
 
     __slots__ = ("records", "faults")
@@ -81,21 +83,22 @@
         self.faults: list[SheetFault] = []
 
     def of(self, section: Section) -> list[Record]:
-        """Return the records of a section."""
+        """Return the records of a section; empty if the sheet lacks it."""
         return self.records.get(section.name, [])
 
 
 def read_layout(raw: bytes) -> Layout:
-    """Divide a sheet into records.
+    """Parse a sheet into records.
 
     Parameters
     ----------
     raw : bytes
-        The CSV file as the spreadsheet wrote it.
+        Contents of the CSV file that the spreadsheet exported.
 
     Returns
     -------
     Layout
+        Records and faults; a malformed file is reported as a fault.
     """
     layout = Layout()
     scan = _Scan(layout)
@@ -126,8 +129,8 @@
     first = text.split("\n", 1)[0].strip()
     if first.casefold().startswith(SEPARATOR_LINE) and len(first) == 5:
         separator = first[-1]
-        # The line stays as a row without content, so that row numbers agree with
-        # those that the operator sees.
+        # The line is kept as an empty row, so that row numbers match those in the
+        # operator's spreadsheet.
         text = text.replace(first, "", 1)
     rows: list[list[str]] = []
     try:
@@ -143,7 +146,7 @@
 
 
 class _Scan:
-    """Takes row after row and keeps the section that they belong to."""
+    """Parser that keeps the current section and header from row to row."""
 
     def __init__(self, layout: Layout):
         self.layout = layout
@@ -154,7 +157,7 @@
         self.skipping = False
 
     def take(self, row: int, cells: list[str]) -> None:
-        """Take the next row."""
+        """Parse the next row."""
         if not any(cells):
             return
         alone = cells[0] and not any(cells[1:])
@@ -199,8 +202,8 @@
         self.layout.records.setdefault(section.name, [])
 
     def _like_a_section(self, text: str) -> bool:
-        # A misspelt section row would otherwise read as a row of the section above,
-        # and every row below it as another fault.
+        # A misspelt section row would otherwise be parsed as a row of the previous
+        # section, and each row below it would be reported as a further fault.
         names = [section.name.casefold() for section in SECTIONS]
         return bool(get_close_matches(text.casefold(), names, n=1, cutoff=0.8))
 
@@ -267,7 +270,7 @@
 
 
 def _section_named(text: str) -> Section | None:
-    """Return the section of a name, whatever the case of its letters."""
+    """Return the section with a name, ignoring case, or None."""
     for section in SECTIONS:
         if section.name.casefold() == text.casefold():
             return section
--- a/packages/sheet/src/berylstage_sheet/reader.py
+++ b/packages/sheet/src/berylstage_sheet/reader.py
@@ -1,4 +1,4 @@
-"""Reading a sheet into a configuration, or into all of its faults at once."""
+"""Read a sheet into a configuration, or report all of its faults at once."""
 
 from __future__ import annotations
 
@@ -30,21 +30,22 @@
 from berylstage_sheet.errors import FaultySheet, Place, RuleFault
 from berylstage_sheet.layout import Layout, read_layout
 
-# The platform's store holds values up to a megabyte.
+# The platform's store accepts values of up to 1 MB.
 MAX_CONFIGURATION_BYTES = 1_000_000
 
 
 class Sheet:
-    """A sheet that has no faults of its own.
+    """A valid sheet.
 
     Parameters
     ----------
     cfg : Configuration
-        Its revision is 0 until the store has accepted it.
+        Configuration that the sheet defines; its revision is 0 until the store
+        accepts it.
     based_on : int or None
-        Revision that the operator edited; None when the sheet does not say.
+        Revision that the operator edited; None if the sheet does not state it.
     layout : Layout
-        Its rows, for faults that are found later.
+        Parsed rows of the sheet, which give the position of faults found later.
     """
 
     __slots__ = ("cfg", "based_on", "layout")
@@ -55,18 +56,21 @@
         self.layout = layout
 
     def place(self, section: Section, name: str, column: str) -> Place:
-        """Return the place of a cell, by the name that its row is about.
+        """Return the position of a cell.
 
         Parameters
         ----------
         section : Section
+            Section that contains the row.
         name : str
+            Value of the row's first identifying column.
         column : str
+            Name of the cell's column.
 
         Returns
         -------
         Place
-            The whole sheet when no row has this name.
+            Position of the cell; the sheet as a whole if no row has this name.
         """
         for record in self.layout.of(section):
             if record.identity[0] == name:
@@ -74,29 +78,31 @@
         return Place(0)
 
 
-# Takes the overrides of the thresholds and returns an error for each fault of theirs.
+# Receives the overrides of the thresholds and returns an error for each invalid one.
 ThresholdCheck = Callable[[dict[str, float]], Sequence[Exception]]
 
 
 def read_sheet(raw: bytes, check_thresholds: ThresholdCheck | None = None) -> Sheet:
-    """Read and check a sheet.
+    """Read and validate a sheet.
 
     Parameters
     ----------
     raw : bytes
-        The CSV file as the spreadsheet wrote it.
+        Contents of the CSV file that the spreadsheet exported.
     check_thresholds : callable, optional
-        Knows the policy's thresholds, which this package does not. Each error's
-        message ends in the remedy, after a semicolon.
+        Validates the overrides of the policy's thresholds, which this package does
+        not know. The message of each error that it returns ends with a semicolon
+        and the remedy.
 
     Returns
     -------
     Sheet
+        Valid sheet with its configuration.
 
     Raises
     ------
     FaultySheet
-        All faults of the sheet at once.
+        The sheet is invalid; the group contains all of its faults.
     """
     layout = read_layout(raw)
     faults = [*layout.faults, *check(layout)]
@@ -107,8 +113,8 @@
     cfg = _configuration(layout)
     size = len(cfg.to_json())
     if size > MAX_CONFIGURATION_BYTES:
-        # Found here rather than by the store, which would refuse it only after the
-        # operator has approved the changes.
+        # The store would reject the configuration only after the operator has
+        # approved the changes, so the size is checked here.
         problem = f"the configuration takes {size} bytes"
         remedy = f"shorten names or remove keys: {MAX_CONFIGURATION_BYTES} at most"
         raise FaultySheet([RuleFault(Place(0), problem, remedy)])
@@ -118,28 +124,29 @@
 def _threshold_faults(
     layout: Layout, check_thresholds: ThresholdCheck
 ) -> Iterator[RuleFault]:
-    """Yield what is wrong with the overrides of the thresholds."""
+    """Yield the faults of the overrides of thresholds."""
     records = {
         record.value("name"): record for record in layout.of(THRESHOLDS) if record.whole
     }
     values = {name: record.value("value") for name, record in records.items()}
     for exc in check_thresholds(values):
         problem, _, remedy = str(exc).partition("; ")
-        # The longest name, as one threshold's name may begin with another's. A fault
-        # of two thresholds together stands in the row of one of them.
+        # The longest matching name is used, because one threshold's name may be a
+        # prefix of another's. A fault that concerns two thresholds is reported in
+        # the row of one of them.
         named = max((n for n in records if n in problem), key=len, default=None)
         place = records[named].place("value") if named else Place(0)
         yield RuleFault(place, problem, remedy)
 
 
 def _based_on(layout: Layout) -> int | None:
-    """Return the revision that the sheet names as its base."""
+    """Return the revision that the sheet is based on, or None."""
     text = _property(layout, BASED_ON)
     return int(text) if text else None
 
 
 def _property(layout: Layout, name: str) -> str:
-    """Return what the sheet says of itself under a name; empty when nothing."""
+    """Return a property of the sheet itself; empty if it is not set."""
     for record in layout.of(SHEET):
         if record.value("property") == name:
             return record.value("value")
@@ -147,7 +154,7 @@
 
 
 def _configuration(layout: Layout) -> Configuration:
-    """Return the configuration that faultless records stand for."""
+    """Return the configuration that the records of a valid sheet define."""
     return Configuration(
         revision=0,
         services=_services(layout),
@@ -170,7 +177,7 @@
 
 
 def _services(layout: Layout) -> dict[str, Service]:
-    """Return the services with their kinds."""
+    """Return the services with their kinds, by name."""
     services = {}
     for record in layout.of(SERVICES):
         name = record.value("service")
@@ -193,7 +200,7 @@
 
 
 def _targets(layout: Layout) -> dict[str, Target]:
-    """Return the targets."""
+    """Return the targets by name."""
     return {
         record.value("target"): Target(
             name=record.value("target"),
--- a/packages/sheet/src/berylstage_sheet/rows.py
+++ b/packages/sheet/src/berylstage_sheet/rows.py
@@ -1,4 +1,4 @@
-"""The rows of a sheet that stand for a configuration."""
+"""Convert a configuration to the rows of a sheet."""
 
 from __future__ import annotations
 
@@ -23,11 +23,12 @@
 
 
 class Row:
-    """One row that a configuration gives rise to.
+    """One row of the sheet that represents a configuration.
 
     Parameters
     ----------
     section : Section
+        Section that contains the row.
     cells : list of str
         Text of each cell, in the order of the section's columns.
     """
@@ -40,20 +41,22 @@
 
     @property
     def identity(self) -> tuple[str, ...]:
-        """Cells that name what the row is about."""
+        """Cells that identify the row."""
         return tuple(self.cells[: self.section.identity])
 
 
 def rows_of(cfg: Configuration) -> Iterator[Row]:
-    """Yield the rows of a configuration, section by section and sorted.
+    """Yield the rows of a configuration by section, sorted within each section.
 
     Parameters
     ----------
     cfg : Configuration
+        Configuration to convert.
 
     Yields
     ------
     Row
+        Next row; the section of properties is not included.
     """
     for section, values in _values(cfg):
         for row in sorted([_text(value) for value in row] for row in values):
@@ -61,7 +64,7 @@
 
 
 def _text(value) -> str:
-    """Return the text of a cell."""
+    """Return the text of a cell for a value."""
     if value is None:
         return ""
     if isinstance(value, bool):
@@ -72,7 +75,7 @@
 
 
 def _values(cfg: Configuration) -> Iterator[tuple[Section, list[tuple]]]:
-    """Yield each section with the values of its rows, in the order of its columns."""
+    """Yield each section with its rows' values in the order of its columns."""
     services = cfg.services.values()
     yield SERVICES, [(s.name, s.tenant, s.ownership, s.shards) for s in services]
     yield (
--- a/packages/sheet/src/berylstage_sheet/transition.py
+++ b/packages/sheet/src/berylstage_sheet/transition.py
@@ -1,4 +1,4 @@
-"""Changes that cannot be made in place, because a key could get two owners."""
+"""Reject configuration changes that could give a key two owners."""
 
 from __future__ import annotations
 
@@ -15,24 +15,26 @@
 
 
 def check_transition(before: Configuration | None, sheet: Sheet) -> None:
-    """Check that a sheet can follow the configuration in force.
+    """Check that a sheet may replace the current configuration.
 
-    A revision reaches the VMs one after the other, within seconds. Until the last one
-    has it, two VMs act on different revisions. Leases and fence tokens keep a shard's
-    owner single meanwhile, but only as long as both revisions mean the same server by
-    the target's name and agree that the key has an owner. The number of shards may
-    change: the assignment divides the keys anew, with new fence tokens.
+    A revision reaches the VMs one after another within seconds. Until all VMs have
+    it, two VMs may use different revisions. Leases and fence tokens ensure that each
+    shard has a single owner in the meantime, but only if a target's name denotes the
+    same server in both revisions and both agree that the key has an owner. The number
+    of shards may change, because the assignment then divides the keys again with new
+    fence tokens.
 
     Parameters
     ----------
     before : Configuration or None
-        The configuration in force; None when there is none yet.
+        Current configuration; None if there is none yet.
     sheet : Sheet
+        Sheet with the new configuration.
 
     Raises
     ------
     FaultySheet
-        All changes that cannot be made in place.
+        The sheet has changes that cannot be made in place; the group contains all.
     """
     if before is None:
         return
@@ -45,8 +47,8 @@
     """Yield the changes of services that cannot be made in place."""
     for name, service in sheet.cfg.services.items():
         old = before.services.get(name)
-        # A VM that still takes the keys for free sends them to any target, while one
-        # that takes them for owned has already given them to a single one.
+        # A VM whose revision has free keys sends their requests to any target, while
+        # a VM whose revision has owned keys has already assigned them to one target.
         if old is not None and old.ownership is not service.ownership:
             yield _fault(
                 sheet,
@@ -60,8 +62,8 @@
 
 def _targets(before: Configuration, sheet: Sheet) -> Iterator[TransitionFault]:
     """Yield the changes of targets that cannot be made in place."""
-    # A server under another server's name would inherit its shards with their fence
-    # tokens, while the first server may still hold an unexpired grant for them.
+    # A server that takes over another server's name would get its shards with their
+    # fence tokens, while the first server may still have an unexpired grant for them.
     for name, target in sheet.cfg.targets.items():
         old = before.targets.get(name)
         if old is None:
@@ -89,5 +91,5 @@
 def _fault(
     sheet: Sheet, section: Section, name: str, column: str, problem: str, remedy: str
 ) -> TransitionFault:
-    """Return the fault of one cell."""
+    """Return a fault at the position of a cell."""
     return TransitionFault(sheet.place(section, name, column), problem, remedy)
--- a/packages/sheet/src/berylstage_sheet/writer.py
+++ b/packages/sheet/src/berylstage_sheet/writer.py
@@ -1,4 +1,4 @@
-"""Writing a configuration as a sheet that operators can edit."""
+"""Write a configuration as a sheet that operators can edit."""
 
 from __future__ import annotations
 
@@ -15,19 +15,21 @@
 
 
 def write_sheet(cfg: Configuration) -> str:
-    """Return a configuration as the CSV of a sheet based on its revision.
+    """Return the CSV text of a sheet that is based on a configuration's revision.
 
     Parameters
     ----------
     cfg : Configuration
+        Configuration to write.
 
     Returns
     -------
     str
-        Lines end in CR LF, as spreadsheets write them.
+        CSV text; lines end in CR LF, as in spreadsheets' exports.
     """
     out = StringIO()
-    # The author is left out: whoever edits the sheet next would pass for this one.
+    # The author is omitted, because the next person to edit the sheet would otherwise
+    # be recorded under the previous author's name.
     _write_section(out, SHEET, [[BASED_ON, str(cfg.revision)]])
     for section, rows in groupby(rows_of(cfg), key=lambda row: row.section):
         _write_section(out, section, [row.cells for row in rows])
@@ -35,7 +37,7 @@
 
 
 def _write_section(out: StringIO, section: Section, rows: list[list[str]]) -> None:
-    """Write the section row, the header row, the rows and an empty row."""
+    """Write a section: its title row, header row, rows and an empty row."""
     writer = csv.writer(out)
     writer.writerow([section.name])
     writer.writerow([column.name for column in section.columns])
--- a/packages/sheet/tests/conftest.py
+++ b/packages/sheet/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A small sheet without faults, and ways to spoil it."""
+"""Fixtures with a small valid sheet and with edited copies of it."""
 
 from __future__ import annotations
 
@@ -48,13 +48,13 @@
 
 @pytest.fixture
 def text() -> str:
-    """Return the sheet as text."""
+    """Return the text of the valid sheet."""
     return SHEET
 
 
 @pytest.fixture
 def spoilt(text):
-    """Return a function that replaces a part of the sheet and encodes it."""
+    """Return a function that replaces parts of the sheet and encodes the result."""
 
     def spoil(*pairs: tuple[str, str]) -> bytes:
         changed = text
--- a/packages/sheet/tests/test_cells.py
+++ b/packages/sheet/tests/test_cells.py
@@ -1,4 +1,4 @@
-"""Tests of the types of cells."""
+"""Tests of the cell types."""
 
 from __future__ import annotations
 
@@ -65,8 +65,8 @@
 
     @pytest.mark.parametrize(("cell", "text", "remedy"), UNREADABLE)
     def test_names_the_remedy(self, cell, text, remedy):
-        # An operator mistypes a cell and sees only the message of the fault, so the
-        # message has to say what the cell takes.
+        # An operator who mistypes a cell sees only the fault's message, which must
+        # therefore name the valid values.
         with pytest.raises(BadCell) as caught:
             cell.read(text)
         assert remedy in caught.value.remedy
--- a/packages/sheet/tests/test_reader.py
+++ b/packages/sheet/tests/test_reader.py
@@ -1,4 +1,4 @@
-"""Tests of reading and checking sheets."""
+"""Tests of reading and validating sheets."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 ORDERS_2 = "orders-2,orders,10.0.0.2:80,south,2,120,no,leaving"
 ORDERS_1 = "orders-1,orders,10.0.0.1:80,north,2,120,yes,active"
 
-# Each line: what is replaced by what, and the one fault that comes of it with its
-# row, column and a part of its message.
+# Each entry: the replacement in the valid sheet, and the single fault that it causes
+# with its class, row, column and a part of its message.
 FAULTS = [
     (("based on,41", "based on,yesterday"), CellFault, 3, "value", "no revision"),
     (("based on,41", "base,41"), CellFault, 3, "property", "'based on' or"),
@@ -104,7 +104,7 @@
 
 
 def faults_of(raw: bytes) -> list:
-    """Return the faults of a sheet; empty when it has none."""
+    """Return the faults of a sheet; empty if it is valid."""
     try:
         read_sheet(raw)
     except FaultySheet as exc:
@@ -141,16 +141,16 @@
         ids=lambda value: value[1].strip() if isinstance(value, tuple) else "",
     )
     def test_one_fault(self, spoilt, change, kind, row, column, message):
-        # An operator makes one mistake in a spreadsheet of hundreds of rows. The
-        # report has to lead to the cell, and must not bury it under other faults.
+        # One mistake in a spreadsheet of hundreds of rows must be reported with its
+        # cell, and must not be obscured by further faults that follow from it.
         (fault,) = faults_of(spoilt(change))
         assert type(fault) is kind
         assert (fault.row, fault.column) == (row, column)
         assert message in str(fault)
 
     def test_all_faults_at_once(self, spoilt):
-        # An operator who is told one fault at a time exports the sheet again for
-        # each of them while the morning's change waits.
+        # If only one fault were reported at a time, the operator would have to export
+        # the sheet again for each of them, which delays the change.
         raw = spoilt(
             ("based on,41", "based on,?"),
             ("acme,owned,16", "acme,owned,x"),
@@ -161,8 +161,8 @@
         assert places == [(3, "value"), (7, "shards"), (18, "state"), (38, "value")]
 
     def test_unknown_service(self, spoilt):
-        # A service is misspelt in the kinds. The remedy gives the name that was
-        # probably meant, and the service that now lacks a kind is named too.
+        # A service is misspelt in the kinds. The remedy suggests the closest service
+        # name, and the service that has no kind as a result is reported as well.
         other, fault = faults_of(spoilt(("prices,read,", "price,read,")))
         assert isinstance(fault, UnknownNameFault)
         assert (fault.row, fault.column) == (13, "service")
@@ -170,7 +170,7 @@
         assert "prices has no kind" in other.problem
 
     def test_every_vm_leaving(self, spoilt):
-        # Every VM is set to leave at once: none would be left to answer callers.
+        # If every VM is leaving, no VM remains to answer callers.
         raw = spoilt(
             ("north-1,north,active", "north-1,north,leaving"),
             ("south-1,south,joining", "south-1,south,leaving"),
@@ -179,32 +179,33 @@
         assert "keep one active" in str(fault)
 
     def test_missing_column(self, spoilt):
-        # A column is renamed in the header row. The report names the wrong word and
-        # the missing column, and not each cell below them.
+        # A renamed column in the header row is reported as an unknown and a missing
+        # column, without a fault for each cell below it.
         raw = spoilt(("service,tenant,keys", "service,tenants,keys"))
         assert [f.row for f in faults_of(raw)] == [6, 6]
 
     def test_missing_sections(self):
-        # An operator exports the wrong tab of the spreadsheet.
+        # The operator exports the wrong tab of the spreadsheet.
         faults = faults_of(b"thresholds\nname,value\nx,1\n")
         names = ("services", "kinds", "data centres", "VMs", "targets")
         expected = [f"section '{name}' is missing" for name in names]
         assert [fault.problem for fault in faults] == expected
 
     def test_misspelt_section_hides_its_rows(self, spoilt):
-        # A misspelt section row is reported itself; its rows would otherwise be read
-        # as rows of the section above, with a fault for each of them.
+        # Only the misspelt section row is reported. Its rows would otherwise be parsed
+        # as rows of the previous section, with a fault for each of them.
         faults = faults_of(spoilt(("\ntargets\n", "\ntarget\n")))
         assert [f.row for f in faults if f.row] == [7, 8, 25]
 
     def test_section_twice(self, spoilt):
-        # Rows are pasted in with their section row. The second section row is named.
+        # Rows are pasted together with their section row. The second section row is
+        # reported.
         faults = faults_of(spoilt(("\nkeys\n", "\nservices\n")))
         assert "stands twice" in str(next(f for f in faults if f.row == 31))
 
     def test_threshold_that_the_policy_refuses(self, text):
-        # A threshold is misspelt. Were the sheet accepted, each VM would refuse it
-        # in its own log, where no operator looks.
+        # If a sheet with a misspelt threshold were accepted, each VM would reject the
+        # threshold only in its own log, where operators do not look.
         def refuse(values):
             return [ValueError(f"no threshold is named {n!r}; use x") for n in values]
 
@@ -215,15 +216,15 @@
         assert fault.remedy == "use x"
 
     def test_too_large_for_the_store(self, text):
-        # The store refuses values over a megabyte. The operator hears of it from
-        # `check`, not from the store after having approved the changes.
+        # The store rejects values over 1 MB. `check` must report this before the
+        # operator approves the changes.
         keys = "\n".join(f"prices,{number:0200},prices-1" for number in range(5000))
         faults = faults_of(text.replace("prices,hot,\n", keys + "\n").encode())
         assert "1000000 at most" in str(faults[0])
 
 
 class TestSpreadsheets:
-    """What spreadsheets make of the same sheet."""
+    """Exports of the same sheet by different spreadsheet programs."""
 
     @pytest.mark.parametrize(
         "export",
@@ -254,6 +255,6 @@
         ],
     )
     def test_unreadable_file(self, raw, message):
-        # A spreadsheet saved in another format than CSV in UTF-8. The operator is
-        # told how to export it instead of seeing a trace.
+        # For a file that is not CSV in UTF-8, the operator must be told how to export
+        # it instead of getting a traceback.
         assert any(message in str(fault) for fault in faults_of(raw))
--- a/packages/sheet/tests/test_transition.py
+++ b/packages/sheet/tests/test_transition.py
@@ -24,9 +24,10 @@
 class TestCheckTransition:
     @pytest.mark.parametrize(("change", "row", "column"), REFUSED)
     def test_refused(self, text, spoilt, change, row, column):
-        # While a revision spreads, some VMs act on the old one and some on the new.
-        # If the two mean different keys by one shard, or different servers by one
-        # name, a key has two owners for these seconds and an order may run twice.
+        # While a revision is being distributed, some VMs use the old revision and some
+        # the new one. If the same shard denotes different keys, or the same name
+        # different servers, a key has two owners for these seconds and an order may
+        # run twice.
         before = read_sheet(text.encode()).cfg
         with pytest.raises(FaultySheet) as caught:
             check_transition(before, read_sheet(spoilt(change)))
--- a/packages/sheet/tests/test_writer.py
+++ b/packages/sheet/tests/test_writer.py
@@ -28,7 +28,7 @@
 
 @st.composite
 def configurations(draw):
-    """Draw a configuration that no check refuses."""
+    """Draw a valid configuration."""
     services = draw(st.lists(names, min_size=1, max_size=3, unique=True))
     centres = draw(st.lists(names, min_size=1, max_size=3, unique=True))
     states = st.sampled_from(DataCentreState)
@@ -84,8 +84,8 @@
     @settings(max_examples=60, derandomize=True, deadline=None)
     @given(configurations())
     def test_round_trip(self, cfg):
-        # An operator exports the sheet, edits nothing and applies it. Were anything
-        # lost on the way, that would be a change nobody asked for.
+        # Exporting a sheet and applying it unedited must not change anything. Data
+        # lost in the round trip would become an unintended change.
         sheet = read_sheet(write_sheet(cfg).encode())
         assert compare(cfg, sheet.cfg) == []
         assert sheet.based_on == cfg.revision
