--- a/packages/settings/src/berylstage_settings/parsers.py
+++ b/packages/settings/src/berylstage_settings/parsers.py
@@ -49,7 +49,7 @@
     ValueError
         The text is not a number from 0 to ``MAX_SECONDS``.
     """
-    value = _number(text)
+    value = _parse_number(text)
     if not 0 <= value <= MAX_SECONDS:
         raise ValueError(f"use 0 to {MAX_SECONDS:.0f} seconds")
     return value
@@ -90,7 +90,7 @@
     return parse
 
 
-def _number(text: str) -> float:
+def _parse_number(text: str) -> float:
     """Return the text as a float, or raise ValueError with a readable message."""
     try:
         return float(text)
--- a/packages/settings/src/berylstage_settings/setting.py
+++ b/packages/settings/src/berylstage_settings/setting.py
@@ -50,8 +50,8 @@
         self.parse = parse
         self.meaning = meaning
         self.default = default
-        words = "must be given" if required else default or "none"
-        self.default_text = default_text or str(words)
+        default_description = "must be given" if required else default or "none"
+        self.default_text = default_text or str(default_description)
         self.required = required
 
     @property
--- a/packages/sheet/src/berylstage_sheet/cells.py
+++ b/packages/sheet/src/berylstage_sheet/cells.py
@@ -14,11 +14,11 @@
 MAX_NAME_LENGTH = 63
 MAX_KEY_LENGTH = 256
 MAX_PORT = 65535
-NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9-]*")
-THRESHOLD = re.compile(r"[A-Za-z][A-Za-z0-9_.-]*")
+NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9-]*")
+THRESHOLD_PATTERN = re.compile(r"[A-Za-z][A-Za-z0-9_.-]*")
 
 
-class BadCell(ValueError):
+class InvalidCellError(ValueError):
     """The text of a cell is invalid; the reader adds the cell's position.
 
     Parameters
@@ -64,13 +64,13 @@
     def read(self, text: str) -> str:
         """Return the name."""
         if len(text) > MAX_NAME_LENGTH:
-            raise BadCell(
+            raise InvalidCellError(
                 f"the name has {len(text)} characters",
                 f"use {MAX_NAME_LENGTH} at most",
             )
-        if not NAME.fullmatch(text):
-            raise BadCell(
-                f"{text!r} is no name",
+        if not NAME_PATTERN.fullmatch(text):
+            raise InvalidCellError(
+                f"{text!r} is not a valid name",
                 "use letters, digits and dashes, beginning with a letter or digit",
             )
         return text
@@ -86,11 +86,11 @@
     def read(self, text: str) -> str:
         """Return the key."""
         if len(text) > MAX_KEY_LENGTH:
-            raise BadCell(
+            raise InvalidCellError(
                 f"the key has {len(text)} characters", f"use {MAX_KEY_LENGTH} at most"
             )
         if not text.isprintable():
-            raise BadCell("the key has a control character", "remove it")
+            raise InvalidCellError("the key has a control character", "remove it")
         return text
 
     def describe(self) -> str:
@@ -104,7 +104,7 @@
     def read(self, text: str) -> str:
         """Return the text."""
         if not text.isprintable():
-            raise BadCell("the text has a line break", "write it on one line")
+            raise InvalidCellError("the text has a line break", "write it on one line")
         return text
 
     def describe(self) -> str:
@@ -117,9 +117,10 @@
 
     def read(self, text: str) -> str:
         """Return the name."""
-        if not THRESHOLD.fullmatch(text):
-            raise BadCell(
-                f"{text!r} is no threshold", "take a name from the thresholds' table"
+        if not THRESHOLD_PATTERN.fullmatch(text):
+            raise InvalidCellError(
+                f"{text!r} is not a valid threshold name",
+                "take a name from the thresholds' table",
             )
         return text
 
@@ -144,7 +145,9 @@
         """Return the selected member; the comparison ignores case."""
         choice = self.choices.get(text.casefold())
         if choice is None:
-            raise BadCell(f"{text!r} is not allowed here", f"use {self.describe()}")
+            raise InvalidCellError(
+                f"{text!r} is not allowed here", f"use {self.describe()}"
+            )
         return choice
 
     def describe(self) -> str:
@@ -161,7 +164,9 @@
         """Return True for ``yes`` and False for ``no``."""
         answer = self.WORDS.get(text.casefold())
         if answer is None:
-            raise BadCell(f"{text!r} is not allowed here", f"use {self.describe()}")
+            raise InvalidCellError(
+                f"{text!r} is not allowed here", f"use {self.describe()}"
+            )
         return answer
 
     def describe(self) -> str:
@@ -185,11 +190,15 @@
     def read(self, text: str) -> int:
         """Return the number."""
         if not (text.isascii() and text.isdecimal()):
-            raise BadCell(f"{text!r} is no whole number", f"use {self.describe()}")
+            raise InvalidCellError(
+                f"{text!r} is not a whole number", f"use {self.describe()}"
+            )
         # The length is checked before the conversion, because converting a million
         # digits would occupy the processor for seconds.
         if len(text) > len(str(self.high)) or not self.low <= int(text) <= self.high:
-            raise BadCell(f"{text[:20]} is out of range", f"use {self.describe()}")
+            raise InvalidCellError(
+                f"{text[:20]} is out of range", f"use {self.describe()}"
+            )
         return int(text)
 
     def describe(self) -> str:
@@ -205,9 +214,11 @@
         try:
             number = float(text.replace(",", "."))
         except ValueError:
-            raise BadCell(f"{text!r} is no number", "write it like 0.5") from None
+            raise InvalidCellError(
+                f"{text!r} is not a number", "write it like 0.5"
+            ) from None
         if not math.isfinite(number):
-            raise BadCell(f"{text!r} is no number", "write it like 0.5")
+            raise InvalidCellError(f"{text!r} is not a number", "write it like 0.5")
         return number
 
     def describe(self) -> str:
@@ -224,11 +235,17 @@
         try:
             ip = ip_address(host.removeprefix("[").removesuffix("]"))
         except ValueError:
-            raise BadCell(f"{text!r} is no address", f"use {self.describe()}") from None
+            raise InvalidCellError(
+                f"{text!r} is not a valid address", f"use {self.describe()}"
+            ) from None
         if not (port.isascii() and port.isdecimal() and len(port) <= 5):
-            raise BadCell(f"{text!r} has no port", f"use {self.describe()}")
+            raise InvalidCellError(
+                f"{text!r} has no valid port", f"use {self.describe()}"
+            )
         if not 1 <= int(port) <= MAX_PORT:
-            raise BadCell(f"port {port} is out of range", f"use 1 to {MAX_PORT}")
+            raise InvalidCellError(
+                f"port {port} is out of range", f"use 1 to {MAX_PORT}"
+            )
         return f"[{ip}]:{int(port)}" if ip.version == 6 else f"{ip}:{int(port)}"
 
     def describe(self) -> str:
--- a/packages/sheet/src/berylstage_sheet/checks.py
+++ b/packages/sheet/src/berylstage_sheet/checks.py
@@ -35,7 +35,7 @@
     from berylstage_sheet.layout import Layout, Record
 
 
-def check(layout: Layout) -> Iterator[SheetFault]:
+def check_rules(layout: Layout) -> Iterator[SheetFault]:
     """Yield the violations of all rules that span several rows.
 
     Parameters
@@ -53,46 +53,46 @@
         yield from rule(layout)
 
 
-def _properties(layout: Layout) -> Iterator[SheetFault]:
+def _check_properties(layout: Layout) -> Iterator[SheetFault]:
     """Check the properties of the sheet itself."""
-    for record in layout.of(SHEET):
+    for record in layout.section_records(SHEET):
         name = record.value("property")
         value = record.value("value")
         if name is not None and name not in (BASED_ON, AUTHOR):
             yield CellFault(
                 record.place("property"),
-                f"{name!r} is no property",
+                f"{name!r} is not a property",
                 f"use '{BASED_ON}' or '{AUTHOR}'",
             )
         elif name == BASED_ON and value is not None and not value.isdecimal():
             yield CellFault(
                 record.place("value"),
-                f"{value!r} is no revision",
+                f"{value!r} is not a revision",
                 "use the number that `berylstage export` wrote",
             )
 
 
-def _duplicates(layout: Layout) -> Iterator[SheetFault]:
+def _check_duplicates(layout: Layout) -> Iterator[SheetFault]:
     """Check that no two rows of a section have the same identity."""
     for section in SECTIONS:
-        first: dict[tuple, int] = {}
+        first_seen: dict[tuple, int] = {}
         column = section.columns[section.identity - 1].name
-        for record in layout.of(section):
+        for record in layout.section_records(section):
             if None in record.identity:
                 continue
-            if record.identity in first:
+            if record.identity in first_seen:
                 yield DuplicateFault(
                     record.place(column),
-                    f"{' '.join(record.identity)} stands in row "
-                    f"{first[record.identity]} already",
+                    f"{' '.join(record.identity)} is already "
+                    f"defined in row {first_seen[record.identity]}",
                     "keep one of the rows",
                 )
-            first.setdefault(record.identity, record.row)
+            first_seen.setdefault(record.identity, record.row)
 
 
-def _references(layout: Layout) -> Iterator[SheetFault]:
+def _check_references(layout: Layout) -> Iterator[SheetFault]:
     """Check that rows name only services, data centres and targets that exist."""
-    for section, column, named in (
+    for section, column, referenced_section in (
         (KINDS, "service", SERVICES),
         (VMS, "data centre", DATA_CENTRES),
         (TARGETS, "service", SERVICES),
@@ -100,77 +100,80 @@
         (KEYS, "service", SERVICES),
         (KEYS, "target", TARGETS),
     ):
-        names = _names(layout, named)
+        names = _defined_names(layout, referenced_section)
         if not names:
             # The section is missing or unreadable, which is reported once. A further
             # fault for each row that refers to it would obscure that report.
             continue
-        for record in layout.of(section):
+        for record in layout.section_records(section):
             name = record.value(column)
             if name is not None and name not in names:
                 yield UnknownNameFault(
                     record.place(column),
-                    f"{name!r} is not in section '{named.name}'",
-                    _suggestion(name, names, named),
+                    f"{name!r} is not in section '{referenced_section.name}'",
+                    _suggest_remedy(name, names, referenced_section),
                 )
 
 
-def _names(layout: Layout, section: Section) -> list[str]:
+def _defined_names(layout: Layout, section: Section) -> list[str]:
     """Return the names that a section defines."""
-    values = (record.identity[0] for record in layout.of(section))
+    values = (record.identity[0] for record in layout.section_records(section))
     return [name for name in values if name is not None]
 
 
-def _first_rows(layout: Layout, section: Section) -> Iterator[Record]:
+def _iter_unique_rows(layout: Layout, section: Section) -> Iterator[Record]:
     """Yield the rows of a section, skipping duplicates of earlier rows."""
     # A duplicate is reported on its own. If the checks used its cells as well, they
     # would also report its consequences.
     seen = set()
-    for record in layout.of(section):
+    for record in layout.section_records(section):
         if record.identity not in seen:
             yield record
         seen.add(record.identity)
 
 
-def _suggestion(name: str, names: list[str], section: Section) -> str:
+def _suggest_remedy(name: str, names: list[str], section: Section) -> str:
     """Return the remedy for an unknown name, with the closest known name if any."""
-    close = get_close_matches(name, names, n=1)
-    if close:
-        return f"write {close[0]!r}, or add a row there"
+    close_matches = get_close_matches(name, names, n=1)
+    if close_matches:
+        return f"write {close_matches[0]!r}, or add a row there"
     return f"add it to section '{section.name}', or correct the name"
 
 
-def _addresses(layout: Layout) -> Iterator[SheetFault]:
+def _check_addresses(layout: Layout) -> Iterator[SheetFault]:
     """Check that no two targets listen on the same address."""
     # A server under two names would be counted as two targets: it would get twice as
     # many requests as it has slots, and one process could own a key under two names.
-    first: dict[str, Record] = {}
-    for record in layout.of(TARGETS):
+    first_seen: dict[str, Record] = {}
+    for record in layout.section_records(TARGETS):
         address = record.value("address")
         if address is None:
             continue
-        if address in first:
-            other = first[address]
+        if address in first_seen:
+            other = first_seen[address]
             yield DuplicateFault(
                 record.place("address"),
                 f"{address} is the address of {other.value('target')} "
                 f"in row {other.row}",
                 "correct one of the addresses, or remove one target",
             )
-        first.setdefault(address, record)
+        first_seen.setdefault(address, record)
 
 
-def _repeatable(layout: Layout) -> Iterator[SheetFault]:
+def _check_repeatable(layout: Layout) -> Iterator[SheetFault]:
     """Check that kinds which run at most once belong to services with owned keys."""
     # If any target may answer, no single target records which requests have run, and
     # a caller's retry could run a second time on another target.
-    free = {
+    free_services = {
         record.value("service")
-        for record in _first_rows(layout, SERVICES)
+        for record in _iter_unique_rows(layout, SERVICES)
         if record.value("keys") is Ownership.FREE
     }
-    for record in layout.of(KINDS):
-        if record.value("repeatable") is False and record.value("service") in free:
+    for record in layout.section_records(KINDS):
+        if (
+            record.value("repeatable") is False
+            and record.value("service") in free_services
+        ):
             yield RuleFault(
                 record.place("repeatable"),
                 "a kind that runs at most once needs owned keys",
@@ -179,12 +182,14 @@
             )
 
 
-def _kinds(layout: Layout) -> Iterator[SheetFault]:
+def _check_kinds(layout: Layout) -> Iterator[SheetFault]:
     """Check that each service has at least one kind of request."""
-    used = {record.value("service") for record in layout.of(KINDS)}
-    for record in layout.of(SERVICES):
+    services_with_kinds = {
+        record.value("service") for record in layout.section_records(KINDS)
+    }
+    for record in layout.section_records(SERVICES):
         name = record.value("service")
-        if name is not None and name not in used:
+        if name is not None and name not in services_with_kinds:
             yield RuleFault(
                 record.place("service"),
                 f"{name} has no kind of request",
@@ -192,12 +197,14 @@
             )
 
 
-def _shards(layout: Layout) -> Iterator[SheetFault]:
+def _check_shards(layout: Layout) -> Iterator[SheetFault]:
     """Check that a service with owned keys has at least one shard per target."""
-    counts = Counter(record.value("service") for record in layout.of(TARGETS))
-    for record in layout.of(SERVICES):
+    target_counts = Counter(
+        record.value("service") for record in layout.section_records(TARGETS)
+    )
+    for record in layout.section_records(SERVICES):
         shards = record.value("shards")
-        targets = counts[record.value("service")]
+        targets = target_counts[record.value("service")]
         owned = record.value("keys") is Ownership.OWNED
         if owned and shards is not None and shards < targets:
             yield RuleFault(
@@ -207,9 +214,9 @@
             )
 
 
-def _connections(layout: Layout) -> Iterator[SheetFault]:
+def _check_connections(layout: Layout) -> Iterator[SheetFault]:
     """Check that a target accepts at least as many connections as it has slots."""
-    for record in layout.of(TARGETS):
+    for record in layout.section_records(TARGETS):
         slots = record.value("slots")
         connections = record.value("connections")
         if slots is not None and connections is not None and connections < slots:
@@ -220,71 +227,77 @@
             )
 
 
-def _pins(layout: Layout) -> Iterator[SheetFault]:
+def _check_pinned_keys(layout: Layout) -> Iterator[SheetFault]:
     """Check that a key is pinned only to a target of its own service."""
-    services = {r.value("target"): r.value("service") for r in layout.of(TARGETS)}
-    for record in layout.of(KEYS):
+    services = {
+        r.value("target"): r.value("service") for r in layout.section_records(TARGETS)
+    }
+    for record in layout.section_records(KEYS):
         target = record.value("target")
-        serves = services.get(target)
-        wanted = record.value("service")
-        if serves is not None and wanted is not None and serves != wanted:
+        target_service = services.get(target)
+        key_service = record.value("service")
+        if (
+            target_service is not None
+            and key_service is not None
+            and target_service != key_service
+        ):
             yield RuleFault(
                 record.place("target"),
-                f"{target} serves {serves}, not {wanted}",
-                f"name a target of {wanted}, or leave the cell empty",
+                f"{target} serves {target_service}, not {key_service}",
+                f"name a target of {key_service}, or leave the cell empty",
             )
 
 
-def _something_open(layout: Layout) -> Iterator[SheetFault]:
+def _check_open_data_centre_and_vm(layout: Layout) -> Iterator[SheetFault]:
     """Check that at least one data centre is open and one VM is not leaving."""
-    centres = layout.of(DATA_CENTRES)
+    centres = layout.section_records(DATA_CENTRES)
     if centres and all(r.value("state") is DataCentreState.CLOSED for r in centres):
         yield RuleFault(
             Place(centres[0].row), "every data centre is closed", "open one"
         )
-    vms = layout.of(VMS)
+    vms = layout.section_records(VMS)
     if vms and all(r.value("state") is MemberState.LEAVING for r in vms):
         yield RuleFault(Place(vms[0].row), "every VM is leaving", "keep one active")
 
 
-def _served(layout: Layout) -> Iterator[SheetFault]:
+def _check_services_served(layout: Layout) -> Iterator[SheetFault]:
     """Check that each service has at least one target that accepts requests."""
-    centres = list(_first_rows(layout, DATA_CENTRES))
-    closed = {
+    centres = list(_iter_unique_rows(layout, DATA_CENTRES))
+    closed_centres = {
         record.value("data centre")
         for record in centres
         if record.value("state") is DataCentreState.CLOSED
     }
-    if len(closed) == len(centres):
+    if len(closed_centres) == len(centres):
         return
     # A target with an unreadable state or data centre counts as accepting requests:
     # that cell is already reported, and correcting it may resolve this fault too.
-    served = {
+    served_services = {
         record.value("service")
-        for record in layout.of(TARGETS)
+        for record in layout.section_records(TARGETS)
         if record.value("state") is not MemberState.LEAVING
-        and record.value("data centre") not in closed
+        and record.value("data centre") not in closed_centres
     }
-    for record in layout.of(SERVICES):
+    for record in layout.section_records(SERVICES):
         name = record.value("service")
-        if name is not None and name not in served:
+        if name is not None and name not in served_services:
             yield RuleFault(
                 record.place("service"),
-                f"no target takes work for {name}",
+                f"no target accepts requests for {name}",
                 "add a target, or keep one active in an open data centre",
             )
 
 
 RULES: Iterable[Callable[[Layout], Iterator[SheetFault]]] = (
-    _properties,
-    _duplicates,
-    _references,
-    _addresses,
-    _repeatable,
-    _kinds,
-    _shards,
-    _connections,
-    _pins,
-    _something_open,
-    _served,
+    _check_properties,
+    _check_duplicates,
+    _check_references,
+    _check_addresses,
+    _check_repeatable,
+    _check_kinds,
+    _check_shards,
+    _check_connections,
+    _check_pinned_keys,
+    _check_open_data_centre_and_vm,
+    _check_services_served,
 )
--- a/packages/sheet/src/berylstage_sheet/configuration.py
+++ b/packages/sheet/src/berylstage_sheet/configuration.py
@@ -275,8 +275,8 @@
             False if the target is leaving or its data centre is closed.
         """
         centre = self.data_centres[target.data_centre]
-        open_centre = centre.state is DataCentreState.OPEN
-        return open_centre and target.state is not MemberState.LEAVING
+        centre_is_open = centre.state is DataCentreState.OPEN
+        return centre_is_open and target.state is not MemberState.LEAVING
 
     def targets_of(self, service: str) -> list[Target]:
         """Return the targets of a service, sorted by name.
@@ -296,7 +296,7 @@
 
     def to_json(self) -> bytes:
         """Return the configuration as JSON in the format of the store."""
-        return json.dumps(self, default=_fields, sort_keys=True).encode()
+        return json.dumps(self, default=_encode_value, sort_keys=True).encode()
 
     @classmethod
     def from_json(cls, raw: bytes) -> Configuration:
@@ -315,7 +315,7 @@
         doc = json.loads(raw)
         return cls(
             revision=doc["revision"],
-            services={name: _service(s) for name, s in doc["services"].items()},
+            services={name: _parse_service(s) for name, s in doc["services"].items()},
             data_centres={
                 name: DataCentre(name, DataCentreState(d["state"]))
                 for name, d in doc["data_centres"].items()
@@ -324,7 +324,7 @@
                 name: Vm(name, v["data_centre"], MemberState(v["state"]))
                 for name, v in doc["vms"].items()
             },
-            targets={name: _target(t) for name, t in doc["targets"].items()},
+            targets={name: _parse_target(t) for name, t in doc["targets"].items()},
             special_keys=[SpecialKey(**k) for k in doc["special_keys"]],
             thresholds=doc["thresholds"],
             author=doc["author"],
@@ -332,14 +332,14 @@
         )
 
 
-def _fields(value):
+def _encode_value(value):
     """Return the JSON representation of an enum member or a configuration object."""
     if isinstance(value, Enum):
         return value.value
     return {name: getattr(value, name) for name in value.__slots__}
 
 
-def _service(doc: dict) -> Service:
+def _parse_service(doc: dict) -> Service:
     """Return the service that a JSON object describes."""
     kinds = {
         name: Kind(
@@ -359,6 +359,6 @@
     )
 
 
-def _target(doc: dict) -> Target:
+def _parse_target(doc: dict) -> Target:
     """Return the target that a JSON object describes."""
     return Target(**{**doc, "state": MemberState(doc["state"])})
--- a/packages/sheet/src/berylstage_sheet/difference.py
+++ b/packages/sheet/src/berylstage_sheet/difference.py
@@ -88,8 +88,8 @@
     @property
     def weight(self) -> Weight:
         """Impact of the change on requests in progress."""
-        moving = self.section in (DATA_CENTRES, TARGETS, KEYS, VMS)
-        return Weight.MOVES_KEYS if moving else Weight.CHANGES_HANDLING
+        moves_keys = self.section in (DATA_CENTRES, TARGETS, KEYS, VMS)
+        return Weight.MOVES_KEYS if moves_keys else Weight.CHANGES_HANDLING
 
     @property
     def detail(self) -> str:
@@ -97,8 +97,8 @@
         columns = self.section.columns[self.section.identity :]
         cells = self.row.cells[self.section.identity :]
         pairs = zip(columns, cells, strict=True)
-        told = [f"{column.name} {cell}" for column, cell in pairs if cell]
-        return f"added ({', '.join(told)})" if told else "added"
+        filled_cells = [f"{column.name} {cell}" for column, cell in pairs if cell]
+        return f"added ({', '.join(filled_cells)})" if filled_cells else "added"
 
 
 class Removed(Change):
@@ -148,10 +148,10 @@
     @property
     def weight(self) -> Weight:
         """Impact of the change on requests in progress."""
-        place = (self.section, self.column)
-        if place in STATES:
-            return _state_weight(self.section, self.after)
-        if place in MOVING:
+        column_id = (self.section, self.column)
+        if column_id in STATE_COLUMNS:
+            return _state_change_weight(self.section, self.after)
+        if column_id in KEY_MOVING_COLUMNS:
             return Weight.MOVES_KEYS
         return Weight.CHANGES_HANDLING
 
@@ -163,8 +163,8 @@
         return f"{self.column} {before} -> {after}"
 
 
-STATES = {(DATA_CENTRES, "state"), (TARGETS, "state"), (VMS, "state")}
-MOVING = {
+STATE_COLUMNS = {(DATA_CENTRES, "state"), (TARGETS, "state"), (VMS, "state")}
+KEY_MOVING_COLUMNS = {
     (SERVICES, "keys"),
     (SERVICES, "shards"),
     (TARGETS, "service"),
@@ -175,7 +175,7 @@
 }
 
 
-def _state_weight(section: Section, after: str) -> Weight:
+def _state_change_weight(section: Section, after: str) -> Weight:
     """Return the impact of changing a row's state."""
     if after == DataCentreState.CLOSED.value:
         return Weight.STOPS_WORK
@@ -202,32 +202,34 @@
         Changes ordered by severity, then in the order of the sheet.
     """
     order = {section.name: number for number, section in enumerate(SECTIONS)}
-    changes = _changes(before, after)
+    changes = _iter_changes(before, after)
     return sorted(changes, key=lambda c: (c.weight, order[c.section.name], c.identity))
 
 
-def _changes(before: Configuration | None, after: Configuration) -> Iterator[Change]:
+def _iter_changes(
+    before: Configuration | None, after: Configuration
+) -> Iterator[Change]:
     """Yield the changes of each row, removed rows first."""
-    old = _by_identity(before)
-    new = _by_identity(after)
-    for place, row in old.items():
-        if place not in new:
+    old = _rows_by_identity(before)
+    new = _rows_by_identity(after)
+    for row_id, row in old.items():
+        if row_id not in new:
             yield Removed(row)
-    for place, row in new.items():
-        if place not in old:
+    for row_id, row in new.items():
+        if row_id not in old:
             yield Added(row)
         else:
-            yield from _altered(old[place], row)
+            yield from _iter_altered_cells(old[row_id], row)
 
 
-def _by_identity(cfg: Configuration | None) -> dict[tuple, Row]:
+def _rows_by_identity(cfg: Configuration | None) -> dict[tuple, Row]:
     """Return the rows of a configuration by section and identity."""
     if cfg is None:
         return {}
     return {(row.section.name, row.identity): row for row in rows_of(cfg)}
 
 
-def _altered(old: Row, new: Row) -> Iterator[Change]:
+def _iter_altered_cells(old: Row, new: Row) -> Iterator[Change]:
     """Yield a change for each differing cell of two rows with the same identity."""
     for column, before, after in zip(
         old.section.columns, old.cells, new.cells, strict=True
--- a/packages/sheet/src/berylstage_sheet/errors.py
+++ b/packages/sheet/src/berylstage_sheet/errors.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-ALPHABET = 26
+ALPHABET_SIZE = 26
 
 
 def column_letter(index: int) -> str:
@@ -26,8 +26,8 @@
     letters = ""
     index += 1
     while index:
-        index, rest = divmod(index - 1, ALPHABET)
-        letters = chr(ord("A") + rest) + letters
+        index, remainder = divmod(index - 1, ALPHABET_SIZE)
+        letters = chr(ord("A") + remainder) + letters
     return letters
 
 
--- a/packages/sheet/src/berylstage_sheet/layout.py
+++ b/packages/sheet/src/berylstage_sheet/layout.py
@@ -6,7 +6,7 @@
 from difflib import get_close_matches
 from io import StringIO
 
-from berylstage_sheet.cells import BadCell
+from berylstage_sheet.cells import InvalidCellError
 from berylstage_sheet.columns import SECTIONS, Column, Section
 from berylstage_sheet.errors import CellFault, LayoutFault, Place, SheetFault
 
@@ -53,7 +53,7 @@
         return Place(self.row, column, self.indexes.get(column, 0))
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether every required cell has a readable value."""
         required = [c.name for c in self.section.columns if c.required]
         return all(self.values.get(name) is not None for name in required)
@@ -82,7 +82,7 @@
         self.records: dict[str, list[Record]] = {}
         self.faults: list[SheetFault] = []
 
-    def of(self, section: Section) -> list[Record]:
+    def section_records(self, section: Section) -> list[Record]:
         """Return the records of a section; empty if the sheet lacks it."""
         return self.records.get(section.name, [])
 
@@ -101,17 +101,17 @@
         Records and faults; a malformed file is reported as a fault.
     """
     layout = Layout()
-    scan = _Scan(layout)
+    parser = _SheetParser(layout)
     try:
-        for number, cells in enumerate(_rows(raw), start=1):
-            scan.take(number, [cell.strip() for cell in cells])
+        for number, cells in enumerate(_parse_csv(raw), start=1):
+            parser.parse_row(number, [cell.strip() for cell in cells])
     except SheetFault as fault:
         layout.faults.append(fault)
-    scan.finish()
+    parser.report_missing_sections()
     return layout
 
 
-def _rows(raw: bytes) -> list[list[str]]:
+def _parse_csv(raw: bytes) -> list[list[str]]:
     """Return the cells of each row of the file."""
     if len(raw) > MAX_SHEET_BYTES:
         raise LayoutFault(
@@ -139,13 +139,13 @@
     except csv.Error as exc:
         raise LayoutFault(
             Place(len(rows) + 1),
-            f"the row is no CSV ({exc})",
+            f"the row is not valid CSV ({exc})",
             "export the sheet again, or close the open quote",
         ) from exc
     return rows
 
 
-class _Scan:
+class _SheetParser:
     """Parser that keeps the current section and header from row to row."""
 
     def __init__(self, layout: Layout):
@@ -154,64 +154,64 @@
         self.header: dict[int, Column] | None = None
         self.header_row = 0
         self.header_indexes: set[int] = set()
-        self.skipping = False
+        self.skips_section = False
 
-    def take(self, row: int, cells: list[str]) -> None:
+    def parse_row(self, row: int, cells: list[str]) -> None:
         """Parse the next row."""
         if not any(cells):
             return
-        alone = cells[0] and not any(cells[1:])
-        section = _section_named(cells[0]) if alone else None
+        has_single_cell = cells[0] and not any(cells[1:])
+        section = _find_section(cells[0]) if has_single_cell else None
         if section is not None:
-            self._open(row, section)
-        elif alone and self._like_a_section(cells[0]):
-            self._unknown_section(row, cells[0])
-        elif self.skipping:
+            self._start_section(row, section)
+        elif has_single_cell and self._resembles_section_name(cells[0]):
+            self._report_unknown_section(row, cells[0])
+        elif self.skips_section:
             return
         elif self.section is None:
-            self._unknown_section(row, cells[0] or next(filter(None, cells)))
+            self._report_unknown_section(row, cells[0] or next(filter(None, cells)))
         elif self.header is None:
             self._read_header(row, cells)
         else:
             self._read_record(row, cells)
 
-    def finish(self) -> None:
+    def report_missing_sections(self) -> None:
         """Report the sections that the sheet lacks."""
         for section in SECTIONS:
             if section.required and not self.layout.records.get(section.name):
-                known = section.name in self.layout.records
-                problem = "has no rows" if known else "is missing"
-                self._fault(
+                is_present = section.name in self.layout.records
+                problem = "has no rows" if is_present else "is missing"
+                self._add_fault(
                     0, f"section '{section.name}' {problem}", "add it with its rows"
                 )
 
-    def _fault(self, row: int, problem: str, remedy: str, column="", index=0):
+    def _add_fault(self, row: int, problem: str, remedy: str, column="", index=0):
         place = Place(row, column, index)
         self.layout.faults.append(LayoutFault(place, problem, remedy))
 
-    def _open(self, row: int, section: Section) -> None:
+    def _start_section(self, row: int, section: Section) -> None:
         self.section = section
         self.header = None
-        self.skipping = False
+        self.skips_section = False
         if section.name in self.layout.records:
-            self._fault(
+            self._add_fault(
                 row,
-                f"section '{section.name}' stands twice",
+                f"section '{section.name}' appears twice",
                 "keep all its rows under one section row",
             )
         self.layout.records.setdefault(section.name, [])
 
-    def _like_a_section(self, text: str) -> bool:
+    def _resembles_section_name(self, text: str) -> bool:
         # A misspelt section row would otherwise be parsed as a row of the previous
         # section, and each row below it would be reported as a further fault.
         names = [section.name.casefold() for section in SECTIONS]
         return bool(get_close_matches(text.casefold(), names, n=1, cutoff=0.8))
 
-    def _unknown_section(self, row: int, text: str) -> None:
+    def _report_unknown_section(self, row: int, text: str) -> None:
         names = ", ".join(section.name for section in SECTIONS)
-        if not self.skipping:
-            self._fault(row, f"{text!r} is no section", f"use one of: {names}")
-        self.skipping = True
+        if not self.skips_section:
+            self._add_fault(row, f"{text!r} is not a section", f"use one of: {names}")
+        self.skips_section = True
 
     def _read_header(self, row: int, cells: list[str]) -> None:
         assert self.section is not None
@@ -226,17 +226,19 @@
             column = self.section.column(text)
             if column is None:
                 remedy = f"'{self.section.name}' has the columns: {names}"
-                self._fault(row, f"{text!r} is no column", remedy, text, index)
+                self._add_fault(row, f"{text!r} is not a column", remedy, text, index)
             elif column.name in seen:
                 remedy = "remove one of them"
-                self._fault(row, "the column stands twice", remedy, column.name, index)
+                self._add_fault(
+                    row, "the column appears twice", remedy, column.name, index
+                )
             else:
                 seen.add(column.name)
                 self.header[index] = column
         for column in self.section.columns:
             if column.required and column.name not in seen:
                 remedy = f"add it to the header row: {names}"
-                self._fault(row, f"column '{column.name}' is missing", remedy)
+                self._add_fault(row, f"column '{column.name}' is missing", remedy)
 
     def _read_record(self, row: int, cells: list[str]) -> None:
         assert self.section is not None
@@ -250,7 +252,7 @@
         for index, text in enumerate(cells):
             if text and index not in self.header_indexes:
                 remedy = f"remove it or name its column in row {self.header_row}"
-                self._fault(row, f"{text!r} stands under no column", remedy)
+                self._add_fault(row, f"{text!r} is not under any column", remedy)
         record = Record(self.section, row, values, indexes)
         self.layout.records[self.section.name].append(record)
 
@@ -264,12 +266,12 @@
             return None
         try:
             return column.cell.read(text)
-        except BadCell as exc:
+        except InvalidCellError as exc:
             self.layout.faults.append(CellFault(place, exc.problem, exc.remedy))
             return None
 
 
-def _section_named(text: str) -> Section | None:
+def _find_section(text: str) -> Section | None:
     """Return the section with a name, ignoring case, or None."""
     for section in SECTIONS:
         if section.name.casefold() == text.casefold():
--- a/packages/sheet/src/berylstage_sheet/reader.py
+++ b/packages/sheet/src/berylstage_sheet/reader.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterator, Sequence
 
-from berylstage_sheet.checks import check
+from berylstage_sheet.checks import check_rules
 from berylstage_sheet.columns import (
     AUTHOR,
     BASED_ON,
@@ -72,7 +72,7 @@
         Place
             Position of the cell; the sheet as a whole if no row has this name.
         """
-        for record in self.layout.of(section):
+        for record in self.layout.section_records(section):
             if record.identity[0] == name:
                 return record.place(column)
         return Place(0)
@@ -105,12 +105,12 @@
         The sheet is invalid; the group contains all of its faults.
     """
     layout = read_layout(raw)
-    faults = [*layout.faults, *check(layout)]
+    faults = [*layout.faults, *check_rules(layout)]
     if check_thresholds is not None:
-        faults += _threshold_faults(layout, check_thresholds)
+        faults += _check_threshold_overrides(layout, check_thresholds)
     if faults:
         raise FaultySheet(faults)
-    cfg = _configuration(layout)
+    cfg = _build_configuration(layout)
     size = len(cfg.to_json())
     if size > MAX_CONFIGURATION_BYTES:
         # The store would reject the configuration only after the operator has
@@ -118,15 +118,17 @@
         problem = f"the configuration takes {size} bytes"
         remedy = f"shorten names or remove keys: {MAX_CONFIGURATION_BYTES} at most"
         raise FaultySheet([RuleFault(Place(0), problem, remedy)])
-    return Sheet(cfg, _based_on(layout), layout)
+    return Sheet(cfg, _base_revision(layout), layout)
 
 
-def _threshold_faults(
+def _check_threshold_overrides(
     layout: Layout, check_thresholds: ThresholdCheck
 ) -> Iterator[RuleFault]:
     """Yield the faults of the overrides of thresholds."""
     records = {
-        record.value("name"): record for record in layout.of(THRESHOLDS) if record.whole
+        record.value("name"): record
+        for record in layout.section_records(THRESHOLDS)
+        if record.is_complete
     }
     values = {name: record.value("value") for name, record in records.items()}
     for exc in check_thresholds(values):
@@ -134,52 +136,55 @@
         # The longest matching name is used, because one threshold's name may be a
         # prefix of another's. A fault that concerns two thresholds is reported in
         # the row of one of them.
-        named = max((n for n in records if n in problem), key=len, default=None)
-        place = records[named].place("value") if named else Place(0)
+        matching_name = max((n for n in records if n in problem), key=len, default=None)
+        place = records[matching_name].place("value") if matching_name else Place(0)
         yield RuleFault(place, problem, remedy)
 
 
-def _based_on(layout: Layout) -> int | None:
+def _base_revision(layout: Layout) -> int | None:
     """Return the revision that the sheet is based on, or None."""
-    text = _property(layout, BASED_ON)
+    text = _property_value(layout, BASED_ON)
     return int(text) if text else None
 
 
-def _property(layout: Layout, name: str) -> str:
+def _property_value(layout: Layout, name: str) -> str:
     """Return a property of the sheet itself; empty if it is not set."""
-    for record in layout.of(SHEET):
+    for record in layout.section_records(SHEET):
         if record.value("property") == name:
             return record.value("value")
     return ""
 
 
-def _configuration(layout: Layout) -> Configuration:
+def _build_configuration(layout: Layout) -> Configuration:
     """Return the configuration that the records of a valid sheet define."""
     return Configuration(
         revision=0,
-        services=_services(layout),
+        services=_build_services(layout),
         data_centres={
             r.value("data centre"): DataCentre(r.value("data centre"), r.value("state"))
-            for r in layout.of(DATA_CENTRES)
+            for r in layout.section_records(DATA_CENTRES)
         },
         vms={
             r.value("VM"): Vm(r.value("VM"), r.value("data centre"), r.value("state"))
-            for r in layout.of(VMS)
+            for r in layout.section_records(VMS)
         },
-        targets=_targets(layout),
+        targets=_build_targets(layout),
         special_keys=[
             SpecialKey(r.value("service"), r.value("key"), r.value("target"))
-            for r in layout.of(KEYS)
+            for r in layout.section_records(KEYS)
         ],
-        thresholds={r.value("name"): r.value("value") for r in layout.of(THRESHOLDS)},
-        author=_property(layout, AUTHOR),
+        thresholds={
+            r.value("name"): r.value("value")
+            for r in layout.section_records(THRESHOLDS)
+        },
+        author=_property_value(layout, AUTHOR),
     )
 
 
-def _services(layout: Layout) -> dict[str, Service]:
+def _build_services(layout: Layout) -> dict[str, Service]:
     """Return the services with their kinds, by name."""
     services = {}
-    for record in layout.of(SERVICES):
+    for record in layout.section_records(SERVICES):
         name = record.value("service")
         services[name] = Service(
             name,
@@ -188,7 +193,7 @@
             record.value("shards"),
             {},
         )
-    for record in layout.of(KINDS):
+    for record in layout.section_records(KINDS):
         name = record.value("kind")
         services[record.value("service")].kinds[name] = Kind(
             name,
@@ -199,7 +204,7 @@
     return services
 
 
-def _targets(layout: Layout) -> dict[str, Target]:
+def _build_targets(layout: Layout) -> dict[str, Target]:
     """Return the targets by name."""
     return {
         record.value("target"): Target(
@@ -212,5 +217,5 @@
             checks_fences=record.value("checks fences"),
             state=record.value("state"),
         )
-        for record in layout.of(TARGETS)
+        for record in layout.section_records(TARGETS)
     }
--- a/packages/sheet/src/berylstage_sheet/rows.py
+++ b/packages/sheet/src/berylstage_sheet/rows.py
@@ -58,12 +58,12 @@
     Row
         Next row; the section of properties is not included.
     """
-    for section, values in _values(cfg):
-        for row in sorted([_text(value) for value in row] for row in values):
+    for section, values in _iter_section_values(cfg):
+        for row in sorted([_format_cell(value) for value in row] for row in values):
             yield Row(section, row)
 
 
-def _text(value) -> str:
+def _format_cell(value) -> str:
     """Return the text of a cell for a value."""
     if value is None:
         return ""
@@ -74,7 +74,7 @@
     return str(value)
 
 
-def _values(cfg: Configuration) -> Iterator[tuple[Section, list[tuple]]]:
+def _iter_section_values(cfg: Configuration) -> Iterator[tuple[Section, list[tuple]]]:
     """Yield each section with its rows' values in the order of its columns."""
     services = cfg.services.values()
     yield SERVICES, [(s.name, s.tenant, s.ownership, s.shards) for s in services]
--- a/packages/sheet/src/berylstage_sheet/transition.py
+++ b/packages/sheet/src/berylstage_sheet/transition.py
@@ -38,19 +38,19 @@
     """
     if before is None:
         return
-    faults = [*_services(before, sheet), *_targets(before, sheet)]
+    faults = [*_check_services(before, sheet), *_check_targets(before, sheet)]
     if faults:
         raise FaultySheet(faults)
 
 
-def _services(before: Configuration, sheet: Sheet) -> Iterator[TransitionFault]:
+def _check_services(before: Configuration, sheet: Sheet) -> Iterator[TransitionFault]:
     """Yield the changes of services that cannot be made in place."""
     for name, service in sheet.cfg.services.items():
         old = before.services.get(name)
         # A VM whose revision has free keys sends their requests to any target, while
         # a VM whose revision has owned keys has already assigned them to one target.
         if old is not None and old.ownership is not service.ownership:
-            yield _fault(
+            yield _cell_fault(
                 sheet,
                 SERVICES,
                 name,
@@ -60,7 +60,7 @@
             )
 
 
-def _targets(before: Configuration, sheet: Sheet) -> Iterator[TransitionFault]:
+def _check_targets(before: Configuration, sheet: Sheet) -> Iterator[TransitionFault]:
     """Yield the changes of targets that cannot be made in place."""
     # A server that takes over another server's name would get its shards with their
     # fence tokens, while the first server may still have an unexpired grant for them.
@@ -69,7 +69,7 @@
         if old is None:
             continue
         if old.address != target.address:
-            yield _fault(
+            yield _cell_fault(
                 sheet,
                 TARGETS,
                 name,
@@ -78,7 +78,7 @@
                 "give the new server a new name and remove the old one",
             )
         if old.service != target.service:
-            yield _fault(
+            yield _cell_fault(
                 sheet,
                 TARGETS,
                 name,
@@ -88,7 +88,7 @@
             )
 
 
-def _fault(
+def _cell_fault(
     sheet: Sheet, section: Section, name: str, column: str, problem: str, remedy: str
 ) -> TransitionFault:
     """Return a fault at the position of a cell."""
--- a/packages/sheet/tests/conftest.py
+++ b/packages/sheet/tests/conftest.py
@@ -53,14 +53,14 @@
 
 
 @pytest.fixture
-def spoilt(text):
+def edited_sheet(text):
     """Return a function that replaces parts of the sheet and encodes the result."""
 
-    def spoil(*pairs: tuple[str, str]) -> bytes:
+    def edit_sheet(*pairs: tuple[str, str]) -> bytes:
         changed = text
         for old, new in pairs:
-            assert changed.count(old) == 1, f"{old!r} stands {changed.count(old)} times"
+            assert changed.count(old) == 1, f"{old!r} occurs {changed.count(old)} times"
             changed = changed.replace(old, new)
         return changed.encode()
 
-    return spoil
+    return edit_sheet
--- a/packages/sheet/tests/test_cells.py
+++ b/packages/sheet/tests/test_cells.py
@@ -5,9 +5,9 @@
 import pytest
 from berylstage_sheet.cells import (
     AddressCell,
-    BadCell,
     ChoiceCell,
     IntegerCell,
+    InvalidCellError,
     KeyCell,
     NameCell,
     NumberCell,
@@ -17,7 +17,7 @@
 )
 from berylstage_sheet.configuration import MemberState
 
-READABLE = [
+VALID_CELLS = [
     (NameCell(), "almaty-a", "almaty-a"),
     (NameCell(), "x" * 63, "x" * 63),
     (KeyCell(), "дом/7 =1+1", "дом/7 =1+1"),
@@ -31,7 +31,7 @@
     (AddressCell(), "10.0.0.1:080", "10.0.0.1:80"),
     (AddressCell(), "[0::1]:80", "[::1]:80"),
 ]
-UNREADABLE = [
+INVALID_CELLS = [
     (NameCell(), "x" * 64, "63 at most"),
     (NameCell(), "a b", "letters, digits and dashes"),
     (NameCell(), "a/b", "letters, digits and dashes"),
@@ -59,18 +59,18 @@
 
 
 class TestCells:
-    @pytest.mark.parametrize(("cell", "text", "value"), READABLE)
-    def test_reads(self, cell, text, value):
+    @pytest.mark.parametrize(("cell", "text", "value"), VALID_CELLS)
+    def test_reads_valid_text(self, cell, text, value):
         assert cell.read(text) == value
 
-    @pytest.mark.parametrize(("cell", "text", "remedy"), UNREADABLE)
+    @pytest.mark.parametrize(("cell", "text", "remedy"), INVALID_CELLS)
     def test_names_the_remedy(self, cell, text, remedy):
         # An operator who mistypes a cell sees only the fault's message, which must
         # therefore name the valid values.
-        with pytest.raises(BadCell) as caught:
+        with pytest.raises(InvalidCellError) as caught:
             cell.read(text)
         assert remedy in caught.value.remedy
 
-    @pytest.mark.parametrize("cell", {type(c): c for c, *_ in READABLE}.values())
-    def test_describes_itself(self, cell):
+    @pytest.mark.parametrize("cell", {type(c): c for c, *_ in VALID_CELLS}.values())
+    def test_describes_valid_values(self, cell):
         assert cell.describe()
--- a/packages/sheet/tests/test_difference.py
+++ b/packages/sheet/tests/test_difference.py
@@ -36,16 +36,16 @@
 
 class TestCompare:
     @pytest.mark.parametrize(("change", "weight", "words"), CHANGES)
-    def test_one_change(self, text, spoilt, change, weight, words):
+    def test_one_change(self, text, edited_sheet, change, weight, words):
         before = read_sheet(text.encode()).cfg
-        (found,) = compare(before, read_sheet(spoilt(change)).cfg)
+        (found,) = compare(before, read_sheet(edited_sheet(change)).cfg)
         assert str(found) == words
         assert found.weight is Weight(weight)
 
-    def test_weightiest_first(self, text, spoilt):
+    def test_orders_changes_by_weight(self, text, edited_sheet):
         after = read_sheet(text.encode()).cfg
         before = read_sheet(
-            spoilt(
+            edited_sheet(
                 ("south,closed", "south,open"),
                 ("no,leaving", "no,active"),
                 (PRICES_1, PRICES_1 + PRICES_2),
--- a/packages/sheet/tests/test_reader.py
+++ b/packages/sheet/tests/test_reader.py
@@ -25,7 +25,7 @@
 # Each entry: the replacement in the valid sheet, and the single fault that it causes
 # with its class, row, column and a part of its message.
 FAULTS = [
-    (("based on,41", "based on,yesterday"), CellFault, 3, "value", "no revision"),
+    (("based on,41", "based on,yesterday"), CellFault, 3, "value", "is not a revision"),
     (("based on,41", "base,41"), CellFault, 3, "property", "'based on' or"),
     (("orders,acme,owned,16", "orders,,owned,16"), CellFault, 7, "tenant", "empty"),
     (("acme,owned,16", "acme,mine,16"), CellFault, 7, "keys", "`owned` or `free`"),
@@ -37,17 +37,17 @@
         DuplicateFault,
         8,
         "service",
-        "row 7 already",
+        "is already defined in row 7",
     ),
     (("no,5000", "no,0"), CellFault, 12, "deadline ms", "from 1 to 600000"),
-    (("no,5000", "no,5000,9"), LayoutFault, 12, "", "under no column"),
+    (("no,5000", "no,5000,9"), LayoutFault, 12, "", "is not under any column"),
     (("north,open", "north,closed"), RuleFault, 17, "", "every data centre is closed"),
     (
         ("south,closed", "south,closed\nnorth,closed"),
         DuplicateFault,
         19,
         "data centre",
-        "row 17",
+        "is already defined in row 17",
     ),
     (
         ("south-1,south,joining", "south-1,west,joining"),
@@ -68,7 +68,7 @@
         RuleFault,
         7,
         "service",
-        "no target takes work for orders",
+        "no target accepts requests for orders",
     ),
     (
         (ORDERS_1, ORDERS_1.replace("active", "joining")),
@@ -98,12 +98,18 @@
         "target",
         "write 'orders-",
     ),
-    (("queue.limit,0.5", "queue.limit,much"), CellFault, 38, "value", "no number"),
+    (
+        ("queue.limit,0.5", "queue.limit,much"),
+        CellFault,
+        38,
+        "value",
+        "is not a number",
+    ),
     (("\nthresholds\n", "\ntreshold\n"), LayoutFault, 36, "", "use one of: sheet"),
 ]
 
 
-def faults_of(raw: bytes) -> list:
+def read_faults(raw: bytes) -> list:
     """Return the faults of a sheet; empty if it is valid."""
     try:
         read_sheet(raw)
@@ -113,7 +119,7 @@
 
 
 class TestConfiguration:
-    def test_holds_what_the_sheet_says(self, text):
+    def test_matches_the_sheet(self, text):
         sheet = read_sheet(text.encode())
         cfg = sheet.cfg
         assert sheet.based_on == 41
@@ -140,70 +146,70 @@
         FAULTS,
         ids=lambda value: value[1].strip() if isinstance(value, tuple) else "",
     )
-    def test_one_fault(self, spoilt, change, kind, row, column, message):
+    def test_one_fault(self, edited_sheet, change, kind, row, column, message):
         # One mistake in a spreadsheet of hundreds of rows must be reported with its
         # cell, and must not be obscured by further faults that follow from it.
-        (fault,) = faults_of(spoilt(change))
+        (fault,) = read_faults(edited_sheet(change))
         assert type(fault) is kind
         assert (fault.row, fault.column) == (row, column)
         assert message in str(fault)
 
-    def test_all_faults_at_once(self, spoilt):
+    def test_all_faults_at_once(self, edited_sheet):
         # If only one fault were reported at a time, the operator would have to export
         # the sheet again for each of them, which delays the change.
-        raw = spoilt(
+        raw = edited_sheet(
             ("based on,41", "based on,?"),
             ("acme,owned,16", "acme,owned,x"),
             ("south,closed", "south,shut"),
             ("queue.limit,0.5", "queue.limit,"),
         )
-        places = [(f.row, f.column) for f in faults_of(raw)]
+        places = [(f.row, f.column) for f in read_faults(raw)]
         assert places == [(3, "value"), (7, "shards"), (18, "state"), (38, "value")]
 
-    def test_unknown_service(self, spoilt):
+    def test_unknown_service(self, edited_sheet):
         # A service is misspelt in the kinds. The remedy suggests the closest service
         # name, and the service that has no kind as a result is reported as well.
-        other, fault = faults_of(spoilt(("prices,read,", "price,read,")))
+        other, fault = read_faults(edited_sheet(("prices,read,", "price,read,")))
         assert isinstance(fault, UnknownNameFault)
         assert (fault.row, fault.column) == (13, "service")
         assert "write 'prices'" in fault.remedy
         assert "prices has no kind" in other.problem
 
-    def test_every_vm_leaving(self, spoilt):
+    def test_every_vm_leaving(self, edited_sheet):
         # If every VM is leaving, no VM remains to answer callers.
-        raw = spoilt(
+        raw = edited_sheet(
             ("north-1,north,active", "north-1,north,leaving"),
             ("south-1,south,joining", "south-1,south,leaving"),
         )
-        (fault,) = faults_of(raw)
+        (fault,) = read_faults(raw)
         assert "keep one active" in str(fault)
 
-    def test_missing_column(self, spoilt):
+    def test_missing_column(self, edited_sheet):
         # A renamed column in the header row is reported as an unknown and a missing
         # column, without a fault for each cell below it.
-        raw = spoilt(("service,tenant,keys", "service,tenants,keys"))
-        assert [f.row for f in faults_of(raw)] == [6, 6]
+        raw = edited_sheet(("service,tenant,keys", "service,tenants,keys"))
+        assert [f.row for f in read_faults(raw)] == [6, 6]
 
     def test_missing_sections(self):
         # The operator exports the wrong tab of the spreadsheet.
-        faults = faults_of(b"thresholds\nname,value\nx,1\n")
+        faults = read_faults(b"thresholds\nname,value\nx,1\n")
         names = ("services", "kinds", "data centres", "VMs", "targets")
         expected = [f"section '{name}' is missing" for name in names]
         assert [fault.problem for fault in faults] == expected
 
-    def test_misspelt_section_hides_its_rows(self, spoilt):
+    def test_misspelt_section_skips_its_rows(self, edited_sheet):
         # Only the misspelt section row is reported. Its rows would otherwise be parsed
         # as rows of the previous section, with a fault for each of them.
-        faults = faults_of(spoilt(("\ntargets\n", "\ntarget\n")))
+        faults = read_faults(edited_sheet(("\ntargets\n", "\ntarget\n")))
         assert [f.row for f in faults if f.row] == [7, 8, 25]
 
-    def test_section_twice(self, spoilt):
+    def test_section_twice(self, edited_sheet):
         # Rows are pasted together with their section row. The second section row is
         # reported.
-        faults = faults_of(spoilt(("\nkeys\n", "\nservices\n")))
-        assert "stands twice" in str(next(f for f in faults if f.row == 31))
+        faults = read_faults(edited_sheet(("\nkeys\n", "\nservices\n")))
+        assert "appears twice" in str(next(f for f in faults if f.row == 31))
 
-    def test_threshold_that_the_policy_refuses(self, text):
+    def test_threshold_rejected_by_the_policy(self, text):
         # If a sheet with a misspelt threshold were accepted, each VM would reject the
         # threshold only in its own log, where operators do not look.
         def refuse(values):
@@ -219,7 +225,7 @@
         # The store rejects values over 1 MB. `check` must report this before the
         # operator approves the changes.
         keys = "\n".join(f"prices,{number:0200},prices-1" for number in range(5000))
-        faults = faults_of(text.replace("prices,hot,\n", keys + "\n").encode())
+        faults = read_faults(text.replace("prices,hot,\n", keys + "\n").encode())
         assert "1000000 at most" in str(faults[0])
 
 
@@ -257,4 +263,4 @@
     def test_unreadable_file(self, raw, message):
         # For a file that is not CSV in UTF-8, the operator must be told how to export
         # it instead of getting a traceback.
-        assert any(message in str(fault) for fault in faults_of(raw))
+        assert any(message in str(fault) for fault in read_faults(raw))
--- a/packages/sheet/tests/test_transition.py
+++ b/packages/sheet/tests/test_transition.py
@@ -23,21 +23,23 @@
 
 class TestCheckTransition:
     @pytest.mark.parametrize(("change", "row", "column"), REFUSED)
-    def test_refused(self, text, spoilt, change, row, column):
+    def test_refused(self, text, edited_sheet, change, row, column):
         # While a revision is being distributed, some VMs use the old revision and some
         # the new one. If the same shard denotes different keys, or the same name
         # different servers, a key has two owners for these seconds and an order may
         # run twice.
         before = read_sheet(text.encode()).cfg
         with pytest.raises(FaultySheet) as caught:
-            check_transition(before, read_sheet(spoilt(change)))
+            check_transition(before, read_sheet(edited_sheet(change)))
         (fault,) = caught.value.faults
         assert isinstance(fault, TransitionFault)
         assert (fault.row, fault.column) == (row, column)
 
     @pytest.mark.parametrize("change", ALLOWED)
-    def test_allowed(self, text, spoilt, change):
-        check_transition(read_sheet(text.encode()).cfg, read_sheet(spoilt(change)))
+    def test_allowed(self, text, edited_sheet, change):
+        check_transition(
+            read_sheet(text.encode()).cfg, read_sheet(edited_sheet(change))
+        )
 
     def test_first_sheet(self, text):
         check_transition(None, read_sheet(text.encode()))
--- a/packages/sheet/tests/test_writer.py
+++ b/packages/sheet/tests/test_writer.py
@@ -21,16 +21,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-names = st.from_regex(r"[A-Za-z0-9][A-Za-z0-9-]{0,8}", fullmatch=True)
+name_texts = st.from_regex(r"[A-Za-z0-9][A-Za-z0-9-]{0,8}", fullmatch=True)
 printable = st.characters(exclude_categories=("C", "Z"))
-keys = st.text(printable, min_size=1, max_size=12)
+key_texts = st.text(printable, min_size=1, max_size=12)
 
 
 @st.composite
 def configurations(draw):
     """Draw a valid configuration."""
-    services = draw(st.lists(names, min_size=1, max_size=3, unique=True))
-    centres = draw(st.lists(names, min_size=1, max_size=3, unique=True))
+    services = draw(st.lists(name_texts, min_size=1, max_size=3, unique=True))
+    centres = draw(st.lists(name_texts, min_size=1, max_size=3, unique=True))
     states = st.sampled_from(DataCentreState)
     data_centres = {name: DataCentre(name, draw(states)) for name in centres}
     data_centres[centres[0]].state = DataCentreState.OPEN
@@ -48,7 +48,7 @@
         for number, service in enumerate(services)
     }
     pins = [(f"t-{n}", service) for n, service in enumerate(services)]
-    special = draw(st.dictionaries(keys, st.sampled_from(pins), max_size=3))
+    special = draw(st.dictionaries(key_texts, st.sampled_from(pins), max_size=3))
     return Configuration(
         draw(st.integers(0, 10**9)),
         {name: draw(service(name)) for name in services},
@@ -59,7 +59,7 @@
             SpecialKey(service, key, target)
             for key, (target, service) in special.items()
         ],
-        draw(st.dictionaries(names.filter(str.isalpha), st.floats(-1e9, 1e9))),
+        draw(st.dictionaries(name_texts.filter(str.isalpha), st.floats(-1e9, 1e9))),
     )
 
 
@@ -74,10 +74,12 @@
             not owned or draw(st.booleans()),
             draw(st.integers(1, 600_000)),
         )
-        for kind in draw(st.lists(names, min_size=1, max_size=2, unique=True))
+        for kind in draw(st.lists(name_texts, min_size=1, max_size=2, unique=True))
     }
     ownership = Ownership.OWNED if owned else Ownership.FREE
-    return Service(name, draw(names), ownership, draw(st.integers(1, 16384)), kinds)
+    return Service(
+        name, draw(name_texts), ownership, draw(st.integers(1, 16384)), kinds
+    )
 
 
 class TestWriteSheet:
