--- a/packages/sheet/src/berylstage_sheet/cells.py
+++ b/packages/sheet/src/berylstage_sheet/cells.py
@@ -76,7 +76,7 @@
         return text
 
     def describe(self) -> str:
-        """Return what the cell may hold."""
+        """Describe the valid values."""
         return f"letters, digits and dashes, {MAX_NAME_LENGTH} at most"
 
 
@@ -94,7 +94,7 @@
         return text
 
     def describe(self) -> str:
-        """Return what the cell may hold."""
+        """Describe the valid values."""
         return f"the key as callers name it, {MAX_KEY_LENGTH} characters at most"
 
 
@@ -108,7 +108,7 @@
         return text
 
     def describe(self) -> str:
-        """Return what the cell may hold."""
+        """Describe the valid values."""
         return "text on one line"
 
 
@@ -125,7 +125,7 @@
         return text
 
     def describe(self) -> str:
-        """Return what the cell may hold."""
+        """Describe the valid values."""
         return "name of a threshold"
 
 
@@ -151,7 +151,7 @@
         return choice
 
     def describe(self) -> str:
-        """Return what the cell may hold."""
+        """Describe the valid values."""
         return " or ".join(f"`{word}`" for word in self.choices)
 
 
@@ -170,7 +170,7 @@
         return answer
 
     def describe(self) -> str:
-        """Return what the cell may hold."""
+        """Describe the valid values."""
         return "`yes` or `no`"
 
 
@@ -202,7 +202,7 @@
         return int(text)
 
     def describe(self) -> str:
-        """Return what the cell may hold."""
+        """Describe the valid values."""
         return f"a whole number from {self.low} to {self.high}"
 
 
@@ -222,7 +222,7 @@
         return number
 
     def describe(self) -> str:
-        """Return what the cell may hold."""
+        """Describe the valid values."""
         return "a number"
 
 
@@ -249,5 +249,5 @@
         return f"[{ip}]:{int(port)}" if ip.version == 6 else f"{ip}:{int(port)}"
 
     def describe(self) -> str:
-        """Return what the cell may hold."""
+        """Describe the valid values."""
         return "IP number and port, like `10.1.2.3:8080`"
--- a/packages/sheet/src/berylstage_sheet/errors.py
+++ b/packages/sheet/src/berylstage_sheet/errors.py
@@ -117,7 +117,7 @@
     """Group of all faults of a sheet, in the order of its rows."""
 
     def __new__(cls, faults: Sequence[SheetFault]):
-        """Group the faults, sorted by row and column."""
+        """Group the faults by row and column; str() of the group adds their number."""
         ordered = sorted(faults, key=lambda f: (f.place.row, f.place.index))
         return super().__new__(cls, "the sheet has faults", ordered)
 
