--- a/packages/sheet/src/berylstage_sheet/layout.py
+++ b/packages/sheet/src/berylstage_sheet/layout.py
@@ -1,4 +1,4 @@
-"""Dividing a spreadsheet's CSV file into sections and typed rows."""
+"""Parse a spreadsheet's CSV file into sections and typed rows."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from difflib import get_close_matches
 from io import StringIO
 
-from berylstage_sheet.cells import BadCell
+from berylstage_sheet.cells import InvalidCellError
 from berylstage_sheet.columns import SECTIONS, Column, Section
 from berylstage_sheet.errors import CellFault, LayoutFault, Place, SheetFault
 
@@ -16,17 +16,18 @@
 
 
 class Record:
-    """One row of a section, its cells read.
+    """One row of a section, with parsed cells.
 
     Parameters
     ----------
     section : Section
+        Section that contains the row.
     row : int
-        Row as the spreadsheet numbers it.
+        Row number in the spreadsheet, from 1.
     values : dict of str to object
-        Value of each readable cell, by column name; None for an empty cell.
+        Values of the cells by column name; None for an empty or unreadable cell.
     indexes : dict of str to int
-        Number of each column in the sheet, by column name.
+        Column numbers in the sheet by column name, from 0.
     """
 
     __slots__ = ("section", "row", "values", "indexes")
@@ -44,34 +45,35 @@
         self.indexes = indexes
 
     def value(self, column: str):
-        """Return the value of a cell; None when it is empty or unreadable."""
+        """Return the value of a cell; None if it is empty or unreadable."""
         return self.values.get(column)
 
     def place(self, column: str) -> Place:
-        """Return the place of a cell."""
+        """Return the position of a cell."""
         return Place(self.row, column, self.indexes.get(column, 0))
 
     @property
-    def whole(self) -> bool:
-        """Whether every cell that must be filled was read."""
+    def is_complete(self) -> bool:
+        """Whether every required cell has a readable value."""
         required = [c.name for c in self.section.columns if c.required]
         return all(self.values.get(name) is not None for name in required)
 
     @property
     def identity(self) -> tuple:
-        """Values of the columns that name what the row is about."""
+        """Values of the columns that identify the row."""
         columns = self.section.columns[: self.section.identity]
         return tuple(self.values.get(column.name) for column in columns)
 
 
 class Layout:
-    """The records of a sheet and the faults met on the way.
+    """Parsed rows of a sheet and the faults found while parsing.
 
-    Parameters
+    Attributes
     ----------
     records : dict of str to list of Record
-        By section name. A section that the sheet lacks is missing.
+        Rows by section name; sections that the sheet lacks have no entry.
     faults : list of SheetFault
+        Faults found while parsing.
     """
 
     __slots__ = ("records", "faults")
@@ -80,35 +82,36 @@
         self.records: dict[str, list[Record]] = {}
         self.faults: list[SheetFault] = []
 
-    def of(self, section: Section) -> list[Record]:
-        """Return the records of a section."""
+    def section_records(self, section: Section) -> list[Record]:
+        """Return the records of a section; empty if the sheet lacks it."""
         return self.records.get(section.name, [])
 
 
 def read_layout(raw: bytes) -> Layout:
-    """Divide a sheet into records.
+    """Parse a sheet into records.
 
     Parameters
     ----------
     raw : bytes
-        The CSV file as the spreadsheet wrote it.
+        Contents of the CSV file that the spreadsheet exported.
 
     Returns
     -------
     Layout
+        Records and faults; a malformed file is reported as a fault.
     """
     layout = Layout()
-    scan = _Scan(layout)
+    parser = _SheetParser(layout)
     try:
-        for number, cells in enumerate(_rows(raw), start=1):
-            scan.take(number, [cell.strip() for cell in cells])
+        for number, cells in enumerate(_parse_csv(raw), start=1):
+            parser.parse_row(number, [cell.strip() for cell in cells])
     except SheetFault as fault:
         layout.faults.append(fault)
-    scan.finish()
+    parser.report_missing_sections()
     return layout
 
 
-def _rows(raw: bytes) -> list[list[str]]:
+def _parse_csv(raw: bytes) -> list[list[str]]:
     """Return the cells of each row of the file."""
     if len(raw) > MAX_SHEET_BYTES:
         raise LayoutFault(
@@ -126,8 +129,8 @@
     first = text.split("\n", 1)[0].strip()
     if first.casefold().startswith(SEPARATOR_LINE) and len(first) == 5:
         separator = first[-1]
-        # The line stays as a row without content, so that row numbers agree with
-        # those that the operator sees.
+        # The line is kept as an empty row, so that row numbers match those in the
+        # operator's spreadsheet.
         text = text.replace(first, "", 1)
     rows: list[list[str]] = []
     try:
@@ -136,14 +139,14 @@
     except csv.Error as exc:
         raise LayoutFault(
             Place(len(rows) + 1),
-            f"the row is no CSV ({exc})",
+            f"the row is not valid CSV ({exc})",
             "export the sheet again, or close the open quote",
         ) from exc
     return rows
 
 
-class _Scan:
-    """Takes row after row and keeps the section that they belong to."""
+class _SheetParser:
+    """Parser that keeps the current section and header from row to row."""
 
     def __init__(self, layout: Layout):
         self.layout = layout
@@ -151,64 +154,64 @@
         self.header: dict[int, Column] | None = None
         self.header_row = 0
         self.header_indexes: set[int] = set()
-        self.skipping = False
+        self.skips_section = False
 
-    def take(self, row: int, cells: list[str]) -> None:
-        """Take the next row."""
+    def parse_row(self, row: int, cells: list[str]) -> None:
+        """Parse the next row."""
         if not any(cells):
             return
-        alone = cells[0] and not any(cells[1:])
-        section = _section_named(cells[0]) if alone else None
+        has_single_cell = cells[0] and not any(cells[1:])
+        section = _find_section(cells[0]) if has_single_cell else None
         if section is not None:
-            self._open(row, section)
-        elif alone and self._like_a_section(cells[0]):
-            self._unknown_section(row, cells[0])
-        elif self.skipping:
+            self._start_section(row, section)
+        elif has_single_cell and self._resembles_section_name(cells[0]):
+            self._report_unknown_section(row, cells[0])
+        elif self.skips_section:
             return
         elif self.section is None:
-            self._unknown_section(row, cells[0] or next(filter(None, cells)))
+            self._report_unknown_section(row, cells[0] or next(filter(None, cells)))
         elif self.header is None:
             self._read_header(row, cells)
         else:
             self._read_record(row, cells)
 
-    def finish(self) -> None:
+    def report_missing_sections(self) -> None:
         """Report the sections that the sheet lacks."""
         for section in SECTIONS:
             if section.required and not self.layout.records.get(section.name):
-                known = section.name in self.layout.records
-                problem = "has no rows" if known else "is missing"
-                self._fault(
+                is_present = section.name in self.layout.records
+                problem = "has no rows" if is_present else "is missing"
+                self._add_fault(
                     0, f"section '{section.name}' {problem}", "add it with its rows"
                 )
 
-    def _fault(self, row: int, problem: str, remedy: str, column="", index=0):
+    def _add_fault(self, row: int, problem: str, remedy: str, column="", index=0):
         place = Place(row, column, index)
         self.layout.faults.append(LayoutFault(place, problem, remedy))
 
-    def _open(self, row: int, section: Section) -> None:
+    def _start_section(self, row: int, section: Section) -> None:
         self.section = section
         self.header = None
-        self.skipping = False
+        self.skips_section = False
         if section.name in self.layout.records:
-            self._fault(
+            self._add_fault(
                 row,
-                f"section '{section.name}' stands twice",
+                f"section '{section.name}' appears twice",
                 "keep all its rows under one section row",
             )
         self.layout.records.setdefault(section.name, [])
 
-    def _like_a_section(self, text: str) -> bool:
-        # A misspelt section row would otherwise read as a row of the section above,
-        # and every row below it as another fault.
+    def _resembles_section_name(self, text: str) -> bool:
+        # A misspelt section row would otherwise be parsed as a row of the previous
+        # section, and each row below it would be reported as a further fault.
         names = [section.name.casefold() for section in SECTIONS]
         return bool(get_close_matches(text.casefold(), names, n=1, cutoff=0.8))
 
-    def _unknown_section(self, row: int, text: str) -> None:
+    def _report_unknown_section(self, row: int, text: str) -> None:
         names = ", ".join(section.name for section in SECTIONS)
-        if not self.skipping:
-            self._fault(row, f"{text!r} is no section", f"use one of: {names}")
-        self.skipping = True
+        if not self.skips_section:
+            self._add_fault(row, f"{text!r} is not a section", f"use one of: {names}")
+        self.skips_section = True
 
     def _read_header(self, row: int, cells: list[str]) -> None:
         assert self.section is not None
@@ -223,17 +226,19 @@
             column = self.section.column(text)
             if column is None:
                 remedy = f"'{self.section.name}' has the columns: {names}"
-                self._fault(row, f"{text!r} is no column", remedy, text, index)
+                self._add_fault(row, f"{text!r} is not a column", remedy, text, index)
             elif column.name in seen:
                 remedy = "remove one of them"
-                self._fault(row, "the column stands twice", remedy, column.name, index)
+                self._add_fault(
+                    row, "the column appears twice", remedy, column.name, index
+                )
             else:
                 seen.add(column.name)
                 self.header[index] = column
         for column in self.section.columns:
             if column.required and column.name not in seen:
                 remedy = f"add it to the header row: {names}"
-                self._fault(row, f"column '{column.name}' is missing", remedy)
+                self._add_fault(row, f"column '{column.name}' is missing", remedy)
 
     def _read_record(self, row: int, cells: list[str]) -> None:
         assert self.section is not None
@@ -247,7 +252,7 @@
         for index, text in enumerate(cells):
             if text and index not in self.header_indexes:
                 remedy = f"remove it or name its column in row {self.header_row}"
-                self._fault(row, f"{text!r} stands under no column", remedy)
+                self._add_fault(row, f"{text!r} is not under any column", remedy)
         record = Record(self.section, row, values, indexes)
         self.layout.records[self.section.name].append(record)
 
@@ -261,13 +266,13 @@
             return None
         try:
             return column.cell.read(text)
-        except BadCell as exc:
+        except InvalidCellError as exc:
             self.layout.faults.append(CellFault(place, exc.problem, exc.remedy))
             return None
 
 
-def _section_named(text: str) -> Section | None:
-    """Return the section of a name, whatever the case of its letters."""
+def _find_section(text: str) -> Section | None:
+    """Return the section with a name, ignoring case, or None."""
     for section in SECTIONS:
         if section.name.casefold() == text.casefold():
             return section
